--- a/src/direct/counted_store.ts
+++ b/src/direct/counted_store.ts
@@ -1,6 +1,6 @@
 /**
- * A store of the platform whose calls are counted by kind: they are what the platform
- * charges for, so that an operator sees who makes them and why.
+ * A wrapper around a store of the platform that counts calls by kind. The platform
+ * charges for each call, so operators need to see which processes make them and why.
  *
  * @module
  */
@@ -15,7 +15,10 @@
   WatchedStore,
 } from "../external/watched_store.ts";
 
-/** Milliseconds between two lines of the log on calls; none where none was made. */
+/**
+ * Milliseconds between two log lines with call counts. No line is written when no call
+ * was made.
+ */
 const LOG_INTERVAL_MS = 20_000;
 
 type CallCounts = Record<StoreCallKind | "failed", number>;
@@ -24,17 +27,17 @@
 export interface CountedStoreOptions {
   readonly store: WatchedStore;
   readonly log: EventLog;
-  /** Called for each call as it ends. */
+  /** Called for each call when it completes. */
   readonly onCall?: (kind: StoreCallKind, hasFailed: boolean) => void;
 }
 
-/** Counts calls, and makes them at another store. */
+/** Counts calls and forwards them to another store. */
 export class CountedStore extends WatchedStore {
   readonly #options: CountedStoreOptions;
   readonly #timer: NodeJS.Timeout;
   #counts = createCounts();
 
-  /** Has counted nothing yet. */
+  /** Starts the timer that logs the counts. */
   constructor(options: CountedStoreOptions) {
     super();
     this.#options = options;
--- a/src/direct/counted_store_test.ts
+++ b/src/direct/counted_store_test.ts
@@ -36,7 +36,7 @@
 }
 
 describe("a counted store", () => {
-  it("counts each call once, and hands on answers and failures", async () => {
+  it("counts each call once, and passes on answers and failures", async () => {
     const store = new ListingStore();
     const calls: string[] = [];
     const counted = new CountedStore({
--- a/src/direct/direct_entry_driver.ts
+++ b/src/direct/direct_entry_driver.ts
@@ -1,6 +1,6 @@
 /**
- * An entry that calls back ends itself: it follows settings and back ends in
- * the platform's store, and needs no target process.
+ * Runs an entry that calls back ends directly: it follows settings and back ends in the
+ * platform's store, and needs no target process.
  *
  * @module
  */
@@ -34,28 +34,33 @@
 import type { ListedProcess } from "../messages/listed_process.ts";
 import { ProcessRegistry } from "./process_registry.ts";
 import { readReducerGauges } from "./reducer_gauges.ts";
-import { createReducerMemories } from "./reducer_memories.ts";
+import { createReplicatedState } from "./reducer_memories.ts";
 import { SettingsFollower } from "./settings_follower.ts";
 
 /**
- * Milliseconds for which a process that was told to end takes new connections:
- * the balancer asks once a second and takes it out after two misses.
+ * Milliseconds for which a process that is shutting down still accepts new connections.
+ * The load balancer in front of it polls readiness once a second and removes the process
+ * after two failed polls.
  */
 const UNREADY_BEFORE_CLOSING_MS = 3200;
 /**
- * Milliseconds that idle connections outlive what callers were promised, so that
- * a request on its way does not meet a closed connection.
+ * Milliseconds that idle connections stay open beyond the idle limit promised to callers,
+ * so that a request in flight does not meet a closed connection.
  */
 const IDLE_MARGIN_MS = 2000;
 /**
- * Time for which the store may hold a watch of settings, over that for which a back end
- * that leaves may be sent work: readers are asked how old their settings are.
+ * Maximum duration of a settings watch, as a fraction of the time for which a leaving
+ * back end may still receive requests. Entries that follow this one reject settings that
+ * are too old, so the watch has to return before that.
+ */
+const SETTINGS_WATCH_FRACTION = 0.5;
+/**
+ * Maximum time in milliseconds that requests wait, after this process was frozen, for an
+ * answer from the store or from other entries.
  */
-const SETTINGS_WATCH_PART = 0.5;
-/** How long requests wait after a pause for the store to be heard again. */
 const CATCH_UP_LIMIT_MS = 1000;
 
-/** What a {@link DirectEntryDriver} works with. */
+/** Options of a {@link DirectEntryDriver}. */
 export interface DirectEntryDriverOptions {
   readonly settings: DirectEntryProcessSettings;
   readonly store: WatchedStore;
@@ -67,7 +72,7 @@
   readonly seed: number;
 }
 
-/** A running entry that calls back ends itself. */
+/** A running entry that calls back ends directly. */
 export class DirectEntryDriver implements Drainable {
   readonly #options: DirectEntryDriverOptions;
   readonly #reducer: EntryReducer;
@@ -84,7 +89,7 @@
   readonly #metricsPage: HttpListener;
   #isDraining = false;
 
-  /** Does not listen yet. */
+  /** Creates the parts of the entry. {@link start} opens the listeners. */
   constructor(options: DirectEntryDriverOptions) {
     this.#options = options;
     const { settings, format, log } = options;
@@ -115,8 +120,8 @@
       log,
       heldBytesLimit: settings.heldBytesLimit,
       onPaused: () => this.#catchUp(),
-      onMemoriesChanged: () => this.#peers.memoriesChanged(),
-      onPermitsWanted: (question) => this.#peers.askPermits(question),
+      onMemoriesChanged: () => this.#peers.onReplicatedStateChanged(),
+      onPermitsWanted: (request) => this.#peers.requestPermits(request),
     });
     this.#targets = new DirectTargetPool({
       createBackEnd: options.createBackEnd,
@@ -140,7 +145,7 @@
       format,
       log,
       drains: this.#drains,
-      watchWaitMs: settings.leavingLimitMs * SETTINGS_WATCH_PART,
+      watchWaitMs: settings.leavingLimitMs * SETTINGS_WATCH_FRACTION,
       onSettings: (inForce) => this.#onSettings(inForce),
     });
     this.#directory = new DirectoryFollower({
@@ -152,12 +157,13 @@
       isColdPool: (pool) =>
         this.#reducer.warmUp.limits.tryPool(pool) !== undefined,
       onDirectory: (directory) => this.#onDirectory(directory),
-      onListed: (directory) => this.#peers.storeAnswered(directory),
-      // Whoever is told of back ends by another entry calls the store too seldom to hear it.
-      onWentBack: () => this.#registry.listAgain(),
-      onUnanswered: () => {
+      onListed: (directory) => this.#peers.onStoreListed(directory),
+      // An entry that gets its back ends from another entry rarely calls the store
+      // itself, so its own calls would not detect that the store was restored.
+      onStoreRestored: () => this.#registry.registerAgain(),
+      onListFailed: () => {
         this.#settings.restart();
-        this.#peers.storeSilent();
+        this.#peers.onStoreUnavailable();
       },
     });
     const self = {
@@ -169,7 +175,7 @@
       store,
       log,
       self: { role: "entry", ...self },
-      follows: true,
+      followsOthers: true,
       onProcesses: (processes) => this.#onProcesses(processes),
     });
     const identity = {
@@ -186,8 +192,8 @@
       random: new RandomSource(options.seed),
       log,
       leavingLimitMs: settings.leavingLimitMs,
-      getKnowledge: () => ({
-        isReading: this.#peers.isLed || this.#directory.isReached,
+      getStoreState: () => ({
+        isReading: this.#peers.isFollowingReader || this.#directory.isReached,
         settings: this.#settings.inUse,
         settingsCheckedAt: this.#settings.checkedAt,
         drains: this.#drains.stored,
@@ -197,11 +203,11 @@
           processes: this.#registry.processes,
         },
       }),
-      memories: createReducerMemories(
+      replicatedState: createReplicatedState(
         this.#reducer,
         (event) => this.#server.dispatch(event),
       ),
-      givePermits: (target, count) =>
+      issuePermits: (target, count) =>
         this.#reducer.permits.give(target, count, performance.now()),
       onPermits: (outcome) =>
         this.#server.dispatch({
@@ -211,14 +217,14 @@
         }),
       onDrains: (drains, ageMs) => this.#drains.offer(drains, ageMs),
       onSettings: (text) => void this.#settings.offer(text, "entry"),
-      onSettingsChecked: (checkedAt) => this.#settings.noteChecked(checkedAt),
+      onSettingsChecked: (checkedAt) => this.#settings.recordCheck(checkedAt),
       onDirectory: (directory) => this.#directory.offer(directory),
       onProcesses: ({ processes, revision }) =>
         this.#registry.offer(processes, revision),
-      onListTurn: () => void this.#directory.list(),
-      onLed: (isLed) => {
-        this.#settings.setLed(isLed);
-        this.#registry.setLed(isLed);
+      onListDue: () => void this.#directory.list(),
+      onFollowingReaderChanged: (isFollowing) => {
+        this.#settings.setFollowingReader(isFollowing);
+        this.#registry.setFollowingReader(isFollowing);
       },
     });
     this.#groupLoads = new GroupLoadFollower({
@@ -230,11 +236,11 @@
           now: performance.now(),
           load,
         }),
-      onSight: (sight) =>
+      onObservation: (observation) =>
         this.#server.dispatch({
           kind: "group_seen",
           now: performance.now(),
-          sight,
+          sight: observation,
         }),
     });
     const { pages } = this.#metrics;
@@ -244,15 +250,15 @@
     );
   }
 
-  /** Requests on their way. */
+  /** Number of requests in flight. */
   get inFlight(): number {
     return this.#reducer.inFlight;
   }
 
   /**
-   * Listens, and follows the store.
+   * Opens the listeners and starts following the store.
    *
-   * @throws when an address cannot be had
+   * @throws when an address is not available
    */
   async start(): Promise<void> {
     const { settings, log } = this.#options;
@@ -272,7 +278,7 @@
     });
   }
 
-  /** Puts in force what may change while the process runs. */
+  /** Applies the settings that may change while the process runs. */
   reload(settings: DirectEntryProcessSettings): void {
     this.#server.dispatch({
       kind: "pool_retries_limited",
@@ -308,11 +314,11 @@
       now: performance.now(),
       failureDomains,
     });
-    this.#peers.knowledgeChanged();
+    this.#peers.onStoreStateChanged();
   }
 
   #onSettings(settings: OperatorSettings): void {
-    this.#peers.knowledgeChanged();
+    this.#peers.onStoreStateChanged();
     this.#metrics.countWrongFields(settings.findings?.length ?? 0);
     const routes = new RoutingTable(settings.documents);
     this.#server.setIdleLimit(settings.idleLimitMs + IDLE_MARGIN_MS);
@@ -348,17 +354,20 @@
     this.#groupLoads.setProcesses(processes);
   }
 
-  /** Back ends may have left while we stood still. */
+  /**
+   * Refreshes settings and back ends after this process was frozen, since back ends may
+   * have left in the meantime.
+   */
   async #catchUp(): Promise<void> {
     this.#settings.restart();
-    this.#peers.doubt();
+    this.#peers.invalidateReader();
     const limit = new Promise<void>((resolve) => {
       setTimeout(resolve, CATCH_UP_LIMIT_MS);
     });
-    await Promise.race([this.#askStoreOrPeers(), limit]);
+    await Promise.race([this.#refreshFromStoreOrPeers(), limit]);
   }
 
-  async #askStoreOrPeers(): Promise<void> {
+  async #refreshFromStoreOrPeers(): Promise<void> {
     await this.#directory.list();
     if (!this.#directory.isReached) await this.#peers.nextAnswer();
   }
--- a/src/direct/direct_target.ts
+++ b/src/direct/direct_target.ts
@@ -1,7 +1,7 @@
 /**
- * A back end that an entry calls itself, without a target process before it. It
- * speaks the messages of attempts, so that the entry's reducer sees no other
- * difference.
+ * A back end that an entry calls directly, without a target process in between. It
+ * exchanges the same messages about attempts as a target process, so that the entry's
+ * reducer handles both in the same way.
  *
  * @module
  */
@@ -29,7 +29,7 @@
 import { getReasonOf } from "../external/back_end_failures.ts";
 import type { BackEndNotice } from "../messages/back_end_notice.ts";
 
-/** Hears what becomes of attempts. */
+/** Receives the messages about an attempt's progress and outcome. */
 export type AttemptListener = (message: AttemptMessage) => void;
 
 /** Options of a {@link DirectTarget}. */
@@ -37,7 +37,7 @@
   readonly instance: BackEndInstance;
   readonly backEnd: BackEnd;
   readonly onMessage: AttemptListener;
-  /** Whether an attempt may still be sent, asked before its first byte. */
+  /** Whether an attempt may still be sent. Checked before its first byte is sent. */
   readonly mayBegin: () => boolean;
 }
 
@@ -51,18 +51,18 @@
     getUnreadBytes: (attempt) => this.#tryCall(attempt)?.unreadBytes ?? 0,
   };
 
-  /** Calls nothing yet. */
+  /** Makes no call yet. */
   constructor(options: DirectTargetOptions) {
     this.#options = options;
   }
 
-  /** Attempts under way. */
+  /** Number of attempts in flight. */
   get inFlight(): number {
     return this.#attempts.size;
   }
 
   send(message: SubmitMessage | CancelMessage): void {
-    const key = keyOf(message);
+    const key = getAttemptKey(message);
     if (message.kind === "cancel") {
       this.#attempts.get(key)?.cancel();
       this.#attempts.delete(key);
@@ -71,17 +71,17 @@
     const { instance, backEnd, onMessage, mayBegin } = this.#options;
     const attempt = new DirectAttempt(message, {
       onMessage,
-      onOver: () => this.#attempts.delete(key),
+      onEnded: () => this.#attempts.delete(key),
     });
     this.#attempts.set(key, attempt);
     attempt.start(backEnd, { instance: instance.name, mayBegin });
   }
 
   #tryCall(attempt: AttemptName): BackEndCall | undefined {
-    return this.#attempts.get(keyOf(attempt))?.call;
+    return this.#attempts.get(getAttemptKey(attempt))?.call;
   }
 
-  /** Closes the connections; attempts under way fail. */
+  /** Closes the connections. Attempts in flight fail. */
   async close(): Promise<void> {
     await this.#options.backEnd.close();
   }
@@ -89,7 +89,7 @@
 
 interface DirectAttemptOptions {
   readonly onMessage: AttemptListener;
-  readonly onOver: () => void;
+  readonly onEnded: () => void;
 }
 
 class DirectAttempt {
@@ -99,18 +99,21 @@
   #sequence = 0;
   #byteCount = 0;
   #load: BackEndLoad = { running: 0, queued: 0 };
-  /** Nothing is kept of a connection that gave no answer. */
+  /**
+   * Milliseconds for which the connection can carry another call; 0 until the back end
+   * reports it.
+   */
   #keptMs = 0;
   #lostPeer: string | undefined;
   #notice: BackEndNotice | undefined;
-  #isOver = false;
+  #isCancelled = false;
 
   constructor(submit: SubmitMessage, options: DirectAttemptOptions) {
     this.#submit = submit;
     this.#options = options;
   }
 
-  /** The call under way; undefined before the start. */
+  /** The call in progress; undefined before {@link start}. */
   get call(): BackEndCall | undefined {
     return this.#call;
   }
@@ -145,7 +148,7 @@
   }
 
   cancel(): void {
-    this.#isOver = true;
+    this.#isCancelled = true;
     this.#call?.cancel();
   }
 
@@ -154,9 +157,9 @@
     headers: readonly Header[],
     framing: AnswerFraming | undefined,
   ): void {
-    this.#say({
+    this.#emit({
       kind: "answer_head",
-      ...this.#place(),
+      ...this.#getAttemptName(),
       sequence: this.#sequence++,
       status,
       headers,
@@ -167,19 +170,19 @@
 
   #onData(bytes: Uint8Array): void {
     this.#byteCount += bytes.length;
-    this.#say({
+    this.#emit({
       kind: "answer_data",
-      ...this.#place(),
+      ...this.#getAttemptName(),
       sequence: this.#sequence++,
       bytes,
     });
   }
 
   #onEnd(): void {
-    this.#options.onOver();
-    this.#say({
+    this.#options.onEnded();
+    this.#emit({
       kind: "answer_end",
-      ...this.#place(),
+      ...this.#getAttemptName(),
       sequence: this.#sequence++,
       byteCount: this.#byteCount,
       keptMs: this.#keptMs,
@@ -188,11 +191,11 @@
   }
 
   #onFailed(failure: BackEndFailure): void {
-    this.#options.onOver();
+    this.#options.onEnded();
     const submission = isNotRun(failure) ? "not-run" : "unknown";
-    this.#say({
+    this.#emit({
       kind: "refused",
-      ...this.#place(),
+      ...this.#getAttemptName(),
       reason: getReasonOf(failure),
       keptMs: isNotRun(failure) ? this.#keptMs : 0,
       outcome: submission,
@@ -202,16 +205,16 @@
     });
   }
 
-  #say(message: AttemptMessage): void {
-    if (!this.#isOver) this.#options.onMessage(message);
+  #emit(message: AttemptMessage): void {
+    if (!this.#isCancelled) this.#options.onMessage(message);
   }
 
-  #place() {
+  #getAttemptName() {
     const { requestId, attempt } = this.#submit;
     return { requestId, attempt };
   }
 }
 
-function keyOf({ requestId, attempt }: AttemptName): string {
+function getAttemptKey({ requestId, attempt }: AttemptName): string {
   return `${requestId}.${attempt}`;
 }
--- a/src/direct/direct_target_pool.ts
+++ b/src/direct/direct_target_pool.ts
@@ -1,5 +1,5 @@
 /**
- * The way to each back end that the directory lists.
+ * The links to the back ends that the directory lists.
  *
  * @module
  */
@@ -11,19 +11,22 @@
 
 /** Options of a {@link DirectTargetPool}. */
 export interface DirectTargetPoolOptions {
-  /** Makes the adapter of one back end. */
+  /** Creates the adapter of one back end. */
   readonly createBackEnd: (instance: BackEndInstance) => BackEnd;
   readonly onMessage: (targetName: string, message: AttemptMessage) => void;
-  /** Whether an attempt may still be sent to a target, asked before its first byte. */
+  /**
+   * Whether an attempt may still be sent to a target. Checked before its first byte is
+   * sent.
+   */
   readonly mayBegin: (targetName: string) => boolean;
 }
 
-/** The way to each back end that the directory lists. */
+/** The links to the back ends that the directory lists. */
 export class DirectTargetPool implements TargetLinks {
   readonly #options: DirectTargetPoolOptions;
   readonly #targets = new Map<string, DirectTarget>();
 
-  /** Begins without back ends. */
+  /** Starts without back ends. */
   constructor(options: DirectTargetPoolOptions) {
     this.#options = options;
   }
@@ -32,7 +35,10 @@
     return this.#targets.get(targetName);
   }
 
-  /** Takes in the list; what left it is closed when its attempts have ended. */
+  /**
+   * Applies a new list. A back end that is no longer listed is closed once its attempts
+   * have ended.
+   */
   setInstances(instances: readonly BackEndInstance[]): void {
     const listed = new Set(instances.map(({ id }) => id));
     for (const instance of instances) {
--- a/src/direct/directory_follower.ts
+++ b/src/direct/directory_follower.ts
@@ -15,29 +15,29 @@
 import { Reachability } from "./reachability.ts";
 
 /**
- * Milliseconds after an outage of the store for which a missing back end still
- * counts as there: entries that lapsed meanwhile are written anew within two
+ * Milliseconds after an outage of the store for which a missing back end is still treated
+ * as present. Registrations that expired during the outage are written again within two
  * seconds.
  */
-const SETTLE_MS = 2500;
+const KEEP_MISSING_MS = 2500;
 
 /**
- * Milliseconds after which a list that says the same is told once more: what left it is
- * closed once its requests have ended.
+ * Milliseconds after which an unchanged list is passed on again, so that back ends that
+ * are no longer listed are closed once their requests have ended.
  */
-const RETELL_MS = 1000;
+const REPEAT_INTERVAL_MS = 1000;
 
-/** Characters of a key that are logged. */
-const LOGGED_KEY_LENGTH = 80;
+/** Maximum number of characters of a key that are logged. */
+const MAX_LOGGED_KEY_LENGTH = 80;
 
-/** The back ends, as last heard. */
+/** The known back ends. */
 export interface Directory {
   readonly instances: readonly BackEndInstance[];
   /** Revision of the store; higher is newer. */
   readonly revision: number;
-  /** What the list says, in short: the same for the same back ends. */
+  /** Digest of the instances; equal for equal lists. */
   readonly content: string;
-  /** When it was asked for, in milliseconds of the monotonic clock. */
+  /** When the list was requested, in milliseconds of the monotonic clock. */
   readonly askedAt: number;
 }
 
@@ -46,20 +46,23 @@
   readonly store: WatchedStore;
   readonly format: StoreFormat;
   readonly log: EventLog;
-  /** Whether any settings name a pool. */
+  /** Whether the settings name a pool. */
   readonly isKnownPool: (pool: string) => boolean;
-  /** Whether the settings give a rate for cold back ends of a pool; no pool unless given. */
+  /**
+   * Whether the settings set a rate limit for cold back ends of a pool. By default, no
+   * pool has one.
+   */
   readonly isColdPool?: (pool: string) => boolean;
   readonly onDirectory: (directory: Directory) => void;
-  /** Called after each listing that was answered, with the list as it is kept. */
+  /** Called after each successful listing, with the list that is now known. */
   readonly onListed: (directory: Directory) => void;
-  /** Called after each listing that was not answered. */
-  readonly onUnanswered: () => void;
-  /** Called when the store has come back from an older copy. */
-  readonly onWentBack: () => void;
+  /** Called after each failed listing. */
+  readonly onListFailed: () => void;
+  /** Called when the store was restored from an older copy. */
+  readonly onStoreRestored: () => void;
 }
 
-/** Follows the back ends. */
+/** Follows the registered back ends. */
 export class DirectoryFollower {
   readonly #options: DirectoryFollowerOptions;
   readonly #reachability: Reachability;
@@ -67,9 +70,9 @@
   #directory: Directory | undefined;
   #lostAt: number | undefined;
   #regainedAt = Number.NEGATIVE_INFINITY;
-  #toldAt = Number.NEGATIVE_INFINITY;
+  #notifiedAt = Number.NEGATIVE_INFINITY;
 
-  /** Follows nothing yet. */
+  /** Makes no call yet. */
   constructor(options: DirectoryFollowerOptions) {
     this.#options = options;
     const { format, log, isKnownPool, isColdPool = () => false } = options;
@@ -82,44 +85,46 @@
         isColdPool,
         onUnreadable: ({ key, text }) =>
           log.write("COLDNESS_UNREADABLE", {
-            key: key.slice(0, LOGGED_KEY_LENGTH),
+            key: key.slice(0, MAX_LOGGED_KEY_LENGTH),
             text,
           }),
       }),
       onUnreadable: ({ key, revision }) =>
         log.write("BACK_END_UNREADABLE", {
-          key: key.slice(0, LOGGED_KEY_LENGTH),
+          key: key.slice(0, MAX_LOGGED_KEY_LENGTH),
           revision,
         }),
     });
   }
 
-  /** The back ends, as last heard. */
+  /** The known back ends; undefined before any list was received. */
   get directory(): Directory | undefined {
     return this.#directory;
   }
 
-  /** Whether the last listing was answered by the store. */
+  /** Whether the store answered the last listing. */
   get isReached(): boolean {
     return this.#reachability.isReached;
   }
 
-  /** Takes in what another entry heard, unless it is older. */
+  /**
+   * Applies a list that another entry received, unless it is older than the known one.
+   */
   offer(directory: Directory): void {
-    this.#take(directory, "entry");
+    this.#apply(directory, "entry");
   }
 
-  /** Lists the back ends once; a call that is not answered is told. */
+  /** Lists the back ends once. Reports a failed call to `onListFailed`. */
   async list(): Promise<void> {
-    const { onListed, onUnanswered } = this.#options;
+    const { onListed, onListFailed } = this.#options;
     const askedAt = performance.now();
     const listing = await this.#tryList();
-    if (listing === undefined) return onUnanswered();
+    if (listing === undefined) return onListFailed();
     const instances = this.#backEnds.read(listing.items, performance.now());
     const { revision } = listing;
-    const content = contentOf(instances);
+    const content = computeContentDigest(instances);
     const listed = { instances, revision, content, askedAt };
-    this.#take(listed, "store");
+    this.#apply(listed, "store");
     onListed(this.#directory ?? listed);
   }
 
@@ -127,52 +132,63 @@
     const { store, format } = this.#options;
     try {
       const listing = await store.list(format.backEndPrefix);
-      this.#noteAnswer(performance.now());
+      this.#recordAnswer(performance.now());
       return listing;
     } catch (error) {
       this.#lostAt ??= performance.now();
-      this.#reachability.noteFailure(performance.now(), error);
+      this.#reachability.recordFailure(performance.now(), error);
       return undefined;
     }
   }
 
-  #noteAnswer(now: number): void {
+  #recordAnswer(now: number): void {
     if (this.#lostAt !== undefined) this.#regainedAt = now;
     this.#lostAt = undefined;
-    this.#reachability.noteAnswer(now);
+    this.#reachability.recordAnswer(now);
   }
 
-  #take(directory: Directory, source: string): void {
+  #apply(directory: Directory, source: string): void {
     const before = this.#directory;
-    // Another entry's list may have been newer than an answer that took long.
+    // While this listing was in progress, a newer list may have arrived from another
+    // entry.
     if (directory.revision < (before?.revision ?? 0)) return;
-    if (before !== undefined) this.#noteEra(directory, before, source);
+    if (before !== undefined) this.#detectNewEra(directory, before, source);
     const kept = this.#keepMissing(directory, before);
     const askedAt = Math.max(kept.askedAt, before?.askedAt ?? kept.askedAt);
     this.#directory = { ...kept, askedAt };
     this.#logChange(before, this.#directory, source);
     const now = performance.now();
     const isSame = before?.content === kept.content;
-    if (isSame && now - this.#toldAt < RETELL_MS) return;
-    this.#toldAt = now;
+    if (isSame && now - this.#notifiedAt < REPEAT_INTERVAL_MS) return;
+    this.#notifiedAt = now;
     this.#options.onDirectory(this.#directory);
   }
 
-  /** A store that came back from an older copy lacks what is soon written again. */
-  #noteEra(directory: Directory, before: Directory, source: string): void {
+  /**
+   * Detects that the store was restored from an older copy. Registrations missing from
+   * the copy are usually written again soon, so missing back ends are kept for a while.
+   */
+  #detectNewEra(directory: Directory, before: Directory, source: string): void {
     const { era } = splitRevision(directory.revision);
     if (era <= splitRevision(before.revision).era) return;
     this.#regainedAt = performance.now();
     this.#options.log.write("STORE_WENT_BACK", { source, era });
-    this.#options.onWentBack();
+    this.#options.onStoreRestored();
   }
 
-  /** Entries that lapsed while the store was away may be back soon. */
+  /**
+   * Keeps missing back ends for a while after an outage or a restore of the store, since
+   * their registrations are usually written again.
+   */
   #keepMissing(directory: Directory, before: Directory | undefined): Directory {
-    const isSettling = performance.now() - this.#regainedAt < SETTLE_MS;
-    if (!isSettling || before === undefined) return directory;
-    const instances = withMissing(directory.instances, before.instances);
-    return { ...directory, instances, content: contentOf(instances) };
+    const isRecovering = performance.now() - this.#regainedAt < KEEP_MISSING_MS;
+    if (!isRecovering || before === undefined) return directory;
+    const instances = restoreMissing(directory.instances, before.instances);
+    return {
+      ...directory,
+      instances,
+      content: computeContentDigest(instances),
+    };
   }
 
   #logChange(
@@ -204,10 +220,10 @@
 }
 
 /**
- * Keeps what an outage may have dropped: back ends from the list, and the word of some that
- * they leave.
+ * Restores what an outage may have lost: back ends missing from the list, and the state
+ * of back ends that were already leaving.
  */
-function withMissing(
+function restoreMissing(
   listed: readonly BackEndInstance[],
   known: readonly BackEndInstance[],
 ): readonly BackEndInstance[] {
@@ -221,7 +237,7 @@
   return [...kept, ...known.filter(({ id }) => !ids.has(id))];
 }
 
-function contentOf(instances: readonly BackEndInstance[]): string {
+function computeContentDigest(instances: readonly BackEndInstance[]): string {
   const sorted = [...instances].sort((left, right) =>
     left.id < right.id ? -1 : 1
   );
--- a/src/direct/directory_follower_test.ts
+++ b/src/direct/directory_follower_test.ts
@@ -1,7 +1,7 @@
 /**
- * The pattern that these tests tell of: the store comes back from a copy some seconds old.
- * Back ends that registered since are missing until they write again, and one that said that
- * it leaves is listed as if it had not.
+ * Guards against losing back ends when the store is restored from a copy some seconds
+ * old. Back ends that registered after the copy was made are missing until they register
+ * again, and a back end that announced that it leaves is listed as serving.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 import { createInstance } from "../testing/fixtures.ts";
 import { ListedStore } from "../testing/listed_store.ts";
 
-/** Reads back ends that are written as JSON. */
+/** Reads back ends written as JSON. */
 class JsonFormat extends StoreFormat {
   override readonly settingsKey = "settings";
   override readonly backEndPrefix = "back-ends/";
@@ -58,12 +58,12 @@
   };
 }
 
-/** What is known after each list was read, one after the other. */
+/** Reads the given lists in order, and returns the resulting directory. */
 async function follow(
   listings: readonly ListingFixture[],
-): Promise<{ readonly directory?: Directory; readonly wentBack: number }> {
+): Promise<{ readonly directory?: Directory; readonly restoreCount: number }> {
   const store = new ListedStore(listings.map(createListing));
-  let wentBack = 0;
+  let restoreCount = 0;
   const follower = new DirectoryFollower({
     store,
     format: new JsonFormat(),
@@ -71,11 +71,11 @@
     isKnownPool: () => true,
     onDirectory: () => undefined,
     onListed: () => undefined,
-    onUnanswered: () => undefined,
-    onWentBack: () => wentBack++,
+    onListFailed: () => undefined,
+    onStoreRestored: () => restoreCount++,
   });
   for (const _ of listings) await follower.list();
-  return { directory: follower.directory, wentBack };
+  return { directory: follower.directory, restoreCount };
 }
 
 function idsOf(
@@ -86,17 +86,17 @@
   return instances.filter((one) => one.state === state).map(({ id }) => id);
 }
 
-describe("a list of a store that came back from an older copy", () => {
-  it("is newer than one of before, whatever its revision", async () => {
-    const { directory, wentBack } = await follow([
+describe("a list from a store that was restored from an older copy", () => {
+  it("is newer than a list from before the restore, whatever its revision", async () => {
+    const { directory, restoreCount } = await follow([
       { era: 1, revision: 900, serving: ["one"] },
       { era: 2, revision: 300, serving: ["one", "two"] },
     ]);
     assert.deepEqual(idsOf(directory, "serving"), ["one", "two"]);
-    assert.equal(wentBack, 1);
+    assert.equal(restoreCount, 1);
   });
 
-  it("takes no back end for gone that has yet to write again", async () => {
+  it("keeps a back end that has not registered again yet", async () => {
     const { directory } = await follow([
       { era: 1, revision: 900, serving: ["one", "two"] },
       { era: 2, revision: 300, serving: ["one"] },
@@ -104,7 +104,7 @@
     assert.deepEqual(idsOf(directory, "serving"), ["one", "two"]);
   });
 
-  it("does not take back that a back end leaves", async () => {
+  it("does not revert a leaving back end to serving", async () => {
     const { directory } = await follow([
       { era: 1, revision: 900, serving: ["one"], leaving: ["two"] },
       { era: 2, revision: 300, serving: ["one", "two"] },
@@ -113,12 +113,12 @@
     assert.deepEqual(idsOf(directory, "leaving"), ["two"]);
   });
 
-  it("goes before one of the era before that comes late", async () => {
-    const { directory, wentBack } = await follow([
+  it("supersedes a late list of the previous era", async () => {
+    const { directory, restoreCount } = await follow([
       { era: 2, revision: 300, serving: ["two"] },
       { era: 1, revision: 900, serving: ["one"] },
     ]);
     assert.deepEqual(idsOf(directory, "serving"), ["two"]);
-    assert.equal(wentBack, 0);
+    assert.equal(restoreCount, 0);
   });
 });
--- a/src/direct/drain_fleet_test.ts
+++ b/src/direct/drain_fleet_test.ts
@@ -1,7 +1,8 @@
 /**
- * The load that these tests tell of: a fleet of entries serves callers while an operator drains
- * a failure domain, whose machines are taken away some seconds after the store has acknowledged
- * the drain. What counts is the last request that reaches a target there.
+ * Guards against requests that reach drained targets too late. A fleet of entries serves
+ * callers while an operator drains a failure domain, whose VMs are taken away some
+ * seconds after the store has acknowledged the drain. The tests check when the last
+ * request arrives at a target there.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -11,15 +12,15 @@
   type DrainFleetOptions,
 } from "../testing/drain_fleet.ts";
 
-/** Milliseconds from the acknowledgement after which nothing may arrive. */
+/** Milliseconds after the acknowledgement by which the last request must have arrived. */
 const BOUND_MS = 5000;
-/** The same while the store is unstable. */
+/** The same bound while the store is unstable. */
 const UNSTABLE_BOUND_MS = BOUND_MS + 6000;
-/** Milliseconds that a run goes on after its bound. */
+/** Milliseconds that a run continues after its bound. */
 const BEYOND_BOUND_MS = 3500;
 const SIZES = [3, 41, 720] as const;
-/** Long enough to end after the run. */
-const TO_THE_END_MS = 60_000;
+/** Longer than any run, so that a fault lasts until the end. */
+const UNTIL_THE_END_MS = 60_000;
 
 interface FaultRow {
   readonly name: string;
@@ -28,34 +29,34 @@
 }
 
 const ROWS: readonly FaultRow[] = [
-  { name: "while nothing goes wrong", faults: [], boundMs: BOUND_MS },
+  { name: "without faults", faults: [], boundMs: BOUND_MS },
   {
-    name: "though the first reader's watch has gone silent",
+    name: "while the first reader's watch receives nothing",
     faults: [{
       kind: "silent_watch",
       entry: 0,
       at: DRAINED_AT_MS - 300,
-      forMs: TO_THE_END_MS,
+      forMs: UNTIL_THE_END_MS,
     }],
     boundMs: BOUND_MS,
   },
   {
-    name: "though the first reader stands still from then on",
+    name: "while the first reader is frozen from then on",
     faults: [{
       kind: "stands_still",
       entry: 0,
       at: DRAINED_AT_MS - 1,
-      forMs: TO_THE_END_MS,
+      forMs: UNTIL_THE_END_MS,
     }],
     boundMs: BOUND_MS,
   },
   {
-    name: "though two readers are cut off from the others",
+    name: "while two readers are cut off from the other entries",
     faults: [0, 1].map((entry) => ({
       kind: "cut_off",
       entry,
       at: DRAINED_AT_MS - 500,
-      forMs: TO_THE_END_MS,
+      forMs: UNTIL_THE_END_MS,
     })),
     boundMs: BOUND_MS,
   },
@@ -64,12 +65,12 @@
     faults: [{
       kind: "unstable_store",
       at: DRAINED_AT_MS - 3000,
-      forMs: TO_THE_END_MS,
+      forMs: UNTIL_THE_END_MS,
     }],
     boundMs: UNSTABLE_BOUND_MS,
   },
   {
-    name: "though the store loses the drain for a second and a half",
+    name: "while the store loses the drain for a second and a half",
     faults: [{
       kind: "store_goes_back",
       at: DRAINED_AT_MS + 4000,
@@ -92,7 +93,7 @@
         }).run(DRAINED_AT_MS + boundMs + BEYOND_BOUND_MS);
         const lastMs = Math.max(result.lastArrivalMs, result.lastInForceMs);
         context.diagnostic(
-          `last heard after ${
+          `drain in force everywhere after ${
             Math.round(result.lastInForceMs)
           } ms, last arrival after ` +
             `${Math.round(result.lastArrivalMs)} ms of ${result.requests}`,
--- a/src/direct/drain_follower.ts
+++ b/src/direct/drain_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the failure domains that operators drain, from what a watch of the platform's
- * store brings and from what other entries tell.
+ * Follows the failure domains that operators drain, based on a watch of the platform's
+ * store and on updates from other entries.
  *
  * @module
  */
@@ -16,22 +16,28 @@
 import type { DrainSet } from "../messages/peer_types.ts";
 import { areSame, DrainedDomains } from "./drained_domains.ts";
 
-/** Drains that are in force at once, at most: news to other entries holds all of them. */
-export const MOST_DRAINS = 256;
-/** Unreadable drains that are remembered, so that each is logged once. */
-const MOST_REMEMBERED = 256;
-/** Characters of a key, and of a list of failure domains, that are logged. */
-const LOGGED_LENGTH = 200;
+/**
+ * Maximum number of drains in force at once. An update to another entry contains all of
+ * them.
+ */
+export const MAX_DRAINS = 256;
+/**
+ * Maximum number of unreadable drains that are remembered so that each is logged only
+ * once.
+ */
+const MAX_REMEMBERED_KEYS = 256;
+/** Maximum number of logged characters of a key or of a list of failure domains. */
+const MAX_LOGGED_LENGTH = 200;
 
 /** Options of a {@link DrainFollower}. */
 export interface DrainFollowerOptions {
   readonly format: StoreFormat;
   readonly log: EventLog;
-  /** Called with all drained failure domains whenever those in force have changed. */
+  /** Called with all drained failure domains whenever the drains in force change. */
   readonly onDrains: (failureDomains: readonly string[]) => void;
 }
 
-/** Where a set was read, and how old it was then. */
+/** Where a set was read from, and its age at that time. */
 interface DrainSource {
   readonly source: "store" | "entry";
   /** Milliseconds. */
@@ -44,60 +50,67 @@
 export class DrainFollower {
   readonly #options: DrainFollowerOptions;
   readonly #drains = new DrainedDomains();
-  /** Drains that could not be read, by key and revision. */
+  /** Keys and revisions of drains that could not be read. */
   readonly #unreadable = new Set<string>();
   #inForce: readonly string[] = [];
   #timer: NodeJS.Timeout | undefined;
 
-  /** Has heard nothing yet. */
+  /** Starts without drains. */
   constructor(options: DrainFollowerOptions) {
     this.#options = options;
   }
 
-  /** The set that the store holds, as last heard; undefined before any was. */
+  /** The last known set in the store; undefined before one was received. */
   get stored(): DrainSet | undefined {
     return this.#drains.stored;
   }
 
-  /** Cancels the timer for the end of kept drains. */
+  /** Cancels the timer that ends kept drains. */
   stop(): void {
     clearTimeout(this.#timer);
   }
 
-  /** All keys that operators write were read. */
-  noteListed({ items, revision }: StoreListing): void {
+  /** Applies a listing of all keys that operators write. */
+  onListed({ items, revision }: StoreListing): void {
     const known = new Set(this.stored?.failureDomains);
     const drained = new Set<string>();
     for (const item of items) this.#readItem(item, { known, drained });
-    this.#take({ revision, failureDomains: [...drained] }, FROM_STORE);
+    this.#apply({ revision, failureDomains: [...drained] }, FROM_STORE);
   }
 
-  /** Some keys that operators write have changed. */
-  noteChanged({ written, removed, revision }: StoreChanged): void {
+  /** Applies changes of keys that operators write. */
+  onChanged({ written, removed, revision }: StoreChanged): void {
     const drained = new Set(this.stored?.failureDomains);
     const known = new Set(drained);
-    let isConcerned = false;
+    let hasDrainChange = false;
     for (const item of written) {
-      isConcerned = this.#readItem(item, { known, drained }) || isConcerned;
+      hasDrainChange = this.#readItem(item, { known, drained }) ||
+        hasDrainChange;
     }
     for (const key of removed) {
       const read = this.#options.format.readDrainKey(key);
       if (read.kind !== "drain") continue;
-      isConcerned = true;
+      hasDrainChange = true;
       drained.delete(read.failureDomain);
-      this.#drains.endKept(read.failureDomain);
+      this.#drains.dropKept(read.failureDomain);
     }
-    // A revision without a change of drains would be told to all other entries.
-    if (!isConcerned) return;
-    this.#take({ revision, failureDomains: [...drained] }, FROM_STORE);
+    // Without this check, a revision that changes no drain would be sent to all other
+    // entries.
+    if (!hasDrainChange) return;
+    this.#apply({ revision, failureDomains: [...drained] }, FROM_STORE);
   }
 
-  /** Takes in what another entry heard from the store; `ageMs` in milliseconds. */
+  /**
+   * Applies a set that another entry received from the store `ageMs` milliseconds ago.
+   */
   offer(set: DrainSet, ageMs: number): void {
-    this.#take(set, { source: "entry", ageMs });
+    this.#apply(set, { source: "entry", ageMs });
   }
 
-  /** Adds the drain that an item asks for; whether the item is about drains at all. */
+  /**
+   * Adds the drain that an item requests, and keeps a known drain whose value has become
+   * unreadable. Returns whether the item is a readable drain.
+   */
   #readItem(
     item: StoreItem,
     { known, drained }: {
@@ -109,34 +122,34 @@
     const read = format.readDrainKey(item.key);
     if (read.kind === "other") return false;
     const isReadable = read.kind === "drain" && format.isDrainValue(item.value);
-    if (!isReadable) this.#noteUnreadable(item.key, item.revision);
+    if (!isReadable) this.#logUnreadable(item.key, item.revision);
     if (read.kind === "unreadable") return false;
     const { failureDomain } = read;
     if (isReadable || known.has(failureDomain)) drained.add(failureDomain);
     return isReadable;
   }
 
-  #noteUnreadable(key: string, revision: number): void {
-    const entry = `${key} ${revision}`;
-    if (this.#unreadable.has(entry)) return;
-    if (this.#unreadable.size >= MOST_REMEMBERED) this.#unreadable.clear();
-    this.#unreadable.add(entry);
+  #logUnreadable(key: string, revision: number): void {
+    const keyAndRevision = `${key} ${revision}`;
+    if (this.#unreadable.has(keyAndRevision)) return;
+    if (this.#unreadable.size >= MAX_REMEMBERED_KEYS) this.#unreadable.clear();
+    this.#unreadable.add(keyAndRevision);
     this.#options.log.write("DRAIN_UNREADABLE", {
-      key: key.slice(0, LOGGED_LENGTH),
+      key: key.slice(0, MAX_LOGGED_LENGTH),
       revision,
     });
   }
 
-  #take(set: DrainSet, from: DrainSource): void {
+  #apply(set: DrainSet, from: DrainSource): void {
     const count = set.failureDomains.length;
-    if (count > MOST_DRAINS) {
-      return this.#noteUnreadable(`${count} drains at once`, set.revision);
+    if (count > MAX_DRAINS) {
+      return this.#logUnreadable(`${count} drains at once`, set.revision);
     }
-    const taken = this.#drains.take(set, performance.now());
-    if (taken === undefined) return;
-    if (taken.kept.length > 0) {
+    const applied = this.#drains.take(set, performance.now());
+    if (applied === undefined) return;
+    if (applied.kept.length > 0) {
       this.#options.log.write("DRAINS_KEPT", {
-        kept: toText(taken.kept),
+        kept: toText(applied.kept),
         era: splitRevision(set.revision).era,
         source: from.source,
       });
@@ -144,10 +157,12 @@
     this.#update(from);
   }
 
-  /** Tells what is in force if it has changed, and again when a kept drain ends. */
+  /**
+   * Reports the drains in force if they changed, now and again when a kept drain expires.
+   */
   #update(from: DrainSource): void {
     const now = performance.now();
-    this.#planNextEnd(now);
+    this.#scheduleNextExpiry(now);
     const before = this.#inForce;
     const inForce = this.#drains.listInForce(now);
     if (areSame(before, inForce)) return;
@@ -163,16 +178,16 @@
     this.#options.onDrains(inForce);
   }
 
-  #planNextEnd(now: number): void {
+  #scheduleNextExpiry(now: number): void {
     clearTimeout(this.#timer);
     const end = this.#drains.nextEnd;
     if (end === undefined || end <= now) return;
-    // A millisecond more, as timers may fire a little early.
+    // One more millisecond, because timers may fire slightly early.
     this.#timer = setTimeout(() => this.#update(FROM_STORE), end - now + 1);
     this.#timer.unref();
   }
 }
 
 function toText(names: readonly string[]): string {
-  return names.join(" ").slice(0, LOGGED_LENGTH);
+  return names.join(" ").slice(0, MAX_LOGGED_LENGTH);
 }
--- a/src/direct/drain_follower_test.ts
+++ b/src/direct/drain_follower_test.ts
@@ -14,7 +14,7 @@
   type StoreWatchOutcome,
 } from "../external/watched_store.ts";
 import { UnregisteredStore } from "../testing/unregistered_store.ts";
-import { DrainFollower, MOST_DRAINS } from "./drain_follower.ts";
+import { DrainFollower, MAX_DRAINS } from "./drain_follower.ts";
 import { SettingsFollower } from "./settings_follower.ts";
 
 const SETTINGS = "op/settings=1";
@@ -55,19 +55,22 @@
   }
 }
 
-/** Gives listings, or fails where there is none, and what its watches bring. */
+/**
+ * Returns the given listings in order, failing where one is undefined, and the given
+ * watch outcomes.
+ */
 class ScriptedStore extends UnregisteredStore {
   readonly prefixes = new Set<string>();
   readonly #listings: (StoreListing | undefined)[];
-  readonly #outcomes: StoreWatchOutcome[];
+  readonly #watchOutcomes: StoreWatchOutcome[];
 
   constructor(
     listings: readonly (StoreListing | undefined)[],
-    outcomes: readonly StoreWatchOutcome[],
+    watchOutcomes: readonly StoreWatchOutcome[],
   ) {
     super();
     this.#listings = [...listings];
-    this.#outcomes = [...outcomes];
+    this.#watchOutcomes = [...watchOutcomes];
   }
 
   override list(prefix: string): Promise<StoreListing> {
@@ -79,14 +82,14 @@
   }
 
   override watch(): Promise<StoreWatchOutcome> {
-    const outcome = this.#outcomes.shift();
+    const outcome = this.#watchOutcomes.shift();
     return outcome === undefined
-      ? new Promise(() => {/* Nothing changes any more. */})
+      ? new Promise(() => {/* No more changes. */})
       : Promise.resolve(outcome);
   }
 }
 
-/** Items as `KEY=VALUE`, written at a revision. */
+/** Creates items from `KEY=VALUE` texts, written at a revision. */
 function createItems(
   texts: readonly string[],
   revision: number,
@@ -113,10 +116,10 @@
 interface FollowRow {
   readonly name: string;
   readonly listings: readonly (StoreListing | undefined)[];
-  readonly outcomes: readonly StoreWatchOutcome[];
-  /** What was told, in order. */
-  readonly told: string;
-  readonly unreadable?: number;
+  readonly watchOutcomes: readonly StoreWatchOutcome[];
+  /** The notifications received, in order. */
+  readonly notifications: string;
+  readonly unreadableCount?: number;
 }
 
 const DRAINED = createListing(5, ["op/drain/a=yes", SETTINGS]);
@@ -125,102 +128,106 @@
   {
     name: "are in force before the settings of the same listing",
     listings: [createListing(5, [SETTINGS, "op/drain/a=yes"])],
-    outcomes: [],
-    told: "[a] settings-1",
+    watchOutcomes: [],
+    notifications: "[a] settings-1",
   },
   {
     name: "follow what operators write and remove",
     listings: [createListing(5, [SETTINGS])],
-    outcomes: [
+    watchOutcomes: [
       createChange(6, ["op/drain/a=yes"]),
       createChange(7, ["op/drain/b=yes"]),
       createChange(8, [], ["op/drain/a"]),
     ],
-    told: "settings-1 [a] [a,b] [b]",
+    notifications: "settings-1 [a] [a,b] [b]",
   },
   {
-    name: "stay when a value cannot be read, and none begins",
+    name: "remain when a value cannot be read, and none starts",
     listings: [DRAINED],
-    outcomes: [
+    watchOutcomes: [
       createChange(6, ["op/drain/a=7", "op/drain/b=7", "op/drain/=yes"]),
     ],
-    told: "[a] settings-1",
-    unreadable: 3,
+    notifications: "[a] settings-1",
+    unreadableCount: 3,
   },
   {
-    name: "stay when a listing cannot be read in part, which is logged once",
+    name: "remain when part of a listing cannot be read, which is logged once",
     listings: [DRAINED, createListing(9, ["op/drain/a="]), undefined],
-    outcomes: [createChange(6, ["op/drain/c=7"]), HISTORY_LOST, HISTORY_LOST],
-    told: "[a] settings-1",
-    unreadable: 2,
+    watchOutcomes: [
+      createChange(6, ["op/drain/c=7"]),
+      HISTORY_LOST,
+      HISTORY_LOST,
+    ],
+    notifications: "[a] settings-1",
+    unreadableCount: 2,
   },
   {
-    name: "stay when somebody writes absurdly many",
+    name: "remain when more than the maximum are written",
     listings: [DRAINED],
-    outcomes: [
+    watchOutcomes: [
       createChange(
         6,
-        Array.from({ length: MOST_DRAINS }, (_, n) => `op/drain/z${n}=yes`),
+        Array.from({ length: MAX_DRAINS }, (_, n) => `op/drain/z${n}=yes`),
       ),
       createChange(7, [], ["op/drain/a"]),
     ],
-    told: "[a] settings-1 []",
-    unreadable: 1,
+    notifications: "[a] settings-1 []",
+    unreadableCount: 1,
   },
   {
-    name: "stay when a listing fails",
+    name: "remain when a listing fails",
     listings: [DRAINED, undefined],
-    outcomes: [HISTORY_LOST],
-    told: "[a] settings-1",
+    watchOutcomes: [HISTORY_LOST],
+    notifications: "[a] settings-1",
   },
 ];
 
-async function follow({ listings, outcomes }: FollowRow) {
-  const store = new ScriptedStore(listings, outcomes);
+async function follow({ listings, watchOutcomes }: FollowRow) {
+  const store = new ScriptedStore(listings, watchOutcomes);
   const format = new DrainFormat();
   const log = new EventLog({ role: "entry", processName: "test" });
-  const told: string[] = [];
+  const notifications: string[] = [];
   const drains = new DrainFollower({
     format,
     log,
-    onDrains: (names) => told.push(`[${names.join(",")}]`),
+    onDrains: (names) => notifications.push(`[${names.join(",")}]`),
   });
   const settings = new SettingsFollower({
     store,
     format,
     log,
     drains,
-    onSettings: ({ version }) => told.push(`settings-${version}`),
+    onSettings: ({ version }) => notifications.push(`settings-${version}`),
   });
   settings.start();
   for (let turns = 0; turns < 20; turns++) await setImmediate();
   settings.stop();
   drains.stop();
-  return { told: told.join(" "), log, drains, store };
+  return { notifications: notifications.join(" "), log, drains, store };
 }
 
 /**
- * The failures that these tests guard against: an entry that serves with settings and without
- * the drains beside them, and a key that somebody spoilt that ends a drain or begins one.
+ * Guards against an entry that serves with new settings but without the drains stored
+ * beside them, and against a corrupted key that ends a drain or starts one.
  */
 describe("drains in the store", () => {
   for (const row of ROWS) {
     it(row.name, async () => {
-      const { told, log, store } = await follow(row);
-      assert.equal(told, row.told);
+      const { notifications, log, store } = await follow(row);
+      assert.equal(notifications, row.notifications);
       const unreadable = log.counts.get("DRAIN_UNREADABLE") ?? 0;
-      assert.equal(unreadable, row.unreadable ?? 0);
+      assert.equal(unreadable, row.unreadableCount ?? 0);
       assert.deepEqual([...store.prefixes], ["op/"]);
     });
   }
 
-  it("are taken from another entry only when they are newer", async () => {
+  it("are accepted from another entry only when they are newer", async () => {
     const listings = [DRAINED];
     const { drains } = await follow({
       name: "",
       listings,
-      outcomes: [],
-      told: "",
+      watchOutcomes: [],
+      notifications: "",
     });
     drains.offer({ revision: 4, failureDomains: [] }, 0);
     assert.deepEqual(drains.stored?.failureDomains, ["a"]);
--- a/src/direct/drained_domains.ts
+++ b/src/direct/drained_domains.ts
@@ -1,37 +1,41 @@
 /**
- * The failure domains that operators drain, as far as the platform's store told. Decides
- * only; times and what the store said come in.
+ * Tracks the failure domains that operators drain, as read from the platform's store.
+ * Makes decisions only; the caller passes in times and the data of the store.
  *
- * The set that the store holds and the one in force differ for a while after the store came
- * back from an older copy: operators soon write again what it lost. Other entries are told
- * the set that the store holds, and each decides by itself what stays in force.
+ * The stored set and the drains in force may differ for a while after the store was
+ * restored from an older copy, because operators usually write the lost drains again.
+ * Other entries receive the stored set, and each decides on its own which drains stay in
+ * force.
  *
  * @module
  */
 import type { DrainSet } from "../messages/peer_types.ts";
 import { splitRevision } from "../external/store_revision.ts";
 
-/** What a newer set changed. */
-export interface DrainsTaken {
+/** The result of applying a newer set. */
+export interface AppliedDrains {
   /** Drains that the store lost and that stay in force for now. */
   readonly kept: readonly string[];
 }
 
-/** Milliseconds for which a drain stays in force that a store back from a copy lacks. */
-export const KEPT_MS = 2500;
+/**
+ * Milliseconds for which a drain stays in force when it is missing after a restore of the
+ * store.
+ */
+export const KEEP_LOST_MS = 2500;
 
 /** The failure domains that operators drain. */
 export class DrainedDomains {
   #stored: DrainSet | undefined;
-  /** Until when drains that the store lost are in force, in milliseconds. */
+  /** Until when drains that the store lost stay in force, in milliseconds. */
   readonly #keptUntil = new Map<string, number>();
 
-  /** The set that the store holds, as last heard; undefined before any was. */
+  /** The last known set in the store; undefined before one was received. */
   get stored(): DrainSet | undefined {
     return this.#stored;
   }
 
-  /** The failure domains that are drained now, in alphabetical order. */
+  /** The failure domains drained at time `now`, in alphabetical order. */
   listInForce(now: number): readonly string[] {
     const kept = [...this.#keptUntil]
       .filter(([, until]) => until > now)
@@ -39,21 +43,21 @@
     return sortNames([...this.#stored?.failureDomains ?? [], ...kept]);
   }
 
-  /** When the next drain ends that the store lost, in milliseconds, if any is kept. */
+  /** When the next kept drain expires, in milliseconds; undefined if none is kept. */
   get nextEnd(): number | undefined {
     const ends = [...this.#keptUntil.values()];
     return ends.length === 0 ? undefined : Math.min(...ends);
   }
 
   /**
-   * Takes in the set of a revision; undefined when a newer one is known.
+   * Applies the set of a revision. Returns undefined when a newer one is already known.
    *
    * @example
    * ```ts
    * drains.take({ revision: 7, failureDomains: ["a"] }, performance.now());
    * ```
    */
-  take(set: DrainSet, now: number): DrainsTaken | undefined {
+  take(set: DrainSet, now: number): AppliedDrains | undefined {
     const before = this.#stored;
     if (before !== undefined && set.revision < before.revision) {
       return undefined;
@@ -64,24 +68,24 @@
       const isOver = until <= now || failureDomains.includes(name);
       if (isOver) this.#keptUntil.delete(name);
     }
-    const hasGoneBack = before !== undefined &&
+    const isRestored = before !== undefined &&
       eraOf(set.revision) > eraOf(before.revision);
-    const kept = hasGoneBack
+    const kept = isRestored
       ? inForce.filter((name) => !failureDomains.includes(name))
       : [];
-    for (const name of kept) this.#keptUntil.set(name, now + KEPT_MS);
+    for (const name of kept) this.#keptUntil.set(name, now + KEEP_LOST_MS);
     this.#stored = { revision: set.revision, failureDomains };
     return { kept };
   }
 
-  /** Operators removed the drain since the store came back from a copy. */
-  endKept(failureDomain: string): void {
+  /** Drops a kept drain because operators removed it after the restore of the store. */
+  dropKept(failureDomain: string): void {
     this.#keptUntil.delete(failureDomain);
   }
 }
 
 /**
- * Whether two sets in alphabetical order hold the same failure domains.
+ * Whether two alphabetically sorted lists contain the same failure domains.
  *
  * @example
  * ```ts
--- a/src/direct/entry_audience.ts
+++ b/src/direct/entry_audience.ts
@@ -1,5 +1,5 @@
 /**
- * The entries that hear from a rank's process how its group stands.
+ * The entries that receive a group's load and state from the sidecar of a rank.
  *
  * @module
  */
@@ -12,59 +12,60 @@
 import { LinkPacer } from "../policy/link_pacer.ts";
 
 /**
- * Part of the machine's link for telling loads: a hundred entries each 200 ms take half
- * of 4 Mbit/s, which orders and maps then wait for.
+ * Share of the VM's link for sending loads. Without a limit, a hundred entries that each
+ * receive a load every 200 ms use half of a 4 Mbit/s link, which delays orders and maps.
  */
-const LINK_PART = 0.15;
-/** Bytes of a load but for its rows, with the headers around it. */
+const LINK_SHARE = 0.15;
+/** Bytes of a load message without its rows, including headers. */
 const LOAD_BYTES = 220;
-/** Bytes of a rank's row. */
+/** Bytes of one rank's row. */
 const ROW_BYTES = 5;
 
-/** A connection to an entry, as far as it is needed here. */
+/** The part of a connection to an entry that is used here. */
 export interface EntryLink {
   send(message: Message): void;
 }
 
-/** The entries that hear from a rank's process. */
-export class EntryAudience {
+/** The entries that receive updates from the sidecar of a rank. */
+export class EntrySubscribers {
   readonly #pacer: LinkPacer;
   readonly #writers = new Map<EntryLink, LoadWriter>();
 
-  /** Takes the bytes that the machine's link carries in a second. */
+  /** Takes the capacity of the VM's link, in bytes per second. */
   constructor(bytesPerSecond: number) {
-    this.#pacer = new LinkPacer({ bytesPerSecond, part: LINK_PART });
+    this.#pacer = new LinkPacer({ bytesPerSecond, part: LINK_SHARE });
   }
 
-  /** Entries that hear from here. */
+  /** Number of subscribed entries. */
   get size(): number {
     return this.#writers.size;
   }
 
-  /** An entry connected. */
+  /** Adds an entry that connected. */
   add(link: EntryLink): void {
     this.#writers.set(link, new LoadWriter());
   }
 
-  /** Its connection is lost. */
+  /** Removes an entry whose connection was lost. */
   remove(link: EntryLink): void {
     this.#writers.delete(link);
   }
 
-  /** Tells all whether the group runs. */
-  tellSight(sight: GroupSightMessage): void {
-    for (const link of this.#writers.keys()) link.send(sight);
+  /** Sends all entries whether the group runs. */
+  sendObservation(observation: GroupSightMessage): void {
+    for (const link of this.#writers.keys()) link.send(observation);
   }
 
   /**
-   * Tells all how the ranks stand, unless the link is still to carry the last word.
+   * Sends all entries the load of the ranks. Skipped while the link is still busy with
+   * the previous load.
    *
    * @example
    * ```ts
-   * audience.tellLoad(load, performance.now());
+   * subscribers.sendLoad(load, performance.now());
    * ```
    */
-  tellLoad(load: GroupLoad, now: number): void {
+  sendLoad(load: GroupLoad, now: number): void {
     const bytes = this.size * (LOAD_BYTES + ROW_BYTES * load.loads.length);
     if (!this.#pacer.tryTake(bytes, now)) return;
     for (const [link, writer] of this.#writers) link.send(writer.write(load));
--- a/src/direct/group_load_follower.ts
+++ b/src/direct/group_load_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Hears from the processes of formed groups: from each decider how the ranks stand, and
- * from some ranks of the own failure domain whether the group runs.
+ * Receives updates from the sidecars of formed groups: the load of the ranks from each
+ * decider, and whether the group runs from some ranks in the entry's own failure domain.
  *
  * @module
  */
@@ -17,56 +17,60 @@
 import type { ListedProcess } from "../messages/listed_process.ts";
 
 /**
- * Ranks of each group in the own failure domain that an entry hears. The loss of one
- * of two machines near it leaves it a word that no cut between failure domains stops.
+ * Maximum number of ranks of each group that an entry follows in its own failure domain.
+ * With two, the entry still receives updates after one of their VMs is lost, even if the
+ * link to other failure domains is cut.
  */
-const NEAR_RANKS_HEARD = 2;
+const MAX_NEAR_RANKS_FOLLOWED = 2;
 
 /** Options of a {@link GroupLoadFollower}. */
 export interface GroupLoadFollowerOptions {
   readonly identity: LinkIdentity;
   readonly log: EventLog;
   readonly onLoad: (load: GroupLoad) => void;
-  readonly onSight: (sight: GroupSightMessage) => void;
+  readonly onObservation: (observation: GroupSightMessage) => void;
 }
 
-/** Why a process is dialled. */
-type HeardAs = "decider" | "near rank";
+/** The reason for a connection to a process. */
+type ConnectionPurpose = "decider" | "near rank";
 
-/** Hears from the processes of formed groups. */
+/** Receives updates from the sidecars of formed groups. */
 export class GroupLoadFollower {
   readonly #options: GroupLoadFollowerOptions;
   readonly #clients = new Map<string, LinkClient>();
-  /** Addresses whose connection works. */
+  /** Addresses with an open connection. */
   readonly #connected = new Set<string>();
 
-  /** Dials nobody yet. */
+  /** Connects to no process yet. */
   constructor(options: GroupLoadFollowerOptions) {
     this.#options = options;
   }
 
-  /** Dials the process beside rank 0 of each group, and some ranks near this entry. */
+  /**
+   * Connects to the sidecar of rank 0 of each group, and to some ranks near this entry.
+   */
   setProcesses(processes: readonly ListedProcess[]): void {
-    const wanted = this.#chooseHeard(processes);
-    for (const [address, heardAs] of wanted) {
-      if (!this.#clients.has(address)) this.#dial(address, heardAs);
+    const wanted = this.#chooseProcesses(processes);
+    for (const [address, purpose] of wanted) {
+      if (!this.#clients.has(address)) this.#dial(address, purpose);
     }
     for (const [address, client] of this.#clients) {
-      // An entry may lapse while the store is away and its process lives on.
+      // While the store is unavailable, a registration may expire although its process is
+      // running.
       if (wanted.has(address) || this.#connected.has(address)) continue;
       client.stop();
       this.#clients.delete(address);
     }
   }
 
-  /** Hears no more. */
+  /** Closes all connections. */
   stop(): void {
     for (const client of this.#clients.values()) client.stop();
   }
 
-  #chooseHeard(
+  #chooseProcesses(
     processes: readonly ListedProcess[],
-  ): ReadonlyMap<string, HeardAs> {
+  ): ReadonlyMap<string, ConnectionPurpose> {
     const { name, failureDomain } = this.#options.identity;
     const near = processes.flatMap((one) =>
       one.rank === undefined || one.rank === 0 || one.group === undefined ||
@@ -77,19 +81,19 @@
     const chosen = chooseSubset(near, {
       entryName: name,
       failureDomain,
-      limit: NEAR_RANKS_HEARD,
+      limit: MAX_NEAR_RANKS_FOLLOWED,
     });
-    const heard = new Map<string, HeardAs>();
-    for (const { address } of chosen) heard.set(address, "near rank");
+    const purposes = new Map<string, ConnectionPurpose>();
+    for (const { address } of chosen) purposes.set(address, "near rank");
     for (const { address, rank } of processes) {
-      if (rank === 0) heard.set(address, "decider");
+      if (rank === 0) purposes.set(address, "decider");
     }
-    return heard;
+    return purposes;
   }
 
-  #dial(address: string, heardAs: HeardAs): void {
-    const { identity, log, onLoad, onSight } = this.#options;
-    const events = EVENTS_BY_ROLE[heardAs];
+  #dial(address: string, purpose: ConnectionPurpose): void {
+    const { identity, log, onLoad, onObservation } = this.#options;
+    const events = EVENTS_BY_PURPOSE[purpose];
     let reader = new LoadReader();
     const client = new LinkClient({
       address,
@@ -106,7 +110,7 @@
             ? reader.tryRead(message)
             : undefined;
           if (load !== undefined) onLoad(load);
-          if (message.kind === "group_sight") onSight(message);
+          if (message.kind === "group_sight") onObservation(message);
         },
         onDisconnected: (fault) => {
           this.#connected.delete(address);
@@ -124,7 +128,7 @@
   readonly lost: EventName;
 }
 
-const EVENTS_BY_ROLE: Readonly<Record<HeardAs, LinkEvents>> = {
+const EVENTS_BY_PURPOSE: Readonly<Record<ConnectionPurpose, LinkEvents>> = {
   "decider": { connected: "DECIDER_CONNECTED", lost: "DECIDER_LOST" },
   "near rank": { connected: "RANK_CONNECTED", lost: "RANK_LOST" },
 };
--- a/src/direct/listed_back_ends.ts
+++ b/src/direct/listed_back_ends.ts
@@ -1,6 +1,7 @@
 /**
- * Reads the entries of back ends from a listing of the platform's store. Others may write
- * there, too: an entry that cannot be read names no back end, and the others hold.
+ * Reads the registrations of back ends from a listing of the platform's store. Other
+ * writers may use the same prefix: a registration that cannot be read is skipped without
+ * affecting the others.
  *
  * @module
  */
@@ -10,34 +11,37 @@
 import type { ListedColdness } from "./listed_coldness.ts";
 import { markSuperseded } from "./superseded_instances.ts";
 
-/** Unreadable entries that are remembered, so that each is told once. */
-const MOST_REMEMBERED = 256;
+/**
+ * Maximum number of unreadable registrations that are remembered so that each is reported
+ * only once.
+ */
+const MAX_REMEMBERED_KEYS = 256;
 
 /** Options of {@link ListedBackEnds}. */
 export interface ListedBackEndsOptions {
   readonly format: StoreFormat;
-  /** Called once for each entry that cannot be read. */
+  /** Called once for each registration that cannot be read. */
   readonly onUnreadable: (item: StoreItem) => void;
   readonly isKnownPool: (pool: string) => boolean;
-  /** Reads whether back ends warm up; none does unless given. */
+  /** Reads whether back ends are cold. Without it, no back end is cold. */
   readonly coldness?: ListedColdness;
 }
 
-/** Reads the entries of back ends. */
+/** Reads the registrations of back ends. */
 export class ListedBackEnds {
   readonly #options: ListedBackEndsOptions;
-  /** Entries that could not be read, by key and revision. */
+  /** Keys and revisions of registrations that could not be read. */
   readonly #unreadable = new Set<string>();
-  /** The last start of each back end that said when it started. */
+  /** The newest incarnation of each back end, by name. */
   #newest: ReadonlyMap<string, BackEndInstance> = new Map();
 
-  /** Has read nothing yet. */
+  /** Has read no registration yet. */
   constructor(options: ListedBackEndsOptions) {
     this.#options = options;
   }
 
   /**
-   * The back ends that the items name, listed at a time in milliseconds.
+   * Reads the back ends from items that were listed at time `now`, in milliseconds.
    *
    * @example
    * ```ts
@@ -45,7 +49,7 @@
    * ```
    */
   read(items: readonly StoreItem[], now: number): readonly BackEndInstance[] {
-    this.#options.coldness?.keep(items);
+    this.#options.coldness?.retainListed(items);
     const listed = items.flatMap((item) => {
       const instance = this.#tryRead(item, now);
       const { createdRevision } = item;
@@ -61,25 +65,28 @@
     const { format, coldness } = this.#options;
     const instance = format.tryReadBackEnd(item.key, item.value);
     if (instance === undefined) {
-      this.#noteUnreadable(item);
+      this.#reportUnreadable(item);
       return undefined;
     }
-    return this.#newestOf(coldness?.mark(instance, item, now) ?? instance);
+    return this.#getNewest(coldness?.mark(instance, item, now) ?? instance);
   }
 
-  /** A last word of the start before may arrive late. */
-  #newestOf(instance: BackEndInstance): BackEndInstance {
+  /**
+   * Returns the newest known incarnation of a back end. A late write of the previous
+   * incarnation is ignored.
+   */
+  #getNewest(instance: BackEndInstance): BackEndInstance {
     const known = this.#newest.get(instance.name);
     const isOutdated = known?.startedAt !== undefined &&
       known.startedAt > (instance.startedAt ?? Number.NEGATIVE_INFINITY);
     return isOutdated ? known : instance;
   }
 
-  #noteUnreadable(item: StoreItem): void {
-    const entry = `${item.key} ${item.revision}`;
-    if (this.#unreadable.has(entry)) return;
-    if (this.#unreadable.size >= MOST_REMEMBERED) this.#unreadable.clear();
-    this.#unreadable.add(entry);
+  #reportUnreadable(item: StoreItem): void {
+    const keyAndRevision = `${item.key} ${item.revision}`;
+    if (this.#unreadable.has(keyAndRevision)) return;
+    if (this.#unreadable.size >= MAX_REMEMBERED_KEYS) this.#unreadable.clear();
+    this.#unreadable.add(keyAndRevision);
     this.#options.onUnreadable(item);
   }
 }
--- a/src/direct/listed_back_ends_test.ts
+++ b/src/direct/listed_back_ends_test.ts
@@ -9,7 +9,7 @@
 import type { StoreItem } from "../external/watched_store.ts";
 import { ListedBackEnds } from "./listed_back_ends.ts";
 
-/** Values are a start time, or what cannot be read. */
+/** Reads values as start times; any other value is unreadable. */
 class NumberFormat extends StoreFormat {
   override readonly settingsKey = "settings";
   override readonly backEndPrefix = "";
@@ -54,25 +54,25 @@
   }
 }
 
-describe("entries of back ends", () => {
-  it("tell one start from the next, under the same name", () => {
+describe("registrations of back ends", () => {
+  it("distinguish incarnations of the same name", () => {
     const fixture = new BackEndsFixture();
     assert.deepEqual(fixture.read(createItem("i-1", "100")), ["i-1@100"]);
     assert.deepEqual(fixture.read(createItem("i-1", "250")), ["i-1@250"]);
   });
 
-  it("are not taken back by a late word of the start before", () => {
+  it("are not replaced by a late write of the previous incarnation", () => {
     const fixture = new BackEndsFixture();
     fixture.read(createItem("i-1", "250"));
     assert.deepEqual(fixture.read(createItem("i-1", "100")), ["i-1@250"]);
   });
 
-  it("hold beside one that cannot be read, which is told once", () => {
+  it("are read despite one that cannot be read, which is reported once", () => {
     const fixture = new BackEndsFixture();
     for (let round = 0; round < 3; round++) {
       const read = fixture.read(
         createItem("i-1", "100"),
-        createItem("i-2", "what is this"),
+        createItem("i-2", "not a number"),
       );
       assert.deepEqual(read, ["i-1@100"]);
     }
--- a/src/direct/listed_coldness.ts
+++ b/src/direct/listed_coldness.ts
@@ -1,7 +1,7 @@
 /**
- * Whether list entries say that their back ends warm up. An entry says for how long, and may
- * be listed again and again without being written anew: the time runs from when that
- * revision of the entry was first read.
+ * Tracks which registrations say that their back ends are cold. A registration contains
+ * the remaining time, but it may be listed repeatedly without being rewritten, so the
+ * time is counted from when that revision of the registration was first read.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { StoreFormat } from "../external/operator_settings.ts";
 import type { StoreItem } from "../external/watched_store.ts";
 
-/** What an entry says of coldness that cannot be read. */
+/** A statement of coldness in a registration that cannot be read. */
 export interface UnreadableColdness {
   readonly key: string;
   readonly text: string;
@@ -18,32 +18,33 @@
 /** Options of a {@link ListedColdness}. */
 export interface ListedColdnessOptions {
   readonly format: StoreFormat;
-  /** Whether the settings give a rate for cold back ends of a pool. */
+  /** Whether the settings set a rate limit for cold back ends of a pool. */
   readonly isColdPool: (pool: string) => boolean;
-  /** Called once for each key, until its entry can be read again. */
+  /** Called once for each key, until its registration can be read again. */
   readonly onUnreadable: (unreadable: UnreadableColdness) => void;
 }
 
-interface KnownEntry {
+interface KnownRegistration {
   readonly revision: number;
-  /** Milliseconds; undefined: it does not say, or cannot be read. */
+  /** Milliseconds; undefined when the registration contains no readable coldness. */
   readonly coldUntil: number | undefined;
   readonly isUnreadable: boolean;
 }
 
-/** Whether list entries say that their back ends warm up. */
+/** Tracks which registrations say that their back ends are cold. */
 export class ListedColdness {
   readonly #options: ListedColdnessOptions;
-  readonly #known = new Map<string, KnownEntry>();
+  readonly #known = new Map<string, KnownRegistration>();
 
-  /** Has read nothing yet. */
+  /** Has read no registration yet. */
   constructor(options: ListedColdnessOptions) {
     this.#options = options;
   }
 
   /**
-   * The back end of an entry, with what the entry says of coldness. Nothing is read where
-   * the pool's back ends are never cold, so that lists there differ in nothing.
+   * Returns the back end of a registration, marked as cold or not if the registration
+   * says so. A back end whose pool has no cold limit is returned unchanged, so that its
+   * list does not differ.
    *
    * @example
    * ```ts
@@ -57,16 +58,16 @@
   ): BackEndInstance {
     if (!this.#options.isColdPool(instance.pool)) return instance;
     const known = this.#known.get(item.key);
-    const entry = known?.revision === item.revision
+    const registration = known?.revision === item.revision
       ? known
       : this.#read(item, known, now);
-    this.#known.set(item.key, entry);
-    if (entry.coldUntil === undefined) return instance;
-    return { ...instance, isCold: entry.coldUntil > now };
+    this.#known.set(item.key, registration);
+    if (registration.coldUntil === undefined) return instance;
+    return { ...instance, isCold: registration.coldUntil > now };
   }
 
-  /** Forgets entries that are listed no more. */
-  keep(items: readonly StoreItem[]): void {
+  /** Forgets registrations that are no longer listed. */
+  retainListed(items: readonly StoreItem[]): void {
     if (this.#known.size === 0) return;
     const keys = new Set(items.map(({ key }) => key));
     for (const key of [...this.#known.keys()]) {
@@ -76,14 +77,20 @@
 
   #read(
     { key, value, revision }: StoreItem,
-    known: KnownEntry | undefined,
+    known: KnownRegistration | undefined,
     now: number,
-  ): KnownEntry {
-    const word = this.#options.format.readColdness(value);
-    if (word.kind === "unreadable" && known?.isUnreadable !== true) {
-      this.#options.onUnreadable({ key, text: word.text });
+  ): KnownRegistration {
+    const coldness = this.#options.format.readColdness(value);
+    if (coldness.kind === "unreadable" && known?.isUnreadable !== true) {
+      this.#options.onUnreadable({ key, text: coldness.text });
     }
-    const coldUntil = word.kind === "told" ? now + word.leftMs : undefined;
-    return { revision, coldUntil, isUnreadable: word.kind === "unreadable" };
+    const coldUntil = coldness.kind === "told"
+      ? now + coldness.leftMs
+      : undefined;
+    return {
+      revision,
+      coldUntil,
+      isUnreadable: coldness.kind === "unreadable",
+    };
   }
 }
--- a/src/direct/peers/entry_memories.ts
+++ b/src/direct/peers/entry_memories.ts
@@ -1,6 +1,7 @@
 /**
- * What entries remember that is in no store, and tell each other: requests under which
- * targets ended, the limits that targets name, and targets that have said that they leave.
+ * State that entries replicate to each other because no store holds it: requests that
+ * crashed targets, the limits that targets name, and targets that have said that they
+ * leave.
  *
  * @module
  */
@@ -12,9 +13,9 @@
 } from "../../policy/leaving_targets.ts";
 import type { TargetLimit, TargetLimits } from "../../policy/target_limits.ts";
 import {
-  MemoryTeller,
-  NOTHING_REMEMBERED,
-  type TellableMemory,
+  EMPTY_DIGEST,
+  type ReplicatedSection,
+  SectionReplicator,
 } from "./memory_teller.ts";
 import type {
   CrashedRequestNews,
@@ -23,42 +24,42 @@
   TargetLimitNews,
 } from "../../messages/peer_types.ts";
 
-/** What an entry remembers of each matter, in short. */
-export interface MemoryContents {
+/** A digest of each section of an entry's replicated state. */
+export interface StateDigests {
   readonly crashes: string;
   readonly limits: string;
   readonly leaving: string;
 }
 
-/** Contents of memories that hold nothing. */
-export const NO_MEMORIES: MemoryContents = {
-  crashes: NOTHING_REMEMBERED,
-  limits: NOTHING_REMEMBERED,
-  leaving: NOTHING_REMEMBERED,
+/** Digests of an empty state. */
+export const EMPTY_DIGESTS: StateDigests = {
+  crashes: EMPTY_DIGEST,
+  limits: EMPTY_DIGEST,
+  leaving: EMPTY_DIGEST,
 };
 
-/** Options of {@link EntryMemories}. */
-export interface EntryMemoriesOptions {
+/** Options of {@link ReplicatedState}. */
+export interface ReplicatedStateOptions {
   readonly crashes: CrashMemory;
   readonly limits: Pick<TargetLimits, "content" | "list">;
   readonly leaving: Pick<LeavingTargets, "content" | "list">;
-  /** Another entry told what it remembers, on this process's clock. */
+  /** Called with another entry's state, with times converted to this process's clock. */
   readonly onCrashes: (requests: readonly CrashedRequest[]) => void;
   readonly onLimits: (limits: readonly TargetLimit[]) => void;
   readonly onLeaving: (targets: readonly LeavingTarget[]) => void;
 }
 
-/** What an entry remembers that other entries are to know. */
-export class EntryMemories {
-  readonly #options: EntryMemoriesOptions;
+/** The state of an entry that is replicated to other entries. */
+export class ReplicatedState {
+  readonly #options: ReplicatedStateOptions;
 
-  /** Reads the memories whenever something is told. */
-  constructor(options: EntryMemoriesOptions) {
+  /** Reads the sections from `options` whenever an update is created. */
+  constructor(options: ReplicatedStateOptions) {
     this.#options = options;
   }
 
-  /** What is remembered now. */
-  get contents(): MemoryContents {
+  /** Digests of the current state. */
+  get digests(): StateDigests {
     const { crashes, limits, leaving } = this.#options;
     return {
       crashes: crashes.content,
@@ -67,112 +68,118 @@
     };
   }
 
-  /** For one other entry. */
-  createTeller(): MemoriesTeller {
+  /** Creates a replicator for one other entry. */
+  createReplicator(): StateReplicator {
     const { crashes, limits, leaving } = this.#options;
-    return new MemoriesTeller({
+    return new StateReplicator({
       crashes: {
         get content() {
           return crashes.content;
         },
-        list: (now) => crashes.list().map((one) => toCrashNews(one, now)),
+        list: (now) =>
+          crashes.list().map((one) => encodeCrashedRequest(one, now)),
       },
       limits: {
         get content() {
           return limits.content;
         },
-        list: (now) => limits.list().map((one) => toLimitNews(one, now)),
+        list: (now) => limits.list().map((one) => encodeLimit(one, now)),
       },
       leaving: {
         get content() {
           return leaving.content;
         },
-        list: (now) => leaving.list().map((one) => toLeavingNews(one, now)),
+        list: (now) =>
+          leaving.list().map((one) => encodeLeavingTarget(one, now)),
       },
     });
   }
 
-  /** Another entry told what it remembers; `now` in milliseconds. */
-  take({ crashes, limits, leaving }: MemoriesNews, now: number): void {
+  /** Applies the state of another entry; `now` is in milliseconds. */
+  apply({ crashes, limits, leaving }: MemoriesNews, now: number): void {
     const { onCrashes, onLimits, onLeaving } = this.#options;
     if (crashes?.items !== undefined) {
-      onCrashes(crashes.items.map((one) => readCrashNews(one, now)));
+      onCrashes(crashes.items.map((one) => decodeCrashedRequest(one, now)));
     }
     if (limits?.items !== undefined) {
-      onLimits(limits.items.map((one) => readLimitNews(one, now)));
+      onLimits(limits.items.map((one) => decodeLimit(one, now)));
     }
     if (leaving?.items !== undefined) {
-      onLeaving(leaving.items.map((one) => readLeavingNews(one, now)));
+      onLeaving(leaving.items.map((one) => decodeLeavingTarget(one, now)));
     }
   }
 }
 
-interface TellableMemories {
-  readonly crashes: TellableMemory<CrashedRequestNews>;
-  readonly limits: TellableMemory<TargetLimitNews>;
-  readonly leaving: TellableMemory<LeavingTargetNews>;
+interface ReplicatedSections {
+  readonly crashes: ReplicatedSection<CrashedRequestNews>;
+  readonly limits: ReplicatedSection<TargetLimitNews>;
+  readonly leaving: ReplicatedSection<LeavingTargetNews>;
 }
 
-/** Tells one other entry what this one remembers. */
-export class MemoriesTeller {
-  readonly #crashes: MemoryTeller<CrashedRequestNews>;
-  readonly #limits: MemoryTeller<TargetLimitNews>;
-  readonly #leaving: MemoryTeller<LeavingTargetNews>;
-
-  /** Has told nothing yet. */
-  constructor({ crashes, limits, leaving }: TellableMemories) {
-    this.#crashes = new MemoryTeller(crashes);
-    this.#limits = new MemoryTeller(limits);
-    this.#leaving = new MemoryTeller(leaving);
+/** Replicates the state of this entry to one other entry. */
+export class StateReplicator {
+  readonly #crashes: SectionReplicator<CrashedRequestNews>;
+  readonly #limits: SectionReplicator<TargetLimitNews>;
+  readonly #leaving: SectionReplicator<LeavingTargetNews>;
+
+  /** Starts with nothing sent. */
+  constructor({ crashes, limits, leaving }: ReplicatedSections) {
+    this.#crashes = new SectionReplicator(crashes);
+    this.#limits = new SectionReplicator(limits);
+    this.#leaving = new SectionReplicator(leaving);
   }
 
   /**
-   * What is told to one that remembers `other`; `now` in milliseconds.
+   * Creates the update for an entry whose state has the digests `other`; `now` is in
+   * milliseconds.
    *
    * @example
    * ```ts
-   * const memories = teller.tell(NO_MEMORIES, performance.now());
+   * const update = replicator.createUpdate(EMPTY_DIGESTS, performance.now());
    * ```
    */
-  tell(other: MemoryContents, now: number): MemoriesNews {
+  createUpdate(other: StateDigests, now: number): MemoriesNews {
     return {
-      crashes: this.#crashes.tryTell(other.crashes, now),
-      limits: this.#limits.tryTell(other.limits, now),
-      leaving: this.#leaving.tryTell(other.leaving, now),
+      crashes: this.#crashes.tryCreateUpdate(other.crashes, now),
+      limits: this.#limits.tryCreateUpdate(other.limits, now),
+      leaving: this.#leaving.tryCreateUpdate(other.leaving, now),
     };
   }
 }
 
 /**
- * What the sender of news remembers, in short.
+ * Returns the digests of the state of an update's sender.
  *
  * @example
  * ```ts
- * const contents = getContents(query.memories);
+ * const digests = getDigests(query.memories);
  * ```
  */
-export function getContents(news: MemoriesNews): MemoryContents {
+export function getDigests(update: MemoriesNews): StateDigests {
   return {
-    crashes: news.crashes?.content ?? NOTHING_REMEMBERED,
-    limits: news.limits?.content ?? NOTHING_REMEMBERED,
-    leaving: news.leaving?.content ?? NOTHING_REMEMBERED,
+    crashes: update.crashes?.content ?? EMPTY_DIGEST,
+    limits: update.limits?.content ?? EMPTY_DIGEST,
+    leaving: update.leaving?.content ?? EMPTY_DIGEST,
   };
 }
 
 /**
- * Whether two entries remember the same.
+ * Whether two entries have the same state.
  *
  * @example
  * ```ts
- * if (!areSame(told, memories.contents)) tell();
+ * if (!areDigestsEqual(digests, replicatedState.digests)) sendUpdate();
  * ```
  */
-export function areSame(left: MemoryContents, right: MemoryContents): boolean {
+export function areDigestsEqual(
+  left: StateDigests,
+  right: StateDigests,
+): boolean {
   return left.crashes === right.crashes && left.limits === right.limits &&
     left.leaving === right.leaving;
 }
 
-function toCrashNews(
+function encodeCrashedRequest(
   { request, crashes, servedAt }: CrashedRequest,
   now: number,
 ): CrashedRequestNews {
@@ -187,7 +194,7 @@
   };
 }
 
-function readCrashNews(
+function decodeCrashedRequest(
   { request, crashes, servedAgeMs }: CrashedRequestNews,
   now: number,
 ): CrashedRequest {
@@ -202,28 +209,28 @@
   };
 }
 
-function toLimitNews(
+function encodeLimit(
   { target, perSecond, version, heardAt }: TargetLimit,
   now: number,
 ): TargetLimitNews {
   return { target, perSecond, version, ageMs: getAge(heardAt, now) };
 }
 
-function readLimitNews(
+function decodeLimit(
   { target, perSecond, version, ageMs }: TargetLimitNews,
   now: number,
 ): TargetLimit {
   return { target, perSecond, version, heardAt: now - ageMs };
 }
 
-function toLeavingNews(
+function encodeLeavingTarget(
   { target, knownAt }: LeavingTarget,
   now: number,
 ): LeavingTargetNews {
   return { target, ageMs: getAge(knownAt, now) };
 }
 
-function readLeavingNews(
+function decodeLeavingTarget(
   { target, ageMs }: LeavingTargetNews,
   now: number,
 ): LeavingTarget {
--- a/src/direct/peers/entry_memories_test.ts
+++ b/src/direct/peers/entry_memories_test.ts
@@ -7,7 +7,11 @@
   LeavingTargets,
 } from "../../policy/leaving_targets.ts";
 import { type TargetLimit, TargetLimits } from "../../policy/target_limits.ts";
-import { EntryMemories, getContents, NO_MEMORIES } from "./entry_memories.ts";
+import {
+  EMPTY_DIGESTS,
+  getDigests,
+  ReplicatedState,
+} from "./entry_memories.ts";
 
 const CRASHED: CrashedRequest = {
   request: "digest",
@@ -15,19 +19,19 @@
   servedAt: undefined,
 };
 
-/** An entry with its memories, and what it was told. */
+/** An entry with its replicated state, and the state that it received. */
 class EntryFixture {
   readonly limits = new TargetLimits();
   readonly crashes: CrashedRequest[] = [];
-  readonly heardLimits: TargetLimit[] = [];
+  readonly receivedLimits: TargetLimit[] = [];
   readonly leaving = new LeavingTargets();
-  readonly heardLeaving: LeavingTarget[] = [];
-  readonly heardCrashes: CrashedRequest[] = [];
-  readonly memories: EntryMemories;
+  readonly receivedLeaving: LeavingTarget[] = [];
+  readonly receivedCrashes: CrashedRequest[] = [];
+  readonly replicatedState: ReplicatedState;
 
   constructor() {
     const { crashes } = this;
-    this.memories = new EntryMemories({
+    this.replicatedState = new ReplicatedState({
       crashes: {
         get content() {
           return crashes.map(({ request }) => request).join();
@@ -36,66 +40,78 @@
       },
       limits: this.limits,
       leaving: this.leaving,
-      onCrashes: (requests) => this.heardCrashes.push(...requests),
-      onLimits: (limits) => this.heardLimits.push(...limits),
-      onLeaving: (targets) => this.heardLeaving.push(...targets),
+      onCrashes: (requests) => this.receivedCrashes.push(...requests),
+      onLimits: (limits) => this.receivedLimits.push(...limits),
+      onLeaving: (targets) => this.receivedLeaving.push(...targets),
     });
   }
 
-  name(perSecond: number): void {
+  setLimit(perSecond: number): void {
     this.limits.note({ target: "i-2", perSecond, sentAt: 0, now: 600 });
   }
 }
 
-describe("memories that entries tell each other", () => {
-  it("come over with their ages, whatever the other one's clock says", () => {
+describe("state that entries replicate to each other", () => {
+  it("arrives with the right ages when the clocks of the entries differ", () => {
     const from = new EntryFixture();
     from.crashes.push(CRASHED);
-    from.name(2);
+    from.setLimit(2);
     from.leaving.note("i-3", 900);
-    const news = from.memories.createTeller().tell(NO_MEMORIES, 1000);
+    const update = from.replicatedState.createReplicator().createUpdate(
+      EMPTY_DIGESTS,
+      1000,
+    );
     const to = new EntryFixture();
-    to.memories.take(news, 91_000);
-    const [crashed] = to.heardCrashes;
+    to.replicatedState.apply(update, 91_000);
+    const [crashed] = to.receivedCrashes;
     assert.deepEqual(crashed?.crashes, [
       { target: "i-1", aliveAt: 90_500, endedAt: 90_700 },
     ]);
-    assert.deepEqual(to.heardLimits, [
+    assert.deepEqual(to.receivedLimits, [
       { target: "i-2", perSecond: 2, version: 1, heardAt: 90_600 },
     ]);
-    assert.deepEqual(to.heardLeaving, [{ target: "i-3", knownAt: 90_900 }]);
+    assert.deepEqual(to.receivedLeaving, [{ target: "i-3", knownAt: 90_900 }]);
   });
 
-  it("are left out where neither remembers any", () => {
-    const { memories } = new EntryFixture();
-    assert.deepEqual(memories.createTeller().tell(NO_MEMORIES, 0), {
-      crashes: undefined,
-      limits: undefined,
-      leaving: undefined,
-    });
+  it("is left out where both entries have none", () => {
+    const { replicatedState } = new EntryFixture();
+    assert.deepEqual(
+      replicatedState.createReplicator().createUpdate(EMPTY_DIGESTS, 0),
+      {
+        crashes: undefined,
+        limits: undefined,
+        leaving: undefined,
+      },
+    );
   });
 
-  it("are told whole once for each difference, one matter without the other", () => {
+  it("is sent in full once for each difference, each section by itself", () => {
     const entry = new EntryFixture();
-    entry.name(2);
-    const teller = entry.memories.createTeller();
-    assert.equal(teller.tell(NO_MEMORIES, 0).limits?.items?.length, 1);
-    assert.equal(teller.tell(NO_MEMORIES, 0).limits?.items, undefined);
-    const own = entry.memories.contents;
-    assert.equal(teller.tell(own, 0).limits?.items, undefined);
-    entry.name(1);
-    const news = teller.tell(own, 0);
-    assert.equal(news.limits?.items?.[0]?.perSecond, 1);
-    assert.equal(news.crashes, undefined);
-    assert.deepEqual(getContents(news), entry.memories.contents);
+    entry.setLimit(2);
+    const replicator = entry.replicatedState.createReplicator();
+    assert.equal(
+      replicator.createUpdate(EMPTY_DIGESTS, 0).limits?.items?.length,
+      1,
+    );
+    assert.equal(
+      replicator.createUpdate(EMPTY_DIGESTS, 0).limits?.items,
+      undefined,
+    );
+    const own = entry.replicatedState.digests;
+    assert.equal(replicator.createUpdate(own, 0).limits?.items, undefined);
+    entry.setLimit(1);
+    const update = replicator.createUpdate(own, 0);
+    assert.equal(update.limits?.items?.[0]?.perSecond, 1);
+    assert.equal(update.crashes, undefined);
+    assert.deepEqual(getDigests(update), entry.replicatedState.digests);
   });
 
-  it("are none of an entry of a version that tells none", () => {
+  it("is empty for an entry of a version that does not send any", () => {
     const message = MESSAGE_SCHEMA.parse({
       kind: "store_news",
       isReading: true,
     });
     assert.ok(message.kind === "store_news");
-    assert.deepEqual(getContents(message.memories), NO_MEMORIES);
+    assert.deepEqual(getDigests(message.memories), EMPTY_DIGESTS);
   });
 });
--- a/src/direct/peers/entry_peers.ts
+++ b/src/direct/peers/entry_peers.ts
@@ -1,6 +1,7 @@
 /**
- * What an entry has to do with the other entries: it answers them, has one of them read
- * the platform's store for it, and asks some of them while the store does not answer.
+ * Handles an entry's communication with other entries: it answers their queries, follows
+ * one of them that reads the platform's store for it, and queries some of them while the
+ * store does not answer.
  *
  * @module
  */
@@ -15,11 +16,11 @@
 } from "../../policy/send_permits.ts";
 import type { Directory } from "../directory_follower.ts";
 import type { DrainSet } from "../../messages/peer_types.ts";
-import type { EntryMemories } from "./entry_memories.ts";
+import type { ReplicatedState } from "./entry_memories.ts";
 import { type ListedEntry, listReaderCandidates } from "./peer_choice.ts";
 import { PeerFollower } from "./peer_follower.ts";
-import { PeerServer, type StoreKnowledge } from "./peer_server.ts";
-import { PermitAsker } from "./permit_asker.ts";
+import { type KnownStoreState, PeerServer } from "./peer_server.ts";
+import { PermitRequester } from "./permit_asker.ts";
 import { ReaderFollower } from "./reader_follower.ts";
 import { ReaderTurns } from "./reader_turns.ts";
 import type {
@@ -29,239 +30,261 @@
   StoreNewsMessage,
 } from "../../messages/peer_types.ts";
 
-/** Milliseconds between two looks whether something is to be asked. */
-const TURN_MS = 50;
 /**
- * Age of settings, over the time for which a back end that leaves may be sent work, up to
- * which a reader is trusted with them. It hears of new ones at once; this is for one whose
- * connection to the store is dead without a sign.
+ * Milliseconds between two checks whether a reader should be queried or the store listed.
  */
-const OLDEST_SETTINGS_PART = 1.2;
+const ACTION_INTERVAL_MS = 50;
+/**
+ * Maximum age of a reader's settings, as a fraction of the time for which a leaving back
+ * end may still receive requests. A reader normally learns of new settings at once; the
+ * limit detects one whose connection to the store has died unnoticed.
+ */
+const MAX_SETTINGS_AGE_FRACTION = 1.2;
 
 /** Options of {@link EntryPeers}. */
 export interface EntryPeersOptions {
   readonly identity: LinkIdentity;
   readonly self: ListedEntry;
   readonly seedAddresses: readonly string[];
-  /** Milliseconds for which a back end that leaves may be sent work. */
+  /** Milliseconds for which a leaving back end may still receive requests. */
   readonly leavingLimitMs: number;
   readonly random: RandomSource;
   readonly log: EventLog;
-  /** What this entry heard from the store. */
-  readonly getKnowledge: () => StoreKnowledge;
-  readonly memories: EntryMemories;
-  /** Another entry asks for permits for a target that has named a limit. */
-  readonly givePermits: (target: string, count: number) => PermitAnswer;
-  /** What became of a question for permits. */
+  /** Returns the state of the store as known to this entry. */
+  readonly getStoreState: () => KnownStoreState;
+  readonly replicatedState: ReplicatedState;
+  /** Issues permits to another entry for a target that has named a limit. */
+  readonly issuePermits: (target: string, count: number) => PermitAnswer;
+  /** Called with the outcome of a permit request. */
   readonly onPermits: (outcome: PermitOutcome) => void;
   readonly onSettings: (text: string) => void;
-  /** Another entry's drains, so many milliseconds old; told before its settings. */
+  /**
+   * Called with another entry's drains and their age in milliseconds, before its
+   * settings.
+   */
   readonly onDrains: (drains: DrainSet, ageMs: number) => void;
-  /** A reader's settings were the newest at a time in milliseconds. */
+  /** Called when a reader's settings were the newest at a time in milliseconds. */
   readonly onSettingsChecked: (checkedAt: number) => void;
   readonly onDirectory: (directory: Directory) => void;
-  readonly onProcesses: (news: ProcessNews) => void;
-  /** The back ends are to be listed from the store. */
-  readonly onListTurn: () => void;
-  /** Whether another entry tells all that the store says. */
-  readonly onLed: (isLed: boolean) => void;
+  readonly onProcesses: (update: ProcessNews) => void;
+  /** Called when the back ends should be listed from the store. */
+  readonly onListDue: () => void;
+  /**
+   * Called when this entry starts or stops following a reader, which sends it all updates
+   * of the store.
+   */
+  readonly onFollowingReaderChanged: (isFollowing: boolean) => void;
 }
 
-/** What an entry has to do with the other entries. */
+/** Handles an entry's communication with other entries. */
 export class EntryPeers {
   readonly #options: EntryPeersOptions;
   readonly #server: PeerServer;
-  readonly #asked: PeerFollower;
-  readonly #reader: ReaderFollower;
-  readonly #turns: ReaderTurns;
-  readonly #permits: PermitAsker;
+  readonly #peerFollower: PeerFollower;
+  readonly #readerFollower: ReaderFollower;
+  readonly #readerPolicy: ReaderTurns;
+  readonly #permitRequester: PermitRequester;
   #addresses: ReadonlyMap<string, string> = new Map();
   #timer: NodeJS.Timeout | undefined;
-  /** What was told last of whether a reader leads. */
-  #toldLed: boolean | undefined;
+  /** The value last passed to `onFollowingReaderChanged`. */
+  #reportedFollowing: boolean | undefined;
   #hasListed = false;
   #candidateCount = 0;
 
-  /** Neither listens nor asks yet. */
+  /** Neither listens nor sends queries yet. */
   constructor(options: EntryPeersOptions) {
     this.#options = options;
-    const { identity, self, seedAddresses, random, log, memories } = options;
-    const getKnown = () => this.#known();
-    this.#turns = new ReaderTurns(options.leavingLimitMs);
+    const { identity, self, seedAddresses, random, log, replicatedState } =
+      options;
+    const getKnown = () => this.#getKnown();
+    this.#readerPolicy = new ReaderTurns(options.leavingLimitMs);
     this.#server = new PeerServer({
       identity,
       log,
-      getKnowledge: options.getKnowledge,
-      memories,
-      givePermits: options.givePermits,
+      getStoreState: options.getStoreState,
+      replicatedState,
+      issuePermits: options.issuePermits,
     });
-    this.#permits = new PermitAsker({
+    this.#permitRequester = new PermitRequester({
       identity,
       tryAddress: (entry) => this.#addresses.get(entry),
       onOutcome: options.onPermits,
     });
-    this.#asked = new PeerFollower({
+    this.#peerFollower = new PeerFollower({
       identity,
       ownAddress: self.address,
       seedAddresses,
       random,
       getKnown,
-      memories,
-      onNews: (news, askedAt) => this.#take(news, askedAt),
+      replicatedState,
+      onUpdate: (update, askedAt) => this.#applyUpdate(update, askedAt),
     });
-    this.#reader = new ReaderFollower({
+    this.#readerFollower = new ReaderFollower({
       identity,
       getKnown,
-      memories,
-      onNews: (news, { address, askedAt }) => {
-        this.#take(news, askedAt);
+      replicatedState,
+      onUpdate: (update, { address, askedAt }) => {
+        this.#applyUpdate(update, askedAt);
         if (askedAt === undefined) return;
-        this.#readerAnswered(news, { address, askedAt });
+        this.#onReaderAnswer(update, { address, askedAt });
       },
-      onLost: (address) => this.#turns.noteFailed(address, performance.now()),
+      onLost: (address) =>
+        this.#readerPolicy.recordFailure(address, performance.now()),
     });
   }
 
   /**
-   * Listens for the other entries.
+   * Listens for connections from other entries.
    *
-   * @throws when the address cannot be had
+   * @throws when the address is not available
    */
   async listen(): Promise<void> {
     await this.#server.listen(this.#options.self.address);
   }
 
   /**
-   * Lists the back ends at once, as settings and processes are read at once, so that callers
-   * are served; then takes turns.
+   * Starts querying peers and following the reader policy. The back ends are listed at
+   * once, like settings and processes, so that callers can be served.
    */
   start(): void {
-    this.#tellLed(true);
-    this.#asked.start();
-    this.#takeTurn();
-    this.#timer = setInterval(() => this.#takeTurn(), TURN_MS);
+    this.#setFollowingReader(true);
+    this.#peerFollower.start();
+    this.#performNextAction();
+    this.#timer = setInterval(
+      () => this.#performNextAction(),
+      ACTION_INTERVAL_MS,
+    );
   }
 
-  /** Whether a reader tells all that the store says. */
-  get isLed(): boolean {
-    return this.#turns.isLed;
+  /** Whether a reader sends all updates of the store. */
+  get isFollowingReader(): boolean {
+    return this.#readerPolicy.isLed;
   }
 
   /** Closes all connections. */
   close(): void {
     clearInterval(this.#timer);
-    this.#asked.stop();
-    this.#reader.stop();
-    this.#permits.close();
+    this.#peerFollower.stop();
+    this.#readerFollower.stop();
+    this.#permitRequester.close();
     this.#server.close();
   }
 
-  /** The entries that list themselves in the store, this one included. */
+  /** Sets the entries registered in the store, including this one. */
   setListed(entries: readonly ListedEntry[]): void {
     const { self } = this.#options;
     this.#addresses = new Map(
       entries.map(({ name, address }) => [name, address]),
     );
-    this.#asked.setListed(entries.map(({ address }) => address));
+    this.#peerFollower.setListed(entries.map(({ address }) => address));
     const candidates = listReaderCandidates(entries, self);
     this.#candidateCount = candidates.addresses.length;
-    this.#turns.setCandidates(candidates);
-    this.#server.tellFollowers();
+    this.#readerPolicy.setCandidates(candidates);
+    this.#server.updateFollowers();
   }
 
-  /** The store listed the back ends: nobody needs to be asked for them. */
-  storeAnswered(directory: Directory): void {
-    // Without a list of processes nobody is known yet who could be asked.
-    const { processes } = this.#options.getKnowledge();
-    if (this.#isAlone) this.#asked.start();
-    else if (processes.revision > 0) this.#asked.stop();
-    this.#turns.noteListed(directory.askedAt);
-    this.#server.tellFollowers();
+  /** The store listed the back ends, so peers need not be queried for them. */
+  onStoreListed(directory: Directory): void {
+    // Without a list of processes, this entry does not know yet which entries it could
+    // query.
+    const { processes } = this.#options.getStoreState();
+    if (this.#isWithoutReader) this.#peerFollower.start();
+    else if (processes.revision > 0) this.#peerFollower.stop();
+    this.#readerPolicy.noteListed(directory.askedAt);
+    this.#server.updateFollowers();
   }
 
   /**
-   * What entries remember is in no store. While this one asks no reader, it asks others, or
-   * it would neither tell nor hear of a request that ends targets.
+   * Whether other entries exist but none is followed as a reader. The entry then queries
+   * peers, because the replicated state is in no store: without queries it would neither
+   * send nor receive, for example, a request that crashes targets.
    */
-  get #isAlone(): boolean {
-    return this.#candidateCount > 0 && !this.#turns.isLed;
+  get #isWithoutReader(): boolean {
+    return this.#candidateCount > 0 && !this.#readerPolicy.isLed;
   }
 
-  /** The store does not answer: other entries are asked until it does. */
-  storeSilent(): void {
-    this.#asked.start();
+  /** The store does not answer: peers are queried until it does. */
+  onStoreUnavailable(): void {
+    this.#peerFollower.start();
   }
 
-  /** This process stood still: what others told before says nothing of the meantime. */
-  doubt(): void {
-    this.#tellLed(false);
+  /**
+   * Stops relying on the reader after this process was frozen, because earlier updates
+   * say nothing about the time since.
+   */
+  invalidateReader(): void {
+    this.#setFollowingReader(false);
   }
 
-  /** Something else that others follow has changed. */
-  knowledgeChanged(): void {
-    this.#server.tellFollowers();
+  /** Sends followers the changed settings or drains. */
+  onStoreStateChanged(): void {
+    this.#server.updateFollowers();
   }
 
-  /** What is remembered has changed: all are to hear it before it matters again. */
-  memoriesChanged(): void {
-    this.#server.tellFollowers();
-    this.#reader.askAgain();
+  /**
+   * Sends the changed replicated state to the followers and the reader at once, so that
+   * it arrives before it is needed.
+   */
+  onReplicatedStateChanged(): void {
+    this.#server.updateFollowers();
+    this.#readerFollower.queryAgain();
   }
 
-  /** Asks another entry for permits. */
-  askPermits(question: PermitQuestion): void {
-    this.#permits.ask(question);
+  /** Requests permits from another entry. */
+  requestPermits(request: PermitQuestion): void {
+    this.#permitRequester.request(request);
   }
 
-  /** Settles with the next answer of an entry that is asked. */
+  /** Resolves with the next answer of a queried peer. */
   nextAnswer(): Promise<void> {
-    return this.#asked.nextAnswer();
+    return this.#peerFollower.nextAnswer();
   }
 
-  #takeTurn(): void {
-    const turn = this.#turns.next(performance.now());
-    if (turn.kind === "ask") this.#reader.ask(turn.address);
-    if (turn.kind === "list") {
-      if (this.#hasListed) this.#tellLed(false);
+  #performNextAction(): void {
+    const action = this.#readerPolicy.next(performance.now());
+    if (action.kind === "ask") this.#readerFollower.query(action.address);
+    if (action.kind === "list") {
+      if (this.#hasListed) this.#setFollowingReader(false);
       this.#hasListed = true;
-      this.#options.onListTurn();
+      this.#options.onListDue();
     }
   }
 
-  #readerAnswered(
-    news: StoreNewsMessage,
+  #onReaderAnswer(
+    update: StoreNewsMessage,
     { address, askedAt }: {
       readonly address: string;
       readonly askedAt: number;
     },
   ): void {
-    const { isReading, directory } = news;
-    const { settingsAgeMs = Number.POSITIVE_INFINITY } = news;
-    const oldestMs = this.#options.leavingLimitMs * OLDEST_SETTINGS_PART;
+    const { isReading, directory } = update;
+    const { settingsAgeMs = Number.POSITIVE_INFINITY } = update;
+    const maxAgeMs = this.#options.leavingLimitMs * MAX_SETTINGS_AGE_FRACTION;
     const now = performance.now();
-    // One that the store turns away knows what those told it who ask it.
-    const isFit = isReading && settingsAgeMs <= oldestMs;
-    const ageMs = isFit ? directory?.ageMs : undefined;
-    this.#turns.noteAnswer(address, { askedAt, ageMs }, now);
-    if (!this.#turns.isLed) return;
-    this.#tellLed(true);
-    this.#asked.stop();
+    // A reader that the store does not answer only knows what its own followers sent to
+    // it.
+    const isUsable = isReading && settingsAgeMs <= maxAgeMs;
+    const ageMs = isUsable ? directory?.ageMs : undefined;
+    this.#readerPolicy.noteAnswer(address, { askedAt, ageMs }, now);
+    if (!this.#readerPolicy.isLed) return;
+    this.#setFollowingReader(true);
+    this.#peerFollower.stop();
   }
 
-  #tellLed(isLed: boolean): void {
-    if (isLed === this.#toldLed) return;
-    this.#toldLed = isLed;
-    const { log, onLed } = this.#options;
+  #setFollowingReader(isFollowing: boolean): void {
+    if (isFollowing === this.#reportedFollowing) return;
+    this.#reportedFollowing = isFollowing;
+    const { log, onFollowingReaderChanged } = this.#options;
     log.write("STORE_READER_CHANGED", {
-      isLed,
+      isLed: isFollowing,
       candidates: this.#candidateCount,
     });
-    onLed(isLed);
+    onFollowingReaderChanged(isFollowing);
   }
 
-  #known(): KnownNews {
+  #getKnown(): KnownNews {
     const { settings, directory, processes, drains } = this.#options
-      .getKnowledge();
+      .getStoreState();
     return {
       settingsVersion: settings?.settings.version,
       directoryContent: directory?.content,
@@ -270,14 +293,15 @@
     };
   }
 
-  #take(
-    news: StoreNewsMessage,
+  #applyUpdate(
+    update: StoreNewsMessage,
     askedAt: number | undefined,
   ): void {
-    const { settingsText, settingsAgeMs, directory, processes, drains } = news;
+    const { settingsText, settingsAgeMs, directory, processes, drains } =
+      update;
     const { onSettings, onSettingsChecked, onDirectory, onProcesses } =
       this.#options;
-    this.#options.memories.take(news.memories, performance.now());
+    this.#options.replicatedState.apply(update.memories, performance.now());
     if (drains !== undefined) {
       this.#options.onDrains(drains, settingsAgeMs ?? 0);
     }
@@ -285,26 +309,29 @@
     if (askedAt !== undefined && settingsAgeMs !== undefined) {
       onSettingsChecked(askedAt - settingsAgeMs);
     }
-    const told = directory && this.#tryDirectoryOf(directory, askedAt);
-    if (told !== undefined) onDirectory(told);
+    const listed = directory && this.#tryReadDirectory(directory, askedAt);
+    if (listed !== undefined) onDirectory(listed);
     if (processes !== undefined) onProcesses(processes);
-    this.#server.tellFollowers();
+    this.#server.updateFollowers();
   }
 
-  /** A list on this process's clock: as old as it was there, since it was asked for. */
-  #tryDirectoryOf(
+  /**
+   * Converts a list to this process's clock. Its age counts from when it was requested.
+   */
+  #tryReadDirectory(
     { revision, ageMs, content, instances }: DirectoryNews,
     askedAt: number | undefined,
   ): Directory | undefined {
-    const known = this.#options.getKnowledge().directory;
+    const known = this.#options.getStoreState().directory;
     const isSame = known?.content === content;
-    const told = instances ?? (isSame ? known?.instances : undefined);
-    if (told === undefined) return undefined;
+    const listed = instances ?? (isSame ? known?.instances : undefined);
+    if (listed === undefined) return undefined;
     return {
-      instances: told,
+      instances: listed,
       revision,
       content,
-      // Of news that follows it is only known that it is newer than what was told before.
+      // An unrequested update has no request time. It is only known to be newer than the
+      // previous one.
       askedAt: askedAt === undefined
         ? known?.askedAt ?? Number.NEGATIVE_INFINITY
         : askedAt - ageMs,
--- a/src/direct/peers/memory_teller.ts
+++ b/src/direct/peers/memory_teller.ts
@@ -1,53 +1,55 @@
 /**
- * Tells another entry what this one remembers of one matter. All of it is told whenever the
- * other one's memory is known to differ, so that whoever restarts, or was cut off, has all of
- * it after one question.
+ * Replicates one section of an entry's state to another entry. The whole section is sent
+ * whenever the other entry's digest differs, so that an entry that restarted or was
+ * disconnected is up to date after one query.
  *
  * @module
  */
 import type { MemoryNews } from "../../messages/peer_types.ts";
 
-/** Content of a memory that holds nothing. */
-export const NOTHING_REMEMBERED = "";
+/** Digest of an empty section. */
+export const EMPTY_DIGEST = "";
 
-/** What an entry remembers of one matter, in the shape in which it is told. */
-export interface TellableMemory<Item> {
-  /** In short: the same for the same memory. */
+/** One section of an entry's replicated state, in the form in which it is sent. */
+export interface ReplicatedSection<Item> {
+  /** Digest of the section; equal for equal contents. */
   readonly content: string;
-  /** All of it, with ages at a time in milliseconds. */
+  /** Returns all items, with ages relative to `now`, in milliseconds. */
   list(now: number): readonly Item[];
 }
 
-/** Tells one other entry what this one remembers of one matter. */
-export class MemoryTeller<Item> {
-  readonly #memory: TellableMemory<Item>;
-  /** What both remembered, in short, when all was told last. */
-  #ownThen: string | undefined;
-  #otherThen: string | undefined;
+/** Replicates one section of this entry's state to one other entry. */
+export class SectionReplicator<Item> {
+  readonly #section: ReplicatedSection<Item>;
+  /** The digests of both sides when the items were last sent. */
+  #lastOwnDigest: string | undefined;
+  #lastPeerDigest: string | undefined;
 
-  /** Has told nothing yet. */
-  constructor(memory: TellableMemory<Item>) {
-    this.#memory = memory;
+  /** Starts with nothing sent. */
+  constructor(memory: ReplicatedSection<Item>) {
+    this.#section = memory;
   }
 
   /**
-   * What is told to one that remembers `other`, in short; undefined: neither remembers any.
-   * All is told once for each difference: what the other does not take in, since it
-   * has more to remember already, is not told again and again. `now` is in milliseconds.
+   * Creates the update for an entry whose section has the digest `other`; undefined if
+   * both are empty. The items are sent once for each difference: items that the other
+   * entry does not store, because it holds more already, are not sent again and again.
+   * `now` is in milliseconds.
    *
    * @example
    * ```ts
-   * const news = teller.tryTell(NOTHING_REMEMBERED, performance.now());
+   * const update = replicator.tryCreateUpdate(EMPTY_DIGEST, performance.now());
    * ```
    */
-  tryTell(other: string, now: number): MemoryNews<Item> | undefined {
-    const { content } = this.#memory;
-    const isNothing = content === other && content === NOTHING_REMEMBERED;
-    if (isNothing) return undefined;
-    const isTold = content === this.#ownThen && other === this.#otherThen;
-    if (content === other || isTold) return { content };
-    this.#ownThen = content;
-    this.#otherThen = other;
-    return { content, items: this.#memory.list(now) };
+  tryCreateUpdate(other: string, now: number): MemoryNews<Item> | undefined {
+    const { content } = this.#section;
+    const areBothEmpty = content === other && content === EMPTY_DIGEST;
+    if (areBothEmpty) return undefined;
+    const isSent = content === this.#lastOwnDigest &&
+      other === this.#lastPeerDigest;
+    if (content === other || isSent) return { content };
+    this.#lastOwnDigest = content;
+    this.#lastPeerDigest = other;
+    return { content, items: this.#section.list(now) };
   }
 }
--- a/src/direct/peers/peer_choice.ts
+++ b/src/direct/peers/peer_choice.ts
@@ -1,20 +1,20 @@
 /**
- * Which entries an entry asks when the store does not answer it.
+ * Chooses the entries that an entry queries in place of the store.
  *
  * @module
  */
 import type { RandomSource } from "../../core/random_source.ts";
 
 /**
- * Entries asked in one round. The store may turn away a third of the machines at
- * once: all four of a round are among them once in a hundred rounds, and the next
- * round asks others.
+ * Maximum number of entries queried in one round. The store may reject a third of the VMs
+ * at once; then all four of a round are rejected once in a hundred rounds, and the next
+ * round queries others.
  */
-export const PEERS_IN_ROUND = 4;
+export const PEERS_PER_ROUND = 4;
 
-/** What is known of the other entries. */
+/** The other entries known to this one. */
 export interface PeerCandidates {
-  /** Addresses from the list of processes; empty before it was ever read. */
+  /** Addresses from the list of processes; empty until it was first read. */
   readonly listed: readonly string[];
   /** Addresses from the process settings, which may be out of date. */
   readonly seeds: readonly string[];
@@ -22,7 +22,7 @@
 }
 
 /**
- * Draws the entries to ask. Seeds stand in for a list that is too short.
+ * Chooses the entries to query at random. Seeds are added if the list is too short.
  *
  * @example
  * ```ts
@@ -34,24 +34,24 @@
   random: RandomSource,
 ): readonly string[] {
   const isOther = (address: string) => address !== ownAddress;
-  const chosen = drawSome(listed.filter(isOther), random);
+  const chosen = sampleAddresses(listed.filter(isOther), random);
   const extra = seeds.filter(isOther).filter((one) => !chosen.includes(one));
-  return [...chosen, ...extra].slice(0, PEERS_IN_ROUND);
+  return [...chosen, ...extra].slice(0, PEERS_PER_ROUND);
 }
 
-function drawSome(
+function sampleAddresses(
   addresses: readonly string[],
   random: RandomSource,
 ): readonly string[] {
   const left = [...addresses];
-  const drawn: string[] = [];
-  while (left.length > 0 && drawn.length < PEERS_IN_ROUND) {
-    drawn.push(...left.splice(random.nextBelow(left.length), 1));
+  const sample: string[] = [];
+  while (left.length > 0 && sample.length < PEERS_PER_ROUND) {
+    sample.push(...left.splice(random.nextBelow(left.length), 1));
   }
-  return drawn;
+  return sample;
 }
 
-/** An entry as it lists itself in the store. */
+/** An entry as registered in the store. */
 export interface ListedEntry {
   readonly name: string;
   readonly address: string;
@@ -60,20 +60,23 @@
 
 /** The entries that may read the store for one entry. */
 export interface ReaderCandidates {
-  /** Host and port of each, the best first. */
+  /** Host and port of each candidate, in order of preference. */
   readonly addresses: readonly string[];
-  /** Whether the entry is the first of its failure domain, whom the others there ask. */
-  readonly isFirst: boolean;
+  /**
+   * Whether the entry is the first of its failure domain, which the others there query.
+   */
+  readonly isFirstOfDomain: boolean;
 }
 
 /**
- * The entries that may read the store for one entry: those of its failure domain that come
- * before it by name, then the first of each failure domain that comes before its own. So
- * nobody is asked by whom he asks, and the first of all asks nobody.
+ * Returns the entries that may read the store for `self`: those of its failure domain
+ * that precede it by name, then the first entry of each failure domain that precedes its
+ * own. So no two entries query each other, and the first of all entries has no
+ * candidates.
  *
  * @example
  * ```ts
- * turns.setCandidates(listReaderCandidates(entries, self));
+ * readerPolicy.setCandidates(listReaderCandidates(entries, self));
  * ```
  */
 export function listReaderCandidates(
@@ -96,6 +99,6 @@
     .sort((left, right) => left.failureDomain < right.failureDomain ? -1 : 1);
   return {
     addresses: [...near, ...remote].map(({ address }) => address),
-    isFirst: near.length === 0,
+    isFirstOfDomain: near.length === 0,
   };
 }
--- a/src/direct/peers/peer_choice_test.ts
+++ b/src/direct/peers/peer_choice_test.ts
@@ -4,7 +4,7 @@
 import {
   choosePeers,
   listReaderCandidates,
-  PEERS_IN_ROUND,
+  PEERS_PER_ROUND,
 } from "./peer_choice.ts";
 
 const OWN = "10.0.0.1:1";
@@ -14,7 +14,7 @@
 }
 
 describe("choosePeers", () => {
-  it("never draws the asker, and nobody twice", () => {
+  it("chooses neither the entry itself nor any entry twice", () => {
     const listed = createAddresses(6);
     const random = new RandomSource(7);
     for (let round = 0; round < 50; round++) {
@@ -22,8 +22,8 @@
         { listed, seeds: listed, ownAddress: OWN },
         random,
       );
-      assert.equal(peers.length, PEERS_IN_ROUND);
-      assert.equal(new Set(peers).size, PEERS_IN_ROUND);
+      assert.equal(peers.length, PEERS_PER_ROUND);
+      assert.equal(new Set(peers).size, PEERS_PER_ROUND);
       assert.ok(!peers.includes(OWN));
     }
   });
@@ -39,7 +39,7 @@
     assert.equal(seen.size, listed.length - 1);
   });
 
-  it("asks the seeds while no list was read", () => {
+  it("chooses the seeds until a list was read", () => {
     const seeds = createAddresses(3);
     const random = new RandomSource(7);
     assert.deepEqual(
@@ -68,11 +68,11 @@
     assert.deepEqual(candidatesOf("c-1"), ["a-1:1", "b-1:1"]);
   });
 
-  it("are none for the first of all", () => {
+  it("are none for the first of all entries", () => {
     assert.deepEqual(candidatesOf("a-1"), []);
   });
 
-  it("never ask in a circle", () => {
+  it("never query each other", () => {
     for (const { name, address } of entries) {
       for (const asked of candidatesOf(name)) {
         const back = candidatesOf(asked.slice(0, -2));
@@ -81,9 +81,9 @@
     }
   });
 
-  it("say who is the first of its failure domain", () => {
+  it("include whether the entry is the first of its failure domain", () => {
     const firsts = entries.filter((self) =>
-      listReaderCandidates(entries, self).isFirst
+      listReaderCandidates(entries, self).isFirstOfDomain
     );
     assert.deepEqual(firsts.map(({ name }) => name), ["a-1", "b-1", "c-1"]);
   });
--- a/src/direct/peers/peer_client.ts
+++ b/src/direct/peers/peer_client.ts
@@ -1,5 +1,5 @@
 /**
- * A connection to another entry that is asked for news of the platform's store.
+ * A connection to another entry that is queried for updates of the platform's store.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 import { LinkClient } from "../../links/link_client.ts";
 import type { LinkIdentity } from "../../links/link_server.ts";
 import {
-  type EntryMemories,
-  getContents,
-  type MemoriesTeller,
-  NO_MEMORIES,
+  EMPTY_DIGESTS,
+  getDigests,
+  type ReplicatedState,
+  type StateReplicator,
 } from "./entry_memories.ts";
 import type { KnownNews, StoreNewsMessage } from "../../messages/peer_types.ts";
 
@@ -20,47 +20,47 @@
   readonly identity: LinkIdentity;
   /** Host and port of the other entry. */
   readonly address: string;
-  /** What this entry has already. */
+  /** Returns what this entry knows already. */
   readonly getKnown: () => KnownNews;
-  readonly memories: EntryMemories;
-  /** Whether news is to follow each question. */
+  readonly replicatedState: ReplicatedState;
+  /** Whether the other entry should send updates after its answer to each query. */
   readonly isFollowing: boolean;
   /**
-   * Called for all news; `askedAt` is when the question that it answers was sent, in
-   * milliseconds, and undefined for news that follows.
+   * Called for each update. `askedAt` is when the query that it answers was sent, in
+   * milliseconds, and undefined for an update that does not answer the latest query.
    */
-  readonly onNews: (news: StoreNewsMessage, askedAt?: number) => void;
+  readonly onUpdate: (update: StoreNewsMessage, askedAt?: number) => void;
   readonly onDisconnected: () => void;
 }
 
-/** A connection to another entry, which is dialled again when it is lost. */
+/** A connection to another entry, which is reconnected when it is lost. */
 export class PeerClient {
   readonly #options: PeerClientOptions;
   readonly #client: LinkClient;
   #link: Link | undefined;
   #queryId = 0;
   #askedAt = 0;
-  /** What the other entry said last that it remembers, in short. */
-  #toldContents = NO_MEMORIES;
-  #teller: MemoriesTeller;
-  /** A question that waits for the connection. */
-  #isWaiting = false;
+  /** The digests of the other entry's state, as last received. */
+  #peerDigests = EMPTY_DIGESTS;
+  #replicator: StateReplicator;
+  /** Whether a query waits for the connection. */
+  #isQueryPending = false;
 
-  /** Dials at once. */
+  /** Connects at once. */
   constructor(options: PeerClientOptions) {
     this.#options = options;
-    const { address, identity, memories } = options;
-    this.#teller = memories.createTeller();
+    const { address, identity, replicatedState } = options;
+    this.#replicator = replicatedState.createReplicator();
     this.#client = new LinkClient({
       address,
       role: "entry",
       identity,
       listener: {
-        onConnected: (link) => this.#connected(link),
+        onConnected: (link) => this.#onConnected(link),
         onMessage: (message) => {
           if (message.kind === "store_news") this.#receive(message);
         },
-        onDisconnected: () => this.#disconnected(),
+        onDisconnected: () => this.#onDisconnected(),
         onDialFailed: () => undefined,
       },
     });
@@ -71,9 +71,9 @@
     this.#client.stop();
   }
 
-  /** Asks, at the latest once the connection is there. */
-  ask(): void {
-    this.#isWaiting = this.#link === undefined;
+  /** Sends a query, or waits for the connection if there is none. */
+  query(): void {
+    this.#isQueryPending = this.#link === undefined;
     if (this.#link === undefined) return;
     const { getKnown, isFollowing } = this.#options;
     this.#askedAt = performance.now();
@@ -82,25 +82,25 @@
       ...getKnown(),
       queryId: ++this.#queryId,
       isFollowing,
-      memories: this.#teller.tell(this.#toldContents, this.#askedAt),
+      memories: this.#replicator.createUpdate(this.#peerDigests, this.#askedAt),
     });
   }
 
-  #connected(link: Link): void {
+  #onConnected(link: Link): void {
     this.#link = link;
-    if (this.#isWaiting) this.ask();
+    if (this.#isQueryPending) this.query();
   }
 
-  #disconnected(): void {
+  #onDisconnected(): void {
     this.#link = undefined;
-    this.#toldContents = NO_MEMORIES;
-    this.#teller = this.#options.memories.createTeller();
+    this.#peerDigests = EMPTY_DIGESTS;
+    this.#replicator = this.#options.replicatedState.createReplicator();
     this.#options.onDisconnected();
   }
 
-  #receive(news: StoreNewsMessage): void {
-    this.#toldContents = getContents(news.memories);
-    const isLatest = news.queryId === this.#queryId;
-    this.#options.onNews(news, isLatest ? this.#askedAt : undefined);
+  #receive(update: StoreNewsMessage): void {
+    this.#peerDigests = getDigests(update.memories);
+    const isLatest = update.queryId === this.#queryId;
+    this.#options.onUpdate(update, isLatest ? this.#askedAt : undefined);
   }
 }
--- a/src/direct/peers/peer_follower.ts
+++ b/src/direct/peers/peer_follower.ts
@@ -1,23 +1,26 @@
 /**
- * Asks other entries for settings and back ends while the store does not answer
- * this one: the store may turn single machines away and serve the others.
+ * Queries other entries for settings and back ends while the store does not answer this
+ * one. The store may reject single VMs and serve the others.
  *
  * @module
  */
 import type { RandomSource } from "../../core/random_source.ts";
 import type { LinkIdentity } from "../../links/link_server.ts";
-import type { EntryMemories } from "./entry_memories.ts";
+import type { ReplicatedState } from "./entry_memories.ts";
 import { PeerClient } from "./peer_client.ts";
 import { choosePeers } from "./peer_choice.ts";
 import type { KnownNews, StoreNewsMessage } from "../../messages/peer_types.ts";
 
 /**
- * Milliseconds between two rounds of questions. A back end that leaves may be sent
- * work for two seconds, settings may be in force two seconds late.
+ * Milliseconds between two rounds of queries. A leaving back end may receive requests for
+ * two seconds, and settings may take effect two seconds late.
  */
-const ASK_INTERVAL_MS = 250;
-/** Rounds after which other entries are drawn: those asked may know no more. */
-const ROUNDS_BEFORE_REDRAW = 12;
+const QUERY_INTERVAL_MS = 250;
+/**
+ * Number of rounds after which other entries are chosen, since the current ones may know
+ * no more than this one.
+ */
+const ROUNDS_BEFORE_RESAMPLING = 12;
 
 /** Options of a {@link PeerFollower}. */
 export interface PeerFollowerOptions {
@@ -25,14 +28,14 @@
   readonly ownAddress: string;
   readonly seedAddresses: readonly string[];
   readonly random: RandomSource;
-  /** What this entry has already. */
+  /** Returns what this entry knows already. */
   readonly getKnown: () => KnownNews;
-  readonly memories: EntryMemories;
-  /** `askedAt` is when the question that this answers was sent. */
-  readonly onNews: (news: StoreNewsMessage, askedAt?: number) => void;
+  readonly replicatedState: ReplicatedState;
+  /** `askedAt` is when the query that the update answers was sent. */
+  readonly onUpdate: (update: StoreNewsMessage, askedAt?: number) => void;
 }
 
-/** Asks other entries while the store does not answer. */
+/** Queries other entries while the store does not answer. */
 export class PeerFollower {
   readonly #options: PeerFollowerOptions;
   #listed: readonly string[] = [];
@@ -41,25 +44,25 @@
   #timer: NodeJS.Timeout | undefined;
   #rounds = 0;
 
-  /** Asks nobody yet. */
+  /** Sends no queries yet. */
   constructor(options: PeerFollowerOptions) {
     this.#options = options;
   }
 
-  /** Addresses of the entries that list themselves in the store. */
+  /** Sets the addresses of the entries registered in the store. */
   setListed(addresses: readonly string[]): void {
     this.#listed = addresses;
   }
 
-  /** The store does not answer: asks others, until {@link stop}. */
+  /** Starts querying other entries. Runs until {@link stop}. */
   start(): void {
     if (this.#timer !== undefined) return;
     this.#rounds = 0;
-    this.#dialDrawn();
-    this.#timer = setInterval(() => this.#ask(), ASK_INTERVAL_MS);
+    this.#dialSample();
+    this.#timer = setInterval(() => this.#queryPeers(), QUERY_INTERVAL_MS);
   }
 
-  /** The store answers again, or the process ends. */
+  /** Stops querying and closes all connections. */
   stop(): void {
     clearInterval(this.#timer);
     this.#timer = undefined;
@@ -67,52 +70,54 @@
     this.#clients.clear();
   }
 
-  /** Settles with the next answer of any entry, whether or not it is news. */
+  /**
+   * Resolves with the next answer of any entry, whether or not it contains anything new.
+   */
   nextAnswer(): Promise<void> {
     return new Promise((resolve) => this.#waiting.add(resolve));
   }
 
-  #ask(): void {
+  #queryPeers(): void {
     this.#rounds++;
-    if (this.#rounds % ROUNDS_BEFORE_REDRAW === 0) this.#dialDrawn();
-    for (const client of this.#clients.values()) client.ask();
+    if (this.#rounds % ROUNDS_BEFORE_RESAMPLING === 0) this.#dialSample();
+    for (const client of this.#clients.values()) client.query();
   }
 
-  #dialDrawn(): void {
+  #dialSample(): void {
     const { ownAddress, seedAddresses, random } = this.#options;
     const listed = this.#listed;
-    const drawn = choosePeers(
+    const sample = choosePeers(
       { listed, seeds: seedAddresses, ownAddress },
       random,
     );
     for (const [address, client] of this.#clients) {
-      if (drawn.includes(address)) continue;
+      if (sample.includes(address)) continue;
       client.stop();
       this.#clients.delete(address);
     }
-    for (const address of drawn) {
+    for (const address of sample) {
       if (!this.#clients.has(address)) this.#dial(address);
     }
   }
 
   #dial(address: string): void {
-    const { identity, getKnown, memories } = this.#options;
+    const { identity, getKnown, replicatedState } = this.#options;
     const client = new PeerClient({
       address,
       identity,
       getKnown,
-      memories,
+      replicatedState,
       isFollowing: false,
-      onNews: (news, askedAt) => this.#receive(news, askedAt),
-      // The client dials again, and the next draw may leave the address out.
+      onUpdate: (update, askedAt) => this.#receive(update, askedAt),
+      // The client reconnects by itself until another sample leaves out its address.
       onDisconnected: () => undefined,
     });
-    client.ask();
+    client.query();
     this.#clients.set(address, client);
   }
 
-  #receive(news: StoreNewsMessage, askedAt: number | undefined): void {
-    this.#options.onNews(news, askedAt);
+  #receive(update: StoreNewsMessage, askedAt: number | undefined): void {
+    this.#options.onUpdate(update, askedAt);
     for (const resolve of this.#waiting) resolve();
     this.#waiting.clear();
   }
--- a/src/direct/peers/peer_server.ts
+++ b/src/direct/peers/peer_server.ts
@@ -1,5 +1,5 @@
 /**
- * Tells other entries what this one heard from the store, and what it remembers.
+ * Sends other entries what this one knows from the store, and its replicated state.
  *
  * @module
  */
@@ -13,11 +13,11 @@
 import type { SettingsInUse } from "../settings_follower.ts";
 import type { PermitAnswer } from "../../policy/send_permits.ts";
 import {
-  areSame,
-  type EntryMemories,
-  getContents,
-  type MemoriesTeller,
-  type MemoryContents,
+  areDigestsEqual,
+  getDigests,
+  type ReplicatedState,
+  type StateDigests,
+  type StateReplicator,
 } from "./entry_memories.ts";
 import type {
   KnownNews,
@@ -27,17 +27,20 @@
   StoreNewsQueryMessage,
 } from "../../messages/peer_types.ts";
 
-/** Bytes on their way to a follower beyond which it is told nothing more. */
-const MOST_UNSENT_BYTES = 65_536;
+/**
+ * Maximum number of unsent bytes to a follower. Beyond it, the follower gets no further
+ * updates.
+ */
+const MAX_UNSENT_BYTES = 65_536;
 
-/** What an entry knows from the store. */
-export interface StoreKnowledge {
-  /** Whether the store answers this entry, or the reader that it asks. */
+/** The state of the store as known to an entry. */
+export interface KnownStoreState {
+  /** Whether the store answers this entry, or the reader that it follows. */
   readonly isReading: boolean;
   readonly settings: SettingsInUse | undefined;
-  /** When the store was asked whether there are newer settings, in milliseconds. */
+  /** When the store was last queried for newer settings, in milliseconds. */
   readonly settingsCheckedAt: number;
-  /** The drains that the store holds; undefined before they were read. */
+  /** The drains in the store; undefined until they were read. */
   readonly drains?: DrainSet;
   readonly directory: Directory | undefined;
   readonly processes: ProcessNews;
@@ -47,28 +50,28 @@
 export interface PeerServerOptions {
   readonly identity: LinkIdentity;
   readonly log: EventLog;
-  readonly getKnowledge: () => StoreKnowledge;
-  readonly memories: EntryMemories;
-  /** Gives permits for a target that has named a limit. */
-  readonly givePermits: (target: string, count: number) => PermitAnswer;
+  readonly getStoreState: () => KnownStoreState;
+  readonly replicatedState: ReplicatedState;
+  /** Issues permits for a target that has named a limit. */
+  readonly issuePermits: (target: string, count: number) => PermitAnswer;
 }
 
-/** News of the store alone. */
-type StoreNews = Omit<StoreNewsMessage, "memories">;
+/** An update of the store, without replicated state. */
+type StoreUpdate = Omit<StoreNewsMessage, "memories">;
 
-/** What one that follows has been told. */
+/** The state that was sent to a follower. */
 interface Follower {
   readonly known: KnownNews;
-  /** What it remembers, in short. */
-  readonly contents: MemoryContents;
-  readonly teller: MemoriesTeller;
+  /** Digests of this entry's replicated state when it was last sent. */
+  readonly digests: StateDigests;
+  readonly replicator: StateReplicator;
 }
 
 /** Answers the queries of other entries. */
 export class PeerServer {
   readonly #options: PeerServerOptions;
   readonly #listener = new HttpListener();
-  /** Connections of those who follow, with what they were told. */
+  /** Connections of the followers, with the state that was sent to each. */
   readonly #followers = new Map<Link, Follower>();
 
   /** Does not listen yet. */
@@ -79,17 +82,17 @@
       welcome: { pool: "entries", concurrency: 0 },
       listener: {
         onPeer: (link) => {
-          const teller = options.memories.createTeller();
+          const replicator = options.replicatedState.createReplicator();
           return {
             onMessage: (message) => {
               if (message.kind === "store_news_query") {
-                this.#answer(link, message, teller);
+                this.#answer(link, message, replicator);
               }
               if (message.kind === "send_permit_query") {
-                this.#givePermits(link, message);
+                this.#issuePermits(link, message);
               }
             },
-            // Whoever asks dials again.
+            // A follower reconnects by itself.
             onClose: () => this.#followers.delete(link),
           };
         },
@@ -103,9 +106,9 @@
   }
 
   /**
-   * Listens.
+   * Listens on `address`.
    *
-   * @throws when the address cannot be had
+   * @throws when the address is not available
    */
   async listen(address: string): Promise<void> {
     await this.#listener.listen(address);
@@ -116,82 +119,80 @@
     this.#listener.close();
   }
 
-  /** Tells those who follow what is news to them. */
-  tellFollowers(): void {
-    const knowledge = this.#options.getKnowledge();
-    const { contents: own } = this.#options.memories;
-    for (const [link, { known, contents, teller }] of this.#followers) {
-      // One that does not read is better off with a list of its own.
-      if (link.bufferedBytes > MOST_UNSENT_BYTES) continue;
-      if (!hasNews(knowledge, known) && areSame(contents, own)) continue;
+  /** Sends each follower the changes that it does not know yet. */
+  updateFollowers(): void {
+    const state = this.#options.getStoreState();
+    const { digests: own } = this.#options.replicatedState;
+    for (const [link, { known, digests, replicator }] of this.#followers) {
+      // A follower that does not keep up should list the store itself instead.
+      if (link.bufferedBytes > MAX_UNSENT_BYTES) continue;
+      if (!hasUpdate(state, known) && areDigestsEqual(digests, own)) continue;
       const now = performance.now();
       link.send({
-        ...createNews(knowledge, known, now),
-        memories: teller.tell(contents, now),
+        ...createNews(state, known, now),
+        memories: replicator.createUpdate(digests, now),
       });
-      this.#follow(link, knownAfter(knowledge, known), teller);
+      this.#follow(link, mergeKnown(state, known), replicator);
     }
   }
 
-  #follow(link: Link, known: KnownNews, teller: MemoriesTeller): void {
-    const { contents } = this.#options.memories;
-    this.#followers.set(link, { known, contents, teller });
+  #follow(link: Link, known: KnownNews, replicator: StateReplicator): void {
+    const { digests } = this.#options.replicatedState;
+    this.#followers.set(link, { known, digests, replicator });
   }
 
-  #givePermits(
+  #issuePermits(
     link: Link,
     { queryId, target, count }: SendPermitQueryMessage,
   ): void {
-    const answer = this.#options.givePermits(target, count);
+    const answer = this.#options.issuePermits(target, count);
     link.send({ kind: "send_permits", queryId, ...answer });
   }
 
   #answer(
     link: Link,
     query: StoreNewsQueryMessage,
-    teller: MemoriesTeller,
+    replicator: StateReplicator,
   ): void {
-    const { getKnowledge, memories } = this.#options;
-    memories.take(query.memories, performance.now());
-    const knowledge = getKnowledge();
+    const { getStoreState, replicatedState } = this.#options;
+    replicatedState.apply(query.memories, performance.now());
+    const state = getStoreState();
     if (query.isFollowing) {
-      this.#follow(link, knownAfter(knowledge, query), teller);
+      this.#follow(link, mergeKnown(state, query), replicator);
     }
     const now = performance.now();
     link.send({
-      ...createNews(knowledge, query, now),
-      memories: teller.tell(getContents(query.memories), now),
+      ...createNews(state, query, now),
+      memories: replicator.createUpdate(getDigests(query.memories), now),
       queryId: query.queryId,
     });
   }
 }
 
 /**
- * What of the knowledge is news to the asker; `now` in milliseconds.
+ * Creates an update with what the receiver does not know yet; `now` is in milliseconds.
  *
  * @example
  * ```ts
- * const news = createNews(knowledge, { settingsVersion: 3 }, now);
+ * const update = createNews(state, { settingsVersion: 3 }, now);
  * ```
  */
 export function createNews(
-  knowledge: StoreKnowledge,
+  state: KnownStoreState,
   known: KnownNews,
   now: number,
-): StoreNews {
-  const { isReading, settings, settingsCheckedAt, directory } = knowledge;
-  const { processes, drains } = knowledge;
+): StoreUpdate {
+  const { isReading, settings, settingsCheckedAt, directory } = state;
+  const { processes, drains } = state;
   const isListNew = directory?.content !== known.directoryContent;
   return {
     kind: "store_news",
     isReading,
-    settingsText: hasNewerSettings(knowledge, known)
-      ? settings?.text
-      : undefined,
+    settingsText: hasNewerSettings(state, known) ? settings?.text : undefined,
     settingsAgeMs: Number.isFinite(settingsCheckedAt)
       ? Math.max(0, now - settingsCheckedAt)
       : undefined,
-    drains: hasNewerDrains(knowledge, known) ? drains : undefined,
+    drains: hasNewerDrains(state, known) ? drains : undefined,
     directory: directory && Number.isFinite(directory.askedAt)
       ? {
         revision: directory.revision,
@@ -200,20 +201,20 @@
         instances: isListNew ? directory.instances : undefined,
       }
       : undefined,
-    processes: hasNewerProcesses(knowledge, known) ? processes : undefined,
+    processes: hasNewerProcesses(state, known) ? processes : undefined,
   };
 }
 
-function hasNews(knowledge: StoreKnowledge, known: KnownNews): boolean {
-  const { directory } = knowledge;
-  return hasNewerSettings(knowledge, known) ||
-    hasNewerProcesses(knowledge, known) ||
-    hasNewerDrains(knowledge, known) ||
+function hasUpdate(state: KnownStoreState, known: KnownNews): boolean {
+  const { directory } = state;
+  return hasNewerSettings(state, known) ||
+    hasNewerProcesses(state, known) ||
+    hasNewerDrains(state, known) ||
     (directory !== undefined && directory.content !== known.directoryContent);
 }
 
 function hasNewerSettings(
-  { settings }: StoreKnowledge,
+  { settings }: KnownStoreState,
   { settingsVersion }: KnownNews,
 ): boolean {
   return settings !== undefined &&
@@ -221,7 +222,7 @@
 }
 
 function hasNewerProcesses(
-  { processes }: StoreKnowledge,
+  { processes }: KnownStoreState,
   { processesRevision }: KnownNews,
 ): boolean {
   return processesRevision !== undefined &&
@@ -229,15 +230,15 @@
 }
 
 function hasNewerDrains(
-  { drains }: StoreKnowledge,
+  { drains }: KnownStoreState,
   { drainsRevision }: KnownNews,
 ): boolean {
   return drains !== undefined && drains.revision > (drainsRevision ?? -1);
 }
 
-/** What an entry has once it was told what was news to it. */
-function knownAfter(
-  { settings, directory, processes, drains }: StoreKnowledge,
+/** Returns what a receiver knows after it received an update. */
+function mergeKnown(
+  { settings, directory, processes, drains }: KnownStoreState,
   known: KnownNews,
 ): KnownNews {
   return {
--- a/src/direct/peers/peer_server_test.ts
+++ b/src/direct/peers/peer_server_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { SettingsInUse } from "../settings_follower.ts";
-import { createNews, type StoreKnowledge } from "./peer_server.ts";
+import { createNews, type KnownStoreState } from "./peer_server.ts";
 
 function createSettings(version: number): SettingsInUse {
   return {
@@ -16,9 +16,9 @@
   };
 }
 
-function createKnowledge(
-  changes: Partial<StoreKnowledge> = {},
-): StoreKnowledge {
+function createStoreState(
+  changes: Partial<KnownStoreState> = {},
+): KnownStoreState {
   return {
     isReading: true,
     settings: createSettings(4),
@@ -30,57 +30,61 @@
 }
 
 describe("createNews", () => {
-  it("tells all to an entry that knows nothing, with its age", () => {
-    const news = createNews(createKnowledge(), { processesRevision: 0 }, 350);
-    assert.equal(news.settingsText, "settings 4");
-    assert.equal(news.settingsAgeMs, 300);
-    assert.deepEqual(news.directory, {
+  it("includes everything and its age for an entry that knows nothing", () => {
+    const update = createNews(
+      createStoreState(),
+      { processesRevision: 0 },
+      350,
+    );
+    assert.equal(update.settingsText, "settings 4");
+    assert.equal(update.settingsAgeMs, 300);
+    assert.deepEqual(update.directory, {
       instances: [],
       revision: 9,
       content: "none",
       ageMs: 250,
     });
-    assert.equal(news.processes?.revision, 3);
+    assert.equal(update.processes?.revision, 3);
   });
 
-  it("tells drains to who knows none or older ones, with the settings", () => {
+  it("includes drains for an entry that knows none or older ones", () => {
     const drains = { revision: 7, failureDomains: ["a"] };
-    const told = (drainsRevision?: number) =>
-      createNews(createKnowledge({ drains }), { drainsRevision }, 350).drains;
-    assert.deepEqual(told(), drains);
-    assert.deepEqual(told(6), drains);
-    assert.equal(told(7), undefined);
-    assert.equal(createNews(createKnowledge(), {}, 350).drains, undefined);
+    const drainsFor = (drainsRevision?: number) =>
+      createNews(createStoreState({ drains }), { drainsRevision }, 350).drains;
+    assert.deepEqual(drainsFor(), drains);
+    assert.deepEqual(drainsFor(6), drains);
+    assert.equal(drainsFor(7), undefined);
+    assert.equal(createNews(createStoreState(), {}, 350).drains, undefined);
   });
 
-  it("says whether it has this from the store, or from whom it helps", () => {
-    const turnedAway = createKnowledge({ isReading: false });
-    assert.equal(createNews(turnedAway, {}, 350).isReading, false);
+  it("includes whether the store answers the sender", () => {
+    const withoutReader = createStoreState({ isReading: false });
+    assert.equal(createNews(withoutReader, {}, 350).isReading, false);
   });
 
-  it("leaves out what the asker has, and tells how old that is", () => {
+  it("omits what the receiver knows already, but includes its age", () => {
     const known = {
       settingsVersion: 4,
       directoryContent: "none",
       processesRevision: 3,
     };
-    const news = createNews(createKnowledge(), known, 350);
-    assert.equal(news.settingsText, undefined);
-    assert.equal(news.settingsAgeMs, 300);
-    assert.equal(news.directory?.instances, undefined);
-    assert.equal(news.directory?.ageMs, 250);
-    assert.equal(news.processes, undefined);
+    const update = createNews(createStoreState(), known, 350);
+    assert.equal(update.settingsText, undefined);
+    assert.equal(update.settingsAgeMs, 300);
+    assert.equal(update.directory?.instances, undefined);
+    assert.equal(update.directory?.ageMs, 250);
+    assert.equal(update.processes, undefined);
   });
 
-  it("tells nothing when it knows nothing", () => {
-    const empty = createKnowledge({
+  it("is empty when the sender knows nothing", () => {
+    const empty = createStoreState({
       settings: undefined,
       settingsCheckedAt: Number.NEGATIVE_INFINITY,
       directory: undefined,
     });
-    const news = createNews(empty, {}, 350);
-    assert.equal(news.settingsText, undefined);
-    assert.equal(news.settingsAgeMs, undefined);
-    assert.equal(news.directory, undefined);
+    const update = createNews(empty, {}, 350);
+    assert.equal(update.settingsText, undefined);
+    assert.equal(update.settingsAgeMs, undefined);
+    assert.equal(update.directory, undefined);
   });
 });
--- a/src/direct/peers/permit_asker.ts
+++ b/src/direct/peers/permit_asker.ts
@@ -1,5 +1,5 @@
 /**
- * Asks other entries for permits to send to targets that have named limits.
+ * Requests permits from other entries to send to targets that have named limits.
  *
  * @module
  */
@@ -14,127 +14,128 @@
   type PermitQuestion,
 } from "../../policy/send_permits.ts";
 
-/** Milliseconds after which a connection that is not used is closed. */
-const IDLE_MS = 15_000;
+/** Milliseconds after which an unused connection is closed. */
+const IDLE_TIMEOUT_MS = 15_000;
 
-/** Options of a {@link PermitAsker}. */
-export interface PermitAskerOptions {
+/** Options of a {@link PermitRequester}. */
+export interface PermitRequesterOptions {
   readonly identity: LinkIdentity;
-  /** Host and port of an entry; undefined: it is not listed any more. */
+  /** Returns the host and port of an entry; undefined if it is no longer listed. */
   readonly tryAddress: (entry: string) => string | undefined;
-  /** Called once for each question. */
+  /** Called once for each request. */
   readonly onOutcome: (outcome: PermitOutcome) => void;
 }
 
-/** A question without an answer yet. */
-interface OpenQuestion {
-  readonly question: PermitQuestion;
+/** A request that has no answer yet. */
+interface PendingRequest {
+  readonly request: PermitQuestion;
   readonly askedAt: number;
-  readonly limit: NodeJS.Timeout;
+  readonly timeout: NodeJS.Timeout;
 }
 
-/** A connection to one entry that gives permits. */
-interface Giver {
+/** A connection to an entry that issues permits. */
+interface Issuer {
   readonly client: LinkClient;
   link: Link | undefined;
-  /** Questions that wait for the connection. */
-  waiting: number[];
-  idle: NodeJS.Timeout;
+  /** Requests that wait for the connection. */
+  pendingQueryIds: number[];
+  idleTimer: NodeJS.Timeout;
 }
 
-/** Asks other entries for permits. */
-export class PermitAsker {
-  readonly #options: PermitAskerOptions;
-  readonly #givers = new Map<string, Giver>();
-  readonly #open = new Map<number, OpenQuestion>();
+/** Requests permits from other entries. */
+export class PermitRequester {
+  readonly #options: PermitRequesterOptions;
+  readonly #issuers = new Map<string, Issuer>();
+  readonly #pending = new Map<number, PendingRequest>();
   #queryId = 0;
 
-  /** Connects to nobody yet. */
-  constructor(options: PermitAskerOptions) {
+  /** Connects to no entry yet. */
+  constructor(options: PermitRequesterOptions) {
     this.#options = options;
   }
 
-  /** Asks, and tells the outcome within {@link ASK_LIMIT_MS}. */
-  ask(question: PermitQuestion): void {
+  /** Requests permits, and reports the outcome within {@link ASK_LIMIT_MS}. */
+  request(request: PermitQuestion): void {
     const queryId = ++this.#queryId;
     const askedAt = performance.now();
-    const limit = setTimeout(() => this.#settle(queryId), ASK_LIMIT_MS);
-    this.#open.set(queryId, { question, askedAt, limit });
-    const address = this.#options.tryAddress(question.entry);
+    const timeout = setTimeout(() => this.#settle(queryId), ASK_LIMIT_MS);
+    this.#pending.set(queryId, { request, askedAt, timeout });
+    const address = this.#options.tryAddress(request.entry);
     if (address === undefined) {
-      // Not within the effects of the decision to ask.
+      // Deferred, so that the outcome is not reported while the effects of the decision
+      // to request permits are still applied.
       setImmediate(() => this.#settle(queryId));
       return;
     }
-    const giver = this.#givers.get(address) ?? this.#connect(address);
-    giver.idle.refresh();
-    if (giver.link === undefined) giver.waiting.push(queryId);
-    else this.#send(giver.link, queryId);
+    const issuer = this.#issuers.get(address) ?? this.#connect(address);
+    issuer.idleTimer.refresh();
+    if (issuer.link === undefined) issuer.pendingQueryIds.push(queryId);
+    else this.#send(issuer.link, queryId);
   }
 
   /** Closes all connections. */
   close(): void {
-    for (const address of [...this.#givers.keys()]) this.#disconnect(address);
-    for (const { limit } of this.#open.values()) clearTimeout(limit);
-    this.#open.clear();
+    for (const address of [...this.#issuers.keys()]) this.#disconnect(address);
+    for (const { timeout } of this.#pending.values()) clearTimeout(timeout);
+    this.#pending.clear();
   }
 
-  #connect(address: string): Giver {
+  #connect(address: string): Issuer {
     const client = new LinkClient({
       address,
       role: "entry",
       identity: this.#options.identity,
       listener: {
-        onConnected: (link) => this.#connected(giver, link),
+        onConnected: (link) => this.#onConnected(issuer, link),
         onMessage: (message) => {
           if (message.kind !== "send_permits") return;
           const { queryId, granted, waitMs } = message;
           this.#settle(queryId, { granted, waitMs });
         },
-        onDisconnected: () => giver.link = undefined,
+        onDisconnected: () => issuer.link = undefined,
         onDialFailed: () => undefined,
       },
     });
-    const giver: Giver = {
+    const issuer: Issuer = {
       client,
       link: undefined,
-      waiting: [],
-      idle: setTimeout(() => this.#disconnect(address), IDLE_MS),
+      pendingQueryIds: [],
+      idleTimer: setTimeout(() => this.#disconnect(address), IDLE_TIMEOUT_MS),
     };
-    this.#givers.set(address, giver);
-    return giver;
+    this.#issuers.set(address, issuer);
+    return issuer;
   }
 
-  #connected(giver: Giver, link: Link): void {
-    giver.link = link;
-    const { waiting } = giver;
-    giver.waiting = [];
-    for (const queryId of waiting) this.#send(link, queryId);
+  #onConnected(issuer: Issuer, link: Link): void {
+    issuer.link = link;
+    const { pendingQueryIds } = issuer;
+    issuer.pendingQueryIds = [];
+    for (const queryId of pendingQueryIds) this.#send(link, queryId);
   }
 
   #disconnect(address: string): void {
-    const giver = this.#givers.get(address);
-    if (giver === undefined) return;
-    clearTimeout(giver.idle);
-    giver.client.stop();
-    this.#givers.delete(address);
+    const issuer = this.#issuers.get(address);
+    if (issuer === undefined) return;
+    clearTimeout(issuer.idleTimer);
+    issuer.client.stop();
+    this.#issuers.delete(address);
   }
 
-  /** One that waited too long for the connection is not asked any more. */
+  /** Sends a request, unless it has timed out while waiting for the connection. */
   #send(link: Link, queryId: number): void {
-    const open = this.#open.get(queryId);
-    if (open === undefined) return;
-    const { target, count } = open.question;
+    const pending = this.#pending.get(queryId);
+    if (pending === undefined) return;
+    const { target, count } = pending.request;
     link.send({ kind: "send_permit_query", queryId, target, count });
   }
 
   #settle(queryId: number, answer?: PermitAnswer): void {
-    const open = this.#open.get(queryId);
-    if (open === undefined) return;
-    this.#open.delete(queryId);
-    clearTimeout(open.limit);
-    const { target, entry } = open.question;
-    const { askedAt } = open;
+    const pending = this.#pending.get(queryId);
+    if (pending === undefined) return;
+    this.#pending.delete(queryId);
+    clearTimeout(pending.timeout);
+    const { target, entry } = pending.request;
+    const { askedAt } = pending;
     this.#options.onOutcome({ target, entry, askedAt, answer });
   }
 }
--- a/src/direct/peers/reader_follower.ts
+++ b/src/direct/peers/reader_follower.ts
@@ -1,50 +1,51 @@
 /**
- * Asks the entry that reads the platform's store for this one, and hears its news.
+ * Queries the entry that reads the platform's store for this one, and receives its
+ * updates.
  *
  * @module
  */
 import type { LinkIdentity } from "../../links/link_server.ts";
-import type { EntryMemories } from "./entry_memories.ts";
+import type { ReplicatedState } from "./entry_memories.ts";
 import { PeerClient } from "./peer_client.ts";
 import type { KnownNews, StoreNewsMessage } from "../../messages/peer_types.ts";
 
 /** Options of {@link ReaderFollower}. */
 export interface ReaderFollowerOptions {
   readonly identity: LinkIdentity;
-  /** What this entry has already. */
+  /** Returns what this entry knows already. */
   readonly getKnown: () => KnownNews;
-  readonly memories: EntryMemories;
-  /** `askedAt` is when the question that this answers was sent. */
-  readonly onNews: (
-    news: StoreNewsMessage,
+  readonly replicatedState: ReplicatedState;
+  /** `askedAt` is when the query that the update answers was sent. */
+  readonly onUpdate: (
+    update: StoreNewsMessage,
     from: { readonly address: string; readonly askedAt?: number },
   ) => void;
   readonly onLost: (address: string) => void;
 }
 
-/** Keeps a connection to the entry that was asked last. */
+/** Keeps a connection to the entry that was queried last. */
 export class ReaderFollower {
   readonly #options: ReaderFollowerOptions;
   #client: PeerClient | undefined;
   #address: string | undefined;
 
-  /** Dials nobody yet. */
+  /** Connects to no entry yet. */
   constructor(options: ReaderFollowerOptions) {
     this.#options = options;
   }
 
-  /** Asks an entry; the connection to another one before it is closed. */
-  ask(address: string): void {
+  /** Queries an entry. Closes the connection to any other entry queried before. */
+  query(address: string): void {
     if (address !== this.#address) this.#dial(address);
-    this.#client?.ask();
+    this.#client?.query();
   }
 
-  /** Asks the entry that was asked last, if any was. */
-  askAgain(): void {
-    this.#client?.ask();
+  /** Queries the last queried entry again, if any. */
+  queryAgain(): void {
+    this.#client?.query();
   }
 
-  /** Hears no more. */
+  /** Closes the connection. */
   stop(): void {
     this.#client?.stop();
     this.#client = undefined;
@@ -53,15 +54,16 @@
 
   #dial(address: string): void {
     this.stop();
-    const { identity, getKnown, memories, onNews, onLost } = this.#options;
+    const { identity, getKnown, replicatedState, onUpdate, onLost } =
+      this.#options;
     this.#address = address;
     this.#client = new PeerClient({
       address,
       identity,
       getKnown,
-      memories,
+      replicatedState,
       isFollowing: true,
-      onNews: (news, askedAt) => onNews(news, { address, askedAt }),
+      onUpdate: (update, askedAt) => onUpdate(update, { address, askedAt }),
       onDisconnected: () => onLost(address),
     });
   }
--- a/src/direct/peers/reader_turns.ts
+++ b/src/direct/peers/reader_turns.ts
@@ -1,180 +1,194 @@
 /**
- * When an entry asks the platform's store itself, and when it asks another entry that
- * reads the store for it. Decides only; times and answers come in.
+ * Decides when an entry queries the platform's store itself, and when it queries another
+ * entry that reads the store for it. Makes decisions only; the caller passes in times and
+ * answers.
  *
- * One entry reads for the whole fleet: each asks the first of its failure domain, and
- * these ask the first of all. So calls to the store follow changes and time, not the
- * number of entries.
+ * One entry reads the store for the whole fleet: each entry queries the first one of its
+ * failure domain, and these query the first of all entries. So the number of calls to the
+ * store depends on changes and time, not on the number of entries.
  *
- * What an entry knows is as old as its reader's knowledge was when it answered, plus the
- * time since the question left: a bound that needs no clock in common, and that holds
- * also for an answer that lay unread. Where the bound is not kept, be it that the reader
- * stands still, is cut off, is turned away by the store or follows another that is, the
- * entry asks the store. So no agreement on who reads is needed.
+ * The state that an entry knows is as old as its reader's state was when it answered,
+ * plus the time since the query was sent. This upper bound on the age needs no shared
+ * clock, and also holds for an answer that was read late. When the bound exceeds the
+ * limit, because the reader is frozen, disconnected, rejected by the store or follows
+ * another entry that is, the entry queries the store itself. So the entries need not
+ * agree on who reads.
  *
  * @module
  */
 import type { ReaderCandidates } from "./peer_choice.ts";
 
 /**
- * Lists that fit into the time in which a back end that leaves may be sent work. A watch
- * would be woken by each heartbeat, ten times as often.
+ * Listings of the store within the time for which a leaving back end may still receive
+ * requests. A watch would return at each heartbeat, ten times as often.
  */
-const LISTS_IN_LEAVING_TIME = 2.85;
-/** Questions to a reader that fit into that time: they cost no call. */
-const QUESTIONS_IN_LEAVING_TIME = 12;
+const LISTINGS_PER_LEAVING_LIMIT = 2.85;
+/** Queries to a reader within that time. They cost no call to the store. */
+const QUERIES_PER_LEAVING_LIMIT = 12;
 /**
- * Part of that time beyond which knowledge is too old: a list, 0.35, and two questions on
- * the way from the first reader, 0.08 each, with some time for the answers. What is left
- * is for an own list that has to be made again.
+ * Maximum age of the known state, as a fraction of the time for which a leaving back end
+ * may still receive requests: 0.35 for the interval between listings, 0.08 for each of
+ * two queries on the way from the first reader, and some time for the answers. The rest
+ * is for a listing by the entry itself, which may have to be retried.
  */
-const OLDEST_PART = 0.7;
+const MAX_AGE_FRACTION = 0.7;
 /**
- * The same for the first of a failure domain, which asks one less: it lists the store before
- * those that ask it find its knowledge too old, and so not all of them list at once.
+ * The same maximum for the first entry of a failure domain, which is one query closer to
+ * the first reader. It lists the store before the state of its followers is too old, so
+ * that they do not all list at once.
  */
-const OLDEST_PART_OF_FIRST = 0.52;
-/** Milliseconds after which a reader that has not answered is asked once more. */
-const ANSWER_LIMIT_MS = 300;
-/** Questions in a row without an answer after which another reader is asked. */
-const MOST_MISSES = 2;
-/** Milliseconds for which a reader that failed is not asked again, doubled each time. */
-const SUSPICION_MS = 5000;
-/** Times after which that doubles no more: one that is gone is listed for 25 s yet. */
-const MOST_DOUBLINGS = 3;
+const MAX_AGE_FRACTION_OF_FIRST = 0.52;
+/** Milliseconds after which a reader that has not answered is queried again. */
+const ANSWER_TIMEOUT_MS = 300;
+/** Unanswered queries in a row after which another reader is queried. */
+const MAX_MISSES = 2;
+/**
+ * Milliseconds for which a failed reader is not queried again. Doubled for each further
+ * failure.
+ */
+const FAILED_READER_PAUSE_MS = 5000;
+/** Maximum number of doublings. A reader that is gone remains listed for 25 s. */
+const MAX_PAUSE_DOUBLINGS = 3;
 
-/** What to do now. */
-export type ReaderTurn =
+/** The next action of an entry. */
+export type ReaderAction =
   | { readonly kind: "list" }
   | { readonly kind: "ask"; readonly address: string }
   | { readonly kind: "nothing" };
 
-/** What a reader answered. */
+/** An answer of a reader. */
 export interface ReaderAnswer {
-  /** When the question that it answers was sent, in milliseconds. */
+  /** When the query that it answers was sent, in milliseconds. */
   readonly askedAt: number;
-  /** How old the reader's knowledge was then; undefined: it has none. */
+  /** Age of the reader's state when it answered; undefined if it has none. */
   readonly ageMs: number | undefined;
 }
 
-interface Suspicion {
+interface ReaderFailure {
   readonly until: number;
-  /** Failures in a row. */
-  readonly failures: number;
+  /** Number of failures in a row. */
+  readonly failureCount: number;
 }
 
-interface OpenQuestion {
+interface PendingQuery {
   readonly address: string;
   readonly askedAt: number;
 }
 
-const NOTHING: ReaderTurn = { kind: "nothing" };
+const NO_ACTION: ReaderAction = { kind: "nothing" };
 
-/** Decides when to ask whom. */
+/** Decides when to query a reader and when to list the store. */
 export class ReaderTurns {
   readonly #listIntervalMs: number;
-  readonly #askIntervalMs: number;
+  readonly #queryIntervalMs: number;
   readonly #leavingLimitMs: number;
-  #oldestMs: number;
+  #maxAgeMs: number;
   #candidates: readonly string[] = [];
-  readonly #suspicions = new Map<string, Suspicion>();
-  #open: OpenQuestion | undefined;
+  readonly #failures = new Map<string, ReaderFailure>();
+  #pendingQuery: PendingQuery | undefined;
   #misses = 0;
-  #askedAt = Number.NEGATIVE_INFINITY;
+  #queriedAt = Number.NEGATIVE_INFINITY;
   #listedAt = Number.NEGATIVE_INFINITY;
-  /** Nothing that the store said since is unknown here. */
+  /** Everything that the store contained at this time is known here. */
   #knownAt = Number.NEGATIVE_INFINITY;
   #isLed = false;
 
-  /** Takes the milliseconds for which a leaving back end may be sent work. */
+  /** Takes the milliseconds for which a leaving back end may still receive requests. */
   constructor(leavingLimitMs: number) {
-    this.#listIntervalMs = leavingLimitMs / LISTS_IN_LEAVING_TIME;
-    this.#askIntervalMs = leavingLimitMs / QUESTIONS_IN_LEAVING_TIME;
+    this.#listIntervalMs = leavingLimitMs / LISTINGS_PER_LEAVING_LIMIT;
+    this.#queryIntervalMs = leavingLimitMs / QUERIES_PER_LEAVING_LIMIT;
     this.#leavingLimitMs = leavingLimitMs;
-    this.#oldestMs = leavingLimitMs * OLDEST_PART;
+    this.#maxAgeMs = leavingLimitMs * MAX_AGE_FRACTION;
   }
 
-  /** Whether a reader tells all that is to be known, so that the store need not. */
+  /** Whether a reader sends all updates, so that the store need not be queried. */
   get isLed(): boolean {
     return this.#isLed;
   }
 
-  /** The entries that may read for this one. */
-  setCandidates({ addresses, isFirst }: ReaderCandidates): void {
+  /** Sets the entries that may read the store for this one. */
+  setCandidates({ addresses, isFirstOfDomain }: ReaderCandidates): void {
     this.#candidates = addresses;
-    this.#oldestMs = this.#leavingLimitMs *
-      (isFirst ? OLDEST_PART_OF_FIRST : OLDEST_PART);
-    const isListed = this.#open && addresses.includes(this.#open.address);
-    if (!isListed) this.#open = undefined;
+    this.#maxAgeMs = this.#leavingLimitMs *
+      (isFirstOfDomain ? MAX_AGE_FRACTION_OF_FIRST : MAX_AGE_FRACTION);
+    const isListed = this.#pendingQuery &&
+      addresses.includes(this.#pendingQuery.address);
+    if (!isListed) this.#pendingQuery = undefined;
     if (addresses.length === 0) this.#isLed = false;
   }
 
-  /** The store answered what was asked at a time in milliseconds. */
+  /**
+   * Records that the store answered a listing that was requested at `askedAt`, in
+   * milliseconds.
+   */
   noteListed(askedAt: number): void {
     this.#knownAt = Math.max(this.#knownAt, askedAt);
   }
 
-  /** A reader answered. */
+  /** Records the answer of a reader. */
   noteAnswer(address: string, answer: ReaderAnswer, now: number): void {
     if (!this.#candidates.includes(address)) return;
-    if (this.#open?.address === address) this.#open = undefined;
+    if (this.#pendingQuery?.address === address) this.#pendingQuery = undefined;
     const { askedAt, ageMs = Number.POSITIVE_INFINITY } = answer;
-    if (ageMs > this.#oldestMs) return this.noteFailed(address, now);
+    if (ageMs > this.#maxAgeMs) return this.recordFailure(address, now);
     const knownAt = askedAt - ageMs;
-    // An answer that was long on its way says little, and nothing against the reader.
-    if (now - knownAt > this.#oldestMs) return;
+    // A late answer is too old to be useful, but does not mean that the reader failed.
+    if (now - knownAt > this.#maxAgeMs) return;
     this.#misses = 0;
-    this.#suspicions.delete(address);
+    this.#failures.delete(address);
     this.#knownAt = Math.max(this.#knownAt, knownAt);
     this.#isLed = true;
   }
 
-  /** A reader cannot be reached, or knows too little. */
-  noteFailed(address: string, now: number): void {
-    const failures = (this.#suspicions.get(address)?.failures ?? 0) + 1;
-    const doubled = 2 ** Math.min(failures - 1, MOST_DOUBLINGS);
-    const until = now + SUSPICION_MS * doubled;
-    this.#suspicions.set(address, { until, failures });
+  /** Records that a reader cannot be reached, or that its state is too old. */
+  recordFailure(address: string, now: number): void {
+    const failureCount = (this.#failures.get(address)?.failureCount ?? 0) + 1;
+    const doubled = 2 ** Math.min(failureCount - 1, MAX_PAUSE_DOUBLINGS);
+    const until = now + FAILED_READER_PAUSE_MS * doubled;
+    this.#failures.set(address, { until, failureCount });
     this.#isLed = false;
     this.#misses = 0;
-    if (this.#open?.address === address) this.#open = undefined;
+    if (this.#pendingQuery?.address === address) this.#pendingQuery = undefined;
   }
 
   /**
-   * What to do now; to be called some times in a question's interval.
+   * Returns the next action. Must be called several times in each query interval.
    *
    * @example
    * ```ts
-   * const turn = turns.next(performance.now());
+   * const action = policy.next(performance.now());
    * ```
    */
-  next(now: number): ReaderTurn {
-    this.#giveUpSilent(now);
+  next(now: number): ReaderAction {
+    this.#expirePendingQuery(now);
     const reader = this.#candidates.find((address) =>
-      (this.#suspicions.get(address)?.until ?? now) <= now
+      (this.#failures.get(address)?.until ?? now) <= now
     );
-    const isOld = now - this.#knownAt > this.#oldestMs;
+    const isStale = now - this.#knownAt > this.#maxAgeMs;
     const mayList = now - this.#listedAt >= this.#listIntervalMs;
-    if (mayList && (reader === undefined || isOld)) {
+    if (mayList && (reader === undefined || isStale)) {
       this.#listedAt = now;
       return { kind: "list" };
     }
-    const mayAsk = this.#open === undefined &&
-      now - this.#askedAt >= this.#askIntervalMs;
-    if (reader === undefined || !mayAsk) return NOTHING;
-    this.#askedAt = now;
-    this.#open = { address: reader, askedAt: now };
+    const mayAsk = this.#pendingQuery === undefined &&
+      now - this.#queriedAt >= this.#queryIntervalMs;
+    if (reader === undefined || !mayAsk) return NO_ACTION;
+    this.#queriedAt = now;
+    this.#pendingQuery = { address: reader, askedAt: now };
     return { kind: "ask", address: reader };
   }
 
-  #giveUpSilent(now: number): void {
-    const open = this.#open;
-    if (open === undefined || now - open.askedAt < ANSWER_LIMIT_MS) return;
+  #expirePendingQuery(now: number): void {
+    const pendingQuery = this.#pendingQuery;
+    if (
+      pendingQuery === undefined ||
+      now - pendingQuery.askedAt < ANSWER_TIMEOUT_MS
+    ) return;
     this.#misses++;
-    if (this.#misses >= MOST_MISSES) {
-      return this.noteFailed(open.address, now);
+    if (this.#misses >= MAX_MISSES) {
+      return this.recordFailure(pendingQuery.address, now);
     }
-    this.#open = undefined;
-    this.#askedAt = Number.NEGATIVE_INFINITY;
+    this.#pendingQuery = undefined;
+    this.#queriedAt = Number.NEGATIVE_INFINITY;
   }
 }
--- a/src/direct/peers/reader_turns_test.ts
+++ b/src/direct/peers/reader_turns_test.ts
@@ -1,8 +1,8 @@
 /**
- * The load that these tests tell of: a hundred entries that each list the back ends, so
- * that calls to the platform's store were the greatest price of every day. One entry
- * reads for all; what each knows must still be no older than the time for which a back
- * end that leaves may be sent work.
+ * Guards against too many calls to the platform's store, which charges for each. With a
+ * hundred entries that each list the back ends, these calls are the largest daily cost.
+ * One entry reads for all, and the state that each entry knows must be no older than the
+ * time for which a leaving back end may still receive requests.
  *
  * @module
  */
@@ -41,18 +41,21 @@
 });
 
 describe("entries that read the store for each other", () => {
-  it("ask it as often as one entry would, however many they are", () => {
-    const alone = new ReadingFleet(
+  it("call it about as often as a single entry, however many there are", () => {
+    const single = new ReadingFleet(
       createOptions({ domains: 1, entriesPerDomain: 1 }),
     ).run(RUN_MS);
     const many = createOptions({ domains: 5, entriesPerDomain: 20 });
     const { lists, oldestMs } = new ReadingFleet(many).run(RUN_MS);
-    // Each lists once as it starts, and at times when an answer was late.
-    assert.ok(lists - 100 <= 4 * alone.lists, `${lists}, one ${alone.lists}`);
+    // Each entry lists once at its start, and again when an answer was late.
+    assert.ok(
+      lists - 100 <= 4 * single.lists,
+      `${lists}, single entry ${single.lists}`,
+    );
     assert.ok(oldestMs <= LEAVING_LIMIT_MS, `${oldestMs}`);
   });
 
-  it("never know less than the store said so long ago, whoever fails", () => {
+  it("never know a state older than the limit, whichever entries fail", () => {
     fc.assert(
       fc.property(
         fc.array(FAULTS, { maxLength: 12 }),
@@ -67,86 +70,90 @@
     );
   });
 
-  it("ask the next one when the first stands still", () => {
+  it("query the next one when the first is frozen", () => {
     const faults: readonly FleetFault[] = [
       { kind: "stands_still", entry: 0, at: 5000, forMs: 10_000 },
     ];
-    const calm = new ReadingFleet(createOptions()).run(RUN_MS);
+    const baseline = new ReadingFleet(createOptions()).run(RUN_MS);
     const result = new ReadingFleet(createOptions({ faults })).run(RUN_MS);
-    assert.ok(result.lists <= calm.lists + 45, `${result.lists}`);
+    assert.ok(result.lists <= baseline.lists + 45, `${result.lists}`);
   });
 });
 
-describe("a first entry that the store turns away", () => {
+describe("a first entry that the store rejects", () => {
   /**
-   * The pattern: the first of all is turned away for seconds and hears from others what
-   * these heard from it; all grew old together and listed at once, again and again.
+   * Guards against all entries listing at once, again and again. The store rejects the
+   * first entry for seconds, which then receives from other entries the state that it
+   * sent to them itself, so that the state of all grows old together.
    */
-  it("is replaced by one, not by all", () => {
+  it("is replaced by one other entry, not by all of them", () => {
     const faults: readonly FleetFault[] = [
       { kind: "turned_away", entry: 0, at: 3000, forMs: 15_000 },
     ];
     const options = { domains: 5, entriesPerDomain: 7 };
-    const calm = new ReadingFleet(createOptions(options)).run(RUN_MS);
+    const baseline = new ReadingFleet(createOptions(options)).run(RUN_MS);
     const fleet = new ReadingFleet(createOptions({ ...options, faults }));
     const { lists } = fleet.run(RUN_MS);
-    assert.ok(lists <= calm.lists + 45, `${lists}, calm ${calm.lists}`);
+    assert.ok(
+      lists <= baseline.lists + 45,
+      `${lists}, baseline ${baseline.lists}`,
+    );
   });
 });
 
 describe("a reader that is gone", () => {
-  it("is asked ever less often", () => {
-    const turns = new ReaderTurns(LEAVING_LIMIT_MS);
-    turns.setCandidates({ addresses: ["gone:1"], isFirst: false });
-    const asked: number[] = [];
+  it("is queried less and less often", () => {
+    const policy = new ReaderTurns(LEAVING_LIMIT_MS);
+    policy.setCandidates({ addresses: ["gone:1"], isFirstOfDomain: false });
+    const queries: number[] = [];
     for (let now = 0; now < 60_000; now += 50) {
-      const turn = turns.next(now);
-      if (turn.kind === "ask") asked.push(now);
-      if (turn.kind === "list") turns.noteListed(now);
+      const action = policy.next(now);
+      if (action.kind === "ask") queries.push(now);
+      if (action.kind === "list") policy.noteListed(now);
     }
-    assert.ok(asked.length <= 10, `${asked.length}`);
+    assert.ok(queries.length <= 10, `${queries.length}`);
   });
 });
 
-describe("what a reader answers", () => {
-  it("is not taken for the answer to a later question", () => {
-    const turns = createAsked();
-    turns.next(400);
-    turns.noteAnswer("reader:1", { askedAt: 10, ageMs: 0 }, 410);
-    // Nothing that the store said after 10 ms is known.
-    assert.equal(turns.next(1400).kind, "ask");
-    assert.equal(turns.next(1415).kind, "list");
+describe("an answer of a reader", () => {
+  it("is not mistaken for the answer to a later query", () => {
+    const policy = createQueried();
+    policy.next(400);
+    policy.noteAnswer("reader:1", { askedAt: 10, ageMs: 0 }, 410);
+    // Nothing that the store contained after 10 ms is known.
+    assert.equal(policy.next(1400).kind, "ask");
+    assert.equal(policy.next(1415).kind, "list");
   });
 
-  function createAsked(): ReaderTurns {
-    const turns = new ReaderTurns(LEAVING_LIMIT_MS);
-    turns.setCandidates({ addresses: ["reader:1"], isFirst: false });
-    turns.noteListed(0);
-    assert.deepEqual(turns.next(10), { kind: "ask", address: "reader:1" });
-    return turns;
+  function createQueried(): ReaderTurns {
+    const policy = new ReaderTurns(LEAVING_LIMIT_MS);
+    policy.setCandidates({ addresses: ["reader:1"], isFirstOfDomain: false });
+    policy.noteListed(0);
+    assert.deepEqual(policy.next(10), { kind: "ask", address: "reader:1" });
+    return policy;
   }
 
-  it("counts from the question, so one that lay unread is old", () => {
-    const turns = createAsked();
-    turns.noteAnswer(
+  it("has an age that counts from the query, also if it is read late", () => {
+    const policy = createQueried();
+    policy.noteAnswer(
       "reader:1",
       { askedAt: 10, ageMs: 100 },
       LEAVING_LIMIT_MS,
     );
-    assert.equal(turns.isLed, false);
-    assert.equal(turns.next(LEAVING_LIMIT_MS).kind, "list");
+    assert.equal(policy.isLed, false);
+    assert.equal(policy.next(LEAVING_LIMIT_MS).kind, "list");
   });
 
-  it("is worth nothing where the reader knows nothing", () => {
-    const turns = createAsked();
-    turns.noteAnswer("reader:1", { askedAt: 10, ageMs: undefined }, 20);
-    assert.equal(turns.isLed, false);
+  it("is not used when the reader has no state", () => {
+    const policy = createQueried();
+    policy.noteAnswer("reader:1", { askedAt: 10, ageMs: undefined }, 20);
+    assert.equal(policy.isLed, false);
   });
 
-  it("leaves the store alone while it is new", () => {
-    const turns = createAsked();
-    turns.noteAnswer("reader:1", { askedAt: 10, ageMs: 100 }, 20);
-    assert.equal(turns.isLed, true);
-    assert.equal(turns.next(150).kind, "nothing");
+  it("makes calls to the store unnecessary while it is recent", () => {
+    const policy = createQueried();
+    policy.noteAnswer("reader:1", { askedAt: 10, ageMs: 100 }, 20);
+    assert.equal(policy.isLed, true);
+    assert.equal(policy.next(150).kind, "nothing");
   });
 });
--- a/src/direct/process_registry.ts
+++ b/src/direct/process_registry.ts
@@ -1,5 +1,5 @@
 /**
- * The system's own processes, as they list themselves in the platform's store.
+ * The system's own processes, as registered in the platform's store.
  *
  * @module
  */
@@ -21,23 +21,26 @@
 import { StoreWatch } from "./store_watch.ts";
 
 const PREFIX = "lagoonwharf/processes/";
-/** Milliseconds after which the entry of a process that is gone lapses. */
+/** Milliseconds after which the registration of a process that is gone expires. */
 const TIME_TO_LIVE_MS = 25_000;
 /**
- * Milliseconds between two renewals: two may be lost before the entry lapses. Each process
- * makes them, so they are most of the calls of a large fleet. A process that is gone does
- * no harm while it is listed: who dials it hears nothing.
+ * Milliseconds between two renewals; two may be lost before the registration expires.
+ * Every process renews, so renewals are most of the calls of a large fleet. A process
+ * that is gone does no harm while it is still listed: connections to it just fail.
  */
 const RENEW_INTERVAL_MS = 8000;
-/** The same after a renewal that failed: the entry may have lapsed with the store away. */
+/**
+ * The same interval after a failed renewal, because the registration may have expired
+ * while the store was unavailable.
+ */
 const RETRY_RENEWAL_MS = 2500;
 /** Milliseconds for which the store may hold a watch. */
 const WATCH_WAIT_MS = 15_000;
-/** Pause after a call that failed, in milliseconds. */
+/** Milliseconds to wait after a failed call. */
 const RETRY_PAUSE_MS = 700;
 /**
- * Milliseconds in which changes are gathered before the next call. When all processes
- * start, each would wake all others.
+ * Milliseconds in which changes are collected before the next call. Without it, a start
+ * of all processes would wake each process once for every other one.
  */
 const GATHER_MS = 500;
 
@@ -47,12 +50,12 @@
   readonly log: EventLog;
   readonly self: ListedProcess;
   /** Whether the other processes are followed from the start. */
-  readonly follows: boolean;
-  /** Called with all processes whenever the list changed. */
+  readonly followsOthers: boolean;
+  /** Called with all processes whenever the list changes. */
   readonly onProcesses: (processes: readonly ListedProcess[]) => void;
 }
 
-/** Lists this process, and follows the others. */
+/** Registers this process, and follows the other processes. */
 export class ProcessRegistry {
   readonly #options: ProcessRegistryOptions;
   readonly #reachability: Reachability;
@@ -63,24 +66,25 @@
   #changedAt = 0;
   #isStopped = false;
   /** Ends the pause before the next renewal. */
-  #wake = new AbortController();
+  #renewalPause = new AbortController();
 
-  /** Does nothing yet. */
+  /** Makes no call yet. */
   constructor(options: ProcessRegistryOptions) {
     this.#options = options;
     this.#reachability = new Reachability("processes", options.log);
-    options.store.onWentBack(() => this.listAgain());
+    options.store.onWentBack(() => this.registerAgain());
     this.#watch = new StoreWatch({
       store: options.store,
       prefix: PREFIX,
       waitMs: WATCH_WAIT_MS,
       retryPauseMs: RETRY_PAUSE_MS,
       gatherMs: GATHER_MS,
-      // Who else there is tells at once whom to ask, and which groups there are.
-      readsFirst: true,
+      // The list is needed at once, to know which entries to query and which groups
+      // exist.
+      listsOnStart: true,
       reachability: this.#reachability,
-      onListed: (items) => this.#takeAll(items),
-      onChanged: (changed) => this.#takeChanges(changed),
+      onListed: (items) => this.#applyListing(items),
+      onChanged: (changed) => this.#applyChanges(changed),
     });
   }
 
@@ -89,68 +93,69 @@
     return this.#changedAt;
   }
 
-  /** The processes that were listed last, this one included. */
+  /** All known processes, including this one. */
   get processes(): readonly ListedProcess[] {
     return [...this.#processes.values()];
   }
 
-  /** Lists this process from now on. */
+  /** Registers this process and keeps it registered. */
   start(): void {
-    void this.#keepListed();
-    if (this.#options.follows) this.follow();
+    void this.#keepRegistered();
+    if (this.#options.followsOthers) this.follow();
   }
 
-  /** Follows the other processes from now on. */
+  /** Starts following the other processes. */
   follow(): void {
     this.#watch.start();
   }
 
   /**
-   * The store has come back from an older copy: lists this process again at once. Its lease
-   * is gone, and the store may have given the lease's number to another process.
+   * Registers this process again at once, because the store was restored from an older
+   * copy. The lease is gone, and the store may have assigned its number to another
+   * process.
    */
-  listAgain(): void {
+  registerAgain(): void {
     this.#lease = undefined;
-    this.#wake.abort();
+    this.#renewalPause.abort();
   }
 
-  /** Whether another entry tells the processes. */
-  setLed(isLed: boolean): void {
-    this.#watch.setLed(isLed);
+  /** Sets whether another entry sends updates of the processes. */
+  setFollowingReader(isFollowing: boolean): void {
+    this.#watch.setFollowingReader(isFollowing);
   }
 
-  /** Takes in what another entry heard, if it is newer. */
+  /** Applies a list that another entry received, if it is newer. */
   offer(processes: readonly ListedProcess[], revision: number): void {
     if (revision <= this.#changedAt) return;
     this.#processes.clear();
     for (const one of processes) this.#processes.set(PREFIX + one.name, one);
-    this.#tell(revision, "entry");
+    this.#notify(revision, "entry");
   }
 
-  /** Follows no more, and takes this process off the list. */
+  /** Stops following, and removes the registration of this process. */
   async stop(): Promise<void> {
     this.#isStopped = true;
-    this.#wake.abort();
+    this.#renewalPause.abort();
     this.#watch.stop();
     const lease = this.#lease;
     this.#lease = undefined;
     if (lease !== undefined) await this.#options.store.release(lease);
   }
 
-  async #keepListed(): Promise<void> {
+  async #keepRegistered(): Promise<void> {
     while (!this.#isStopped) {
       const isListed = await this.#renewOrRegister();
       await this.#pause(isListed ? RENEW_INTERVAL_MS : RETRY_RENEWAL_MS);
     }
   }
 
-  /** Whether the store answered. */
+  /** Renews the lease, or registers this process. Returns whether the store answered. */
   async #renewOrRegister(): Promise<boolean> {
     const { store, self } = this.#options;
     try {
-      const isKept = this.#lease !== undefined &&
+      const isRenewed = this.#lease !== undefined &&
         await store.renew(this.#lease);
-      if (isKept) return true;
+      if (isRenewed) return true;
       this.#lease = await store.register({
         key: PREFIX + self.name,
         value: JSON.stringify(self),
@@ -158,33 +163,34 @@
       });
       return true;
     } catch (error) {
-      this.#reachability.noteFailure(performance.now(), error);
+      this.#reachability.recordFailure(performance.now(), error);
       return false;
     }
   }
 
-  #takeAll(items: readonly StoreItem[]): void {
+  #applyListing(items: readonly StoreItem[]): void {
     const { revision } = this.#watch;
-    const isKept = this.#changedAt > 0 &&
+    const isRestored = this.#changedAt > 0 &&
       splitRevision(revision).era > splitRevision(this.#changedAt).era;
-    if (isKept) this.#readAnewLater();
+    if (isRestored) this.#scheduleRelisting();
     else this.#processes.clear();
     for (const item of items) this.#add(item);
-    this.#tell(revision, "store");
+    this.#notify(revision, "store");
   }
 
   /**
-   * A store that came back from an older copy lacks processes until they list themselves
-   * again. Those that have not by then are gone.
+   * Schedules another listing after a restore of the store from an older copy. The copy
+   * lacks processes until they register again; those that have not done so by then are
+   * gone.
    */
-  #readAnewLater(): void {
+  #scheduleRelisting(): void {
     setTimeout(() => this.#watch.restart(), TIME_TO_LIVE_MS).unref();
   }
 
-  #takeChanges({ written, removed, revision }: StoreChanged): void {
+  #applyChanges({ written, removed, revision }: StoreChanged): void {
     for (const key of removed) this.#processes.delete(key);
     for (const item of written) this.#add(item);
-    this.#tell(revision, "store");
+    this.#notify(revision, "store");
   }
 
   #add(item: StoreItem): void {
@@ -192,7 +198,7 @@
     if (parsed.success) this.#processes.set(item.key, parsed.data);
   }
 
-  #tell(revision: number, source: string): void {
+  #notify(revision: number, source: string): void {
     const { processes } = this;
     this.#changedAt = revision;
     this.#options.log.write("PROCESSES_CHANGED", {
@@ -206,10 +212,10 @@
 
   async #pause(milliseconds: number): Promise<void> {
     if (this.#isStopped) return;
-    this.#wake = new AbortController();
-    const { signal } = this.#wake;
+    this.#renewalPause = new AbortController();
+    const { signal } = this.#renewalPause;
     await sleep(milliseconds, undefined, { ref: false, signal })
-      .catch(() => {/* The registry was stopped, or lists itself again. */});
+      .catch(() => {/* The registry was stopped, or registers again. */});
   }
 }
 
--- a/src/direct/process_registry_test.ts
+++ b/src/direct/process_registry_test.ts
@@ -25,26 +25,29 @@
   return { items, revision: joinRevision({ era, revision: 10 }) };
 }
 
-/** Names that are known once each list was read. */
+/** Returns the names of the known processes after each of the lists was read. */
 async function follow(
   listings: readonly StoreListing[],
 ): Promise<readonly string[]> {
-  let told = 0;
+  let notifications = 0;
   const registry = new ProcessRegistry({
     store: new ListedStore(listings),
     log: new EventLog({ role: "rank", processName: "test" }),
     self: createProcess("self"),
-    follows: true,
-    onProcesses: () => told++,
+    followsOthers: true,
+    onProcesses: () => notifications++,
   });
   registry.follow();
-  await waitUntil("all lists are read", () => told === listings.length);
-  registry.stop().catch(() => {/* Nothing was listed by this one. */});
+  await waitUntil(
+    "all lists are read",
+    () => notifications === listings.length,
+  );
+  registry.stop().catch(() => {/* This process was never registered. */});
   return registry.processes.map(({ name }) => name);
 }
 
 describe("the list of processes", () => {
-  it("keeps those that a store lacks which came back from an older copy", async () => {
+  it("keeps processes missing from a store restored from an older copy", async () => {
     const names = await follow([
       createListing(1, ["one", "two"]),
       createListing(2, ["one", "three"]),
@@ -52,7 +55,7 @@
     assert.deepEqual(names, ["one", "two", "three"]);
   });
 
-  it("drops those that are missing otherwise", async () => {
+  it("drops processes that are missing for another reason", async () => {
     const names = await follow([
       createListing(1, ["one", "two"]),
       createListing(1, ["one"]),
