--- a/src/direct/rank_driver.ts
+++ b/src/direct/rank_driver.ts
@@ -1,6 +1,6 @@
 /**
- * The process beside the engine of a rank: gives the engine the orders of its
- * group's decider, and beside rank 0 runs the decider.
+ * The sidecar of a rank's engine: passes the orders of the group's decider to the engine
+ * and, at rank 0, runs the decider.
  *
  * @module
  */
@@ -29,47 +29,53 @@
 import type { Drainable } from "../process/shutdown.ts";
 import { createTextPages } from "../process/text_pages.ts";
 import { CountedStore } from "./counted_store.ts";
-import { EntryAudience } from "./entry_audience.ts";
+import { EntrySubscribers } from "./entry_audience.ts";
 import type { ListedProcess } from "../messages/listed_process.ts";
 import { ProcessRegistry } from "./process_registry.ts";
 import { RankMetrics, type RankMetricsSource } from "./rank_metrics.ts";
 import { SettingsFollower } from "./settings_follower.ts";
 
-/** Milliseconds between two looks at the group that the engine belongs to. */
-const LOOK_MS = 500;
+/** Milliseconds between two polls of the engine for the group that it belongs to. */
+const POLL_INTERVAL_MS = 500;
 /**
- * The same while entries hear from here whether the group runs: what an entry sends to a
- * lost group meanwhile costs each caller a second at a server that stands still. A look
- * takes the machine's own engine 1 ms and costs nothing.
+ * The same interval while entries are subscribed to this process. Each request that an
+ * entry sends to a lost group in the meantime waits a second for a frozen server. A poll
+ * takes the local engine 1 ms and, unlike a call to the store, is not charged for.
  */
-const HEARD_LOOK_MS = 100;
-/** Milliseconds between two words to entries on a group that has not changed. */
-const SIGHT_INTERVAL_MS = 500;
-/** The same beside the holder, which looks whether its hold is left behind. */
-const RESCUER_LOOK_MS = 100;
+const SUBSCRIBED_POLL_INTERVAL_MS = 100;
+/**
+ * Milliseconds between two observations sent to entries while the group has not changed.
+ */
+const OBSERVATION_INTERVAL_MS = 500;
+/**
+ * The poll interval at the holder of passes, which checks whether its hold was left
+ * behind by an interrupted switch.
+ */
+const HOLDER_POLL_INTERVAL_MS = 100;
 
 /**
- * Milliseconds until a decider reads the settings again. It needs what they say of its
- * group, which hardly changes. A watch brings each version with all routes, and some of
- * them fill the link of a small machine while the group waits for an order.
+ * Milliseconds after which a decider reads the settings again. It only needs the settings
+ * of its group, which hardly change. A watch would return every version with all routes,
+ * and large versions would fill the link of a small VM while the group waits for an
+ * order.
  */
 const SETTINGS_REREAD_MS = 10_000;
 
 const BYTES_PER_MEGABIT = 125_000;
 
-/** What a {@link RankDriver} works with. */
+/** Options of a {@link RankDriver}. */
 export interface RankDriverOptions {
   readonly settings: RankProcessSettings;
   readonly store: WatchedStore;
   readonly format: StoreFormat;
   readonly engine: FormedEngine;
-  /** Makes the way to the engine of another machine. */
+  /** Creates the client for the engine of another VM. */
   readonly createEngine: (address: string) => FormedEngine;
   readonly log: EventLog;
   readonly random: RandomSource;
 }
 
-/** A running process beside the engine of a rank. */
+/** A running sidecar of a rank's engine. */
 export class RankDriver implements Drainable {
   readonly #options: RankDriverOptions;
   readonly #store: WatchedStore;
@@ -79,16 +85,16 @@
   readonly #settings: SettingsFollower;
   #registry: ProcessRegistry | undefined;
   #decider: DeciderDriver | undefined;
-  readonly #rescuer: SwitchRescuer;
-  readonly #audience: EntryAudience;
+  readonly #switchRecovery: SwitchRescuer;
+  readonly #subscribers: EntrySubscribers;
   #state: RankState | undefined;
-  #sightToldAt = Number.NEGATIVE_INFINITY;
+  #observationSentAt = Number.NEGATIVE_INFINITY;
   #stateReadAt: number | undefined;
   readonly #metrics: RankMetrics;
   readonly #metricsListener: HttpListener;
   readonly #timer: MeasuredTimer;
 
-  /** Does not listen yet. */
+  /** Creates the parts of the sidecar. {@link start} opens the listeners. */
   constructor(options: RankDriverOptions) {
     this.#options = options;
     const { settings, format, log } = options;
@@ -111,9 +117,9 @@
       incarnation: randomUUID(),
       failureDomain: settings.failureDomain,
     };
-    this.#audience = new EntryAudience(this.#linkBytesPerSecond);
+    this.#subscribers = new EntrySubscribers(this.#linkBytesPerSecond);
     this.#agent = new RankAgent(options.engine);
-    this.#rescuer = new SwitchRescuer({
+    this.#switchRecovery = new SwitchRescuer({
       identity: this.#identity,
       random: options.random,
       log,
@@ -124,21 +130,21 @@
       store,
       format,
       log,
-      rereadMs: SETTINGS_REREAD_MS,
-      // They are read when a map is planned.
+      rereadIntervalMs: SETTINGS_REREAD_MS,
+      // The settings are read whenever a map is planned.
       onSettings: () => undefined,
     });
   }
 
-  /** Requests never pass through this process. */
+  /** Always zero, since requests never pass through this process. */
   get inFlight(): number {
     return 0;
   }
 
   /**
-   * Listens for the decider, and looks which group the engine belongs to.
+   * Listens for the decider, and reads which group the engine belongs to.
    *
-   * @throws when the address cannot be had
+   * @throws when the address is not available
    */
   async start(): Promise<void> {
     const { settings, log } = this.#options;
@@ -151,8 +157,8 @@
           const received = new ReceivedMap();
           return {
             onMessage: (message) => this.#onMessage(link, message, received),
-            // Whoever dialled dials again.
-            onClose: () => this.#audience.remove(link),
+            // The other process reconnects by itself.
+            onClose: () => this.#subscribers.remove(link),
           };
         },
         onRejected: (fault) => {
@@ -168,7 +174,7 @@
       engine: settings.engineAddress,
       store: settings.storeAddress,
     });
-    await this.#lookAndWait();
+    await this.#pollAndSchedule();
   }
 
   drain(onDrained: () => void): void {
@@ -183,67 +189,82 @@
   #readMetrics(): RankMetricsSource {
     const readAt = this.#stateReadAt;
     return {
-      entriesHeard: this.#audience.size,
+      subscribedEntries: this.#subscribers.size,
       stateAgeMs: readAt && performance.now() - readAt,
       isDecider: this.#decider !== undefined,
     };
   }
 
-  /** The next look tells it how the group stands. */
+  /** Adds an entry, which receives an observation of the group after the next poll. */
   #addEntry(link: Link): void {
-    this.#audience.add(link);
-    this.#sightToldAt = Number.NEGATIVE_INFINITY;
+    this.#subscribers.add(link);
+    this.#observationSentAt = Number.NEGATIVE_INFINITY;
   }
 
   async close(): Promise<void> {
     this.#timer.stop();
     this.#decider?.stop();
-    this.#rescuer.stop();
+    this.#switchRecovery.stop();
     this.#settings.stop();
     this.#listener.close();
     this.#metricsListener.close();
     await this.#registry?.stop();
   }
 
-  async #lookAndWait(): Promise<void> {
-    await this.#look();
-    this.#timer.plan(() => void this.#lookAndWait(), this.#lookMs());
+  async #pollAndSchedule(): Promise<void> {
+    await this.#pollEngine();
+    this.#timer.plan(
+      () => void this.#pollAndSchedule(),
+      this.#getPollIntervalMs(),
+    );
   }
 
-  #lookMs(): number {
-    if (isHolder(this.#state)) return RESCUER_LOOK_MS;
-    return this.#audience.size > 0 ? HEARD_LOOK_MS : LOOK_MS;
+  #getPollIntervalMs(): number {
+    if (isHolder(this.#state)) return HOLDER_POLL_INTERVAL_MS;
+    return this.#subscribers.size > 0
+      ? SUBSCRIBED_POLL_INTERVAL_MS
+      : POLL_INTERVAL_MS;
   }
 
-  async #look(): Promise<void> {
+  async #pollEngine(): Promise<void> {
     const state = await this.#tryReadState();
     if (state === undefined) return;
     const before = this.#state;
     this.#state = state;
     this.#stateReadAt = performance.now();
-    const isElsewhere = before?.group !== state.group ||
+    const hasMoved = before?.group !== state.group ||
       before.rank !== state.rank;
-    if (isElsewhere) this.#register(state);
-    const hasChanged = isElsewhere || before.isOpen !== state.isOpen;
-    this.#tellSight(state, hasChanged);
-    if (isHolder(state)) this.#rescuer.observe(state, performance.now());
+    if (hasMoved) this.#register(state);
+    const hasChanged = hasMoved || before.isOpen !== state.isOpen;
+    this.#sendObservation(state, hasChanged);
+    if (isHolder(state)) this.#switchRecovery.observe(state, performance.now());
     if (state.rank === 0) return this.#startDecider(state);
     this.#stopDecider();
   }
 
-  /** Told at once when it changed, and now and then to those who missed it. */
-  #tellSight({ group, isOpen }: RankState, hasChanged: boolean): void {
+  /**
+   * Sends an observation at once after a change, and otherwise at intervals, for entries
+   * that missed it.
+   */
+  #sendObservation({ group, isOpen }: RankState, hasChanged: boolean): void {
     const now = performance.now();
-    if (!hasChanged && now - this.#sightToldAt < SIGHT_INTERVAL_MS) return;
-    this.#sightToldAt = now;
-    this.#audience.tellSight({ kind: "group_sight", group, isOpen, ageMs: 0 });
+    if (
+      !hasChanged && now - this.#observationSentAt < OBSERVATION_INTERVAL_MS
+    ) return;
+    this.#observationSentAt = now;
+    this.#subscribers.sendObservation({
+      kind: "group_sight",
+      group,
+      isOpen,
+      ageMs: 0,
+    });
   }
 
   async #tryReadState(): Promise<RankState | undefined> {
     try {
       return await this.#options.engine.tryReadState();
     } catch {
-      // An engine that starts or stops does not answer; the next look tells.
+      // An engine that starts or stops does not answer; the next poll reads its state.
       return undefined;
     }
   }
@@ -264,7 +285,7 @@
         rank,
         engineAddress: settings.engineAddress,
       },
-      follows: rank === 0 || isHolder(state),
+      followsOthers: rank === 0 || isHolder(state),
       onProcesses: (processes) => this.#onProcesses(processes),
     });
     this.#registry.start();
@@ -282,7 +303,7 @@
       createEngine: this.#options.createEngine,
       pool: settings.pool,
       linkBytesPerSecond: this.#linkBytesPerSecond,
-      onLoad: (load) => this.#audience.tellLoad(load, performance.now()),
+      onLoad: (load) => this.#subscribers.sendLoad(load, performance.now()),
       trySettings: () =>
         this.#settings.inUse?.settings.groups.get(settings.pool),
     });
@@ -306,41 +327,47 @@
         : [{ address, engineAddress, rank }]
     );
     this.#decider?.setMembers(addresses);
-    this.#rescuer.setMembers(addresses);
+    this.#switchRecovery.setMembers(addresses);
   }
 
   #onMessage(link: Link, message: Message, received: ReceivedMap): void {
     const send = (report: Message) => link.send(report);
     if (message.kind === "rank_query") {
-      this.#agent.answer(message, send).catch((error) => this.#fault(error));
+      this.#agent.answer(message, send).catch((error) =>
+        this.#logEngineFault(error)
+      );
     }
-    if (message.kind === "rank_report") this.#rescuer.note(message);
+    if (message.kind === "rank_report") this.#switchRecovery.note(message);
     if (message.kind === "rank_check") {
-      this.#agent.check(message, send).catch((error) => this.#fault(error));
+      this.#agent.check(message, send).catch((error) =>
+        this.#logEngineFault(error)
+      );
     }
     if (message.kind === "rank_order") {
       if (message.order.kind === "prepare") received.note(message.order.map);
-      this.#carryOut(message, send);
+      this.#execute(message, send);
     }
     if (message.kind === "map_base") received.note(message.map);
     if (message.kind === "map_change") {
       const order = received.tryDecode(message);
-      // The decider dials again, and sends the next map whole.
+      // The decider reconnects and sends the next map in full.
       if (order === undefined) return link.close("UNEXPECTED_MESSAGE");
-      this.#carryOut(order, send);
+      this.#execute(order, send);
     }
   }
 
-  #carryOut(message: RankOrderMessage, send: ReportSender): void {
-    this.#agent.carryOut(message, send).catch((error) => this.#fault(error));
+  #execute(message: RankOrderMessage, send: ReportSender): void {
+    this.#agent.carryOut(message, send).catch((error) =>
+      this.#logEngineFault(error)
+    );
   }
 
-  #fault(error: unknown): void {
+  #logEngineFault(error: unknown): void {
     this.#options.log.write("ENGINE_UNREACHABLE", { cause: String(error) });
   }
 }
 
-/** Whether the process is beside the rank that holds the passes of switches. */
+/** Whether this is the sidecar of the rank that holds the passes of switches. */
 function isHolder(state: RankState | undefined): boolean {
   return state !== undefined && state.rank === getHolderRank(state.ranks);
 }
--- a/src/direct/rank_metrics.ts
+++ b/src/direct/rank_metrics.ts
@@ -1,32 +1,32 @@
 /**
- * Counters and quantiles of a process beside a rank's engine.
+ * Counters and quantiles of a rank's sidecar.
  *
  * @module
  */
 import type { EventLog } from "../events/event_log.ts";
 import { ProcessMetrics } from "../process/process_metrics.ts";
 
-/** What the gauges show when the page is read. */
+/** Values of the gauges when the page is read. */
 export interface RankMetricsSource {
-  /** Entries that hear from this process. */
-  readonly entriesHeard: number;
-  /** Milliseconds since the engine's state was read; undefined: it never was. */
+  /** Number of entries that receive updates from this process. */
+  readonly subscribedEntries: number;
+  /** Milliseconds since the engine's state was read; undefined if it never was. */
   readonly stateAgeMs: number | undefined;
   readonly isDecider: boolean;
 }
 
-/** Age that is shown for a state that was never read. */
+/** Age shown for a state that was never read. */
 const NEVER_MS = -1;
 
-/** Counters and quantiles of a process beside a rank's engine. */
+/** Counters and quantiles of a rank's sidecar. */
 export class RankMetrics extends ProcessMetrics {
-  /** Reads the gauges from `source` when the page is asked for. */
+  /** Reads the gauges from `source` when the page is requested. */
   constructor(source: () => RankMetricsSource, log: EventLog) {
     super(log);
     this.metricsPage.gauge(
       "entries_heard",
-      "Entries that hear from this process",
-      () => source().entriesHeard,
+      "Entries that receive updates from this process",
+      () => source().subscribedEntries,
     );
     this.metricsPage.gauge(
       "engine_state_age_milliseconds",
--- a/src/direct/rank_metrics_test.ts
+++ b/src/direct/rank_metrics_test.ts
@@ -3,14 +3,14 @@
 import { EventLog } from "../events/event_log.ts";
 import { RankMetrics } from "./rank_metrics.ts";
 
-describe("metrics of a process beside a rank's engine", () => {
-  it("count events and calls, and show how old its belief is", async () => {
+describe("metrics of a rank's sidecar", () => {
+  it("count events and calls, and show the age of the engine's state", async () => {
     const log = new EventLog({ role: "rank", processName: "rank-1" });
     const metrics = new RankMetrics(
-      () => ({ entriesHeard: 3, stateAgeMs: 120, isDecider: true }),
+      () => ({ subscribedEntries: 3, stateAgeMs: 120, isDecider: true }),
       log,
     );
-    log.write("ENGINE_UNREACHABLE", { cause: "Nobody listens" });
+    log.write("ENGINE_UNREACHABLE", { cause: "Connection refused" });
     metrics.countStoreCall("renew", true);
     const text = await metrics.page();
     for (
--- a/src/direct/reachability.ts
+++ b/src/direct/reachability.ts
@@ -1,40 +1,40 @@
 /**
- * Whether an outside system answers, and since when.
+ * Tracks whether an external service answers.
  *
  * @module
  */
 import type { EventLog } from "../events/event_log.ts";
 
-/** Follows whether one outside system answers; logs when that changes. */
+/** Tracks whether one external service answers, and logs changes. */
 export class Reachability {
   readonly #service: string;
   readonly #log: EventLog;
   #isReached: boolean | undefined;
   #changedAt = 0;
 
-  /** `service` names the outside system in the log. */
+  /** `service` is the name of the external service in the log. */
   constructor(service: string, log: EventLog) {
     this.#service = service;
     this.#log = log;
   }
 
-  /** Whether the last call was answered; false before the first. */
+  /** Whether the last call was answered; false before the first call. */
   get isReached(): boolean {
     return this.#isReached === true;
   }
 
-  /** When that last changed, in milliseconds of the monotonic clock. */
+  /** When {@link isReached} last changed, in milliseconds of the monotonic clock. */
   get changedAt(): number {
     return this.#changedAt;
   }
 
-  /** A call was answered. */
-  noteAnswer(now: number): void {
+  /** Records an answered call. */
+  recordAnswer(now: number): void {
     this.#set(true, now, undefined);
   }
 
-  /** A call was not answered. */
-  noteFailure(now: number, cause: unknown): void {
+  /** Records a failed call. */
+  recordFailure(now: number, cause: unknown): void {
     this.#set(false, now, String(cause));
   }
 
--- a/src/direct/reducer_gauges.ts
+++ b/src/direct/reducer_gauges.ts
@@ -1,12 +1,12 @@
 /**
- * What an entry's reducer shows on the page of metrics.
+ * Reads the gauges that an entry's reducer provides for the metrics page.
  *
  * @module
  */
 import type { EntryReducer } from "../entry/entry_reducer.ts";
 import type { MetricsSource } from "../process/metrics.ts";
 
-/** What a reducer shows of targets; `now` is in milliseconds. */
+/** Reads the gauges of a reducer; `now` is in milliseconds. */
 export function readReducerGauges(
   { warmUp, notices, registry, gate }: EntryReducer,
   now: number,
--- a/src/direct/reducer_memories.ts
+++ b/src/direct/reducer_memories.ts
@@ -1,19 +1,22 @@
 /**
- * What an entry's reducer remembers, as it is told to other entries and heard from them.
+ * Creates the state of an entry's reducer that is replicated to other entries.
  *
  * @module
  */
 import { performance } from "node:perf_hooks";
 import type { EntryReducer } from "../entry/entry_reducer.ts";
 import type { EntryEvent } from "../entry/types.ts";
-import { EntryMemories } from "./peers/entry_memories.ts";
+import { ReplicatedState } from "./peers/entry_memories.ts";
 
-/** Memories of a reducer; what other entries tell becomes events of it. */
-export function createReducerMemories(
+/**
+ * Creates the replicated state of a reducer. Updates from other entries are dispatched to
+ * it as events.
+ */
+export function createReplicatedState(
   { crashes, limits, registry }: EntryReducer,
   dispatch: (event: EntryEvent) => void,
-): EntryMemories {
-  return new EntryMemories({
+): ReplicatedState {
+  return new ReplicatedState({
     crashes,
     limits,
     leaving: registry.leaving,
--- a/src/direct/settings_follower.ts
+++ b/src/direct/settings_follower.ts
@@ -13,17 +13,17 @@
 import { Reachability } from "./reachability.ts";
 import { StoreWatch } from "./store_watch.ts";
 
-/** Milliseconds for which the store may hold a watch, unless said otherwise. */
+/** Default duration of a watch in milliseconds. */
 const WATCH_WAIT_MS = 15_000;
 /**
- * Pause after a call that failed, in milliseconds. Refused calls cost as much as
- * others, and settings may be in force two seconds late.
+ * Milliseconds to wait after a failed call. Rejected calls cost as much as others, and
+ * settings may take effect two seconds late.
  */
 const RETRY_PAUSE_MS = 400;
-/** Wrong fields that one line of the log names. */
-const MOST_LOGGED_FINDINGS = 5;
+/** Maximum number of wrong fields named in one log line. */
+const MAX_LOGGED_FINDINGS = 5;
 
-/** Settings in force, with the text that they were read from. */
+/** Settings in force, with the text that they were parsed from. */
 export interface SettingsInUse {
   readonly settings: OperatorSettings;
   readonly text: string;
@@ -34,24 +34,30 @@
   readonly store: WatchedStore;
   readonly format: StoreFormat;
   readonly log: EventLog;
-  /** Milliseconds for which the store may hold a watch. */
+  /** Maximum duration of a watch in milliseconds. */
   readonly watchWaitMs?: number;
-  /** Milliseconds until they are read again; undefined: each version is wanted at once. */
-  readonly rereadMs?: number;
-  /** Hears of drains from the same watch, before the settings; undefined: none are needed. */
+  /**
+   * Milliseconds after which the settings are read again; undefined: they are watched, so
+   * that each version arrives at once.
+   */
+  readonly rereadIntervalMs?: number;
+  /**
+   * Receives drains from the same watch, before the settings; undefined if drains are not
+   * needed.
+   */
   readonly drains?: DrainFollower;
   /** Called for each newer version, in order. */
   readonly onSettings: (settings: OperatorSettings) => void;
 }
 
-/** Follows the settings; never goes back to an older version. */
+/** Follows the settings. Never returns to an older version. */
 export class SettingsFollower {
   readonly #options: SettingsFollowerOptions;
   readonly #watch: StoreWatch;
   #inUse: SettingsInUse | undefined;
-  #heardCheckedAt = Number.NEGATIVE_INFINITY;
+  #peerCheckedAt = Number.NEGATIVE_INFINITY;
 
-  /** Follows nothing yet. */
+  /** Makes no call yet. */
   constructor(options: SettingsFollowerOptions) {
     this.#options = options;
     const { store, format, log, drains } = options;
@@ -60,16 +66,16 @@
       prefix: drains === undefined ? format.settingsKey : format.operatorPrefix,
       waitMs: options.watchWaitMs ?? WATCH_WAIT_MS,
       retryPauseMs: RETRY_PAUSE_MS,
-      rereadMs: options.rereadMs,
-      readsFirst: true,
-      readsWhenAlone: true,
+      rereadIntervalMs: options.rereadIntervalMs,
+      listsOnStart: true,
+      listsOnReaderLoss: true,
       reachability: new Reachability("settings", log),
       onListed: (items) => {
-        drains?.noteListed({ items, revision: this.#watch.revision });
+        drains?.onListed({ items, revision: this.#watch.revision });
         this.#offerItems(items);
       },
       onChanged: (changed) => {
-        drains?.noteChanged(changed);
+        drains?.onChanged(changed);
         this.#offerItems(changed.written);
       },
     });
@@ -80,39 +86,45 @@
     return this.#inUse;
   }
 
-  /** When the store was last asked for newer ones, as far as its answer is known here. */
+  /**
+   * When the store was last queried for newer settings, by this entry or the reader it
+   * follows, in milliseconds.
+   */
   get checkedAt(): number {
-    return Math.max(this.#watch.checkedAt, this.#heardCheckedAt);
+    return Math.max(this.#watch.checkedAt, this.#peerCheckedAt);
   }
 
-  /** Another entry's settings were the newest at a time in milliseconds. */
-  noteChecked(checkedAt: number): void {
-    this.#heardCheckedAt = Math.max(this.#heardCheckedAt, checkedAt);
+  /**
+   * Records that another entry's settings were the newest at `checkedAt`, in
+   * milliseconds.
+   */
+  recordCheck(checkedAt: number): void {
+    this.#peerCheckedAt = Math.max(this.#peerCheckedAt, checkedAt);
   }
 
-  /** Follows from now on. */
+  /** Starts following the settings. */
   start(): void {
     this.#watch.start();
   }
 
-  /** Follows no more. */
+  /** Stops following the settings. */
   stop(): void {
     this.#watch.stop();
   }
 
-  /** Breaks off a watch that may never answer, and reads anew. */
+  /** Aborts a watch that may never return, and lists the settings again. */
   restart(): void {
     this.#watch.restart();
   }
 
-  /** Whether another entry tells the settings. */
-  setLed(isLed: boolean): void {
-    this.#watch.setLed(isLed);
+  /** Sets whether another entry sends updates of the settings. */
+  setFollowingReader(isFollowing: boolean): void {
+    this.#watch.setFollowingReader(isFollowing);
   }
 
   /**
-   * Takes in settings from the store or from another process; older ones and
-   * those that cannot be read change nothing. Returns whether they could be read.
+   * Applies settings from the store or from another process. Ignores older versions and
+   * unreadable settings. Returns whether the settings were readable.
    */
   offer(text: string, source: string): boolean {
     const { format, log, onSettings } = this.#options;
@@ -142,11 +154,11 @@
     if (findings.length === 0) return;
     this.#options.log.write("SETTINGS_FIELDS_WRONG", {
       count: findings.length,
-      findings: findings.slice(0, MOST_LOGGED_FINDINGS).join("; "),
+      findings: findings.slice(0, MAX_LOGGED_FINDINGS).join("; "),
     });
   }
 
-  /** Of versions that are told together only the newest that can be read counts. */
+  /** Applies the newest readable version of those that arrived together. */
   #offerItems(items: readonly StoreItem[]): void {
     const { settingsKey } = this.#options.format;
     const versions = items.filter(({ key }) => key === settingsKey);
--- a/src/direct/settings_follower_test.ts
+++ b/src/direct/settings_follower_test.ts
@@ -17,7 +17,7 @@
 
 const SETTINGS_KEY = "settings";
 
-/** Versions are written as numbers. */
+/** Reads versions written as numbers. */
 class NumberFormat extends StoreFormat {
   override readonly settingsKey = SETTINGS_KEY;
   override readonly backEndPrefix = "servers/";
@@ -43,11 +43,11 @@
   }
 }
 
-/** Lists a first version, tells one batch of changes, and then nothing more. */
+/** Lists a first version, returns one batch of changes, and then no more. */
 class BatchStore extends UnregisteredStore {
   watches = 0;
   readonly #written: readonly StoreItem[];
-  #isTold = false;
+  #isDelivered = false;
 
   constructor(texts: readonly string[]) {
     super();
@@ -71,10 +71,10 @@
 
   override watch(): Promise<StoreWatchOutcome> {
     this.watches++;
-    if (this.#isTold) {
-      return new Promise(() => {/* Nothing changes any more. */});
+    if (this.#isDelivered) {
+      return new Promise(() => {/* No more changes. */});
     }
-    this.#isTold = true;
+    this.#isDelivered = true;
     const revision = this.#written.length + 1;
     const written = this.#written;
     return Promise.resolve({ kind: "changed", written, removed: [], revision });
@@ -82,16 +82,16 @@
 }
 
 interface Followed {
-  /** Versions that were read at all. */
+  /** Number of versions that were parsed. */
   readonly reads: number;
   readonly watches: number;
   readonly inForce: number | undefined;
 }
 
-/** Follows a store that tells these versions in one answer. */
-async function follow(
+/** Follows a store that returns these versions in one answer. */
+async function followStore(
   texts: readonly string[],
-  rereadMs?: number,
+  rereadIntervalMs?: number,
 ): Promise<Followed> {
   const store = new BatchStore(texts);
   const format = new NumberFormat();
@@ -99,7 +99,7 @@
     store,
     format,
     log: new EventLog({ role: "rank", processName: "test" }),
-    rereadMs,
+    rereadIntervalMs,
     onSettings: () => undefined,
   });
   follower.start();
@@ -110,23 +110,23 @@
 }
 
 /**
- * The pattern: operators write dozens of versions within seconds, each with all routes. A
- * process that reads each of them has no time for what others wait for.
+ * Guards against a process that falls behind because operators write dozens of versions
+ * within seconds, each with all routes, and it parses every one of them.
  */
 describe("settings that change many times within seconds", () => {
-  it("are read once for all versions that are told together", async () => {
+  it("are parsed once for all versions that arrive together", async () => {
     const texts = Array.from({ length: 30 }, (_, index) => String(index + 1));
-    const { reads, inForce } = await follow(texts);
+    const { reads, inForce } = await followStore(texts);
     assert.deepEqual({ reads, inForce }, { reads: 2, inForce: 30 });
   });
 
-  it("are in force in their newest version that can be read", async () => {
-    const { reads, inForce } = await follow(["1", "2", "unreadable"]);
+  it("take effect in the newest version that can be read", async () => {
+    const { reads, inForce } = await followStore(["1", "2", "unreadable"]);
     assert.deepEqual({ reads, inForce }, { reads: 3, inForce: 2 });
   });
 
-  it("are not watched by a process that reads them now and then", async () => {
-    const { watches, inForce } = await follow(["1"], 10_000);
+  it("are not watched by a process that reads them at intervals", async () => {
+    const { watches, inForce } = await followStore(["1"], 10_000);
     assert.deepEqual({ watches, inForce }, { watches: 0, inForce: 0 });
   });
 });
--- a/src/direct/store_watch.ts
+++ b/src/direct/store_watch.ts
@@ -1,6 +1,6 @@
 /**
  * Follows all keys below a prefix of the platform's store: lists them once, then watches,
- * and lists again where the store's history has a gap.
+ * and lists again when the store no longer has all changes.
  *
  * @module
  */
@@ -14,35 +14,40 @@
 import type { Reachability } from "./reachability.ts";
 
 /**
- * Milliseconds for which no other process must lead before a watch begins: a reader that
- * fails is replaced by the next one within that time, and each change of mind cost four
- * calls.
+ * Milliseconds without a reader before a watch begins. A failed reader is usually
+ * replaced by the next one within that time, and each change between following and
+ * watching costs four calls.
  */
-const SETTLE_MS = 1000;
+const READER_LOSS_DELAY_MS = 1000;
 
-/** Failed calls in a row after which the pause before the next one grows no more. */
-const MOST_PAUSE_DOUBLINGS = 2;
+/** Maximum number of times that the pause after failed calls is doubled. */
+const MAX_PAUSE_DOUBLINGS = 2;
 
 /** Options of a {@link StoreWatch}. */
 export interface StoreWatchOptions {
   readonly store: WatchedStore;
   readonly prefix: string;
-  /** Milliseconds for which the store may hold a watch: one call in that time. */
+  /**
+   * Maximum duration of a watch in milliseconds. Without changes, one call is made in
+   * that time.
+   */
   readonly waitMs: number;
-  /** Pause after a call that failed, in milliseconds. */
+  /** Milliseconds to wait after a failed call. */
   readonly retryPauseMs: number;
-  /** Milliseconds in which changes are gathered before the next call. */
+  /** Milliseconds in which changes are collected before the next call. */
   readonly gatherMs?: number;
-  /** Milliseconds until all keys are read again; undefined: changes are watched. */
-  readonly rereadMs?: number;
-  /** Whether all keys are read at once at the start, whoever leads. */
-  readonly readsFirst?: boolean;
-  /** Whether they are read at once when no other process leads any more. */
-  readonly readsWhenAlone?: boolean;
+  /**
+   * Milliseconds after which all keys are listed again; undefined: changes are watched.
+   */
+  readonly rereadIntervalMs?: number;
+  /** Whether all keys are listed once at the start, even while a reader is followed. */
+  readonly listsOnStart?: boolean;
+  /** Whether all keys are listed at once when the reader is lost. */
+  readonly listsOnReaderLoss?: boolean;
   readonly reachability: Reachability;
-  /** All keys were read. */
+  /** Called with all keys after a listing. */
   readonly onListed: (items: readonly StoreItem[]) => void;
-  /** Some keys were written or removed. */
+  /** Called when keys were written or removed. */
   readonly onChanged: (changed: StoreChanged) => void;
 }
 
@@ -54,35 +59,35 @@
   #round = new AbortController();
   #isStarted = false;
   #isStopped = false;
-  #isLed = false;
-  /** Calls in a row that failed. */
+  #isFollowingReader = false;
+  /** Number of failed calls in a row. */
   #failures = 0;
-  /** Ends the wait of one that another process leads. */
+  /** Ends the wait for the loss of the reader. */
   #wake: (() => void) | undefined;
 
-  /** Follows nothing yet. */
+  /** Makes no call yet. */
   constructor(options: StoreWatchOptions) {
     this.#options = options;
   }
 
-  /** Revision of the store up to which all changes were heard. */
+  /** Revision of the store up to which all changes are known. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** When the last call that was answered began, in milliseconds. */
+  /** When the last answered call was made, in milliseconds. */
   get checkedAt(): number {
     return this.#checkedAt;
   }
 
-  /** Follows from now on. */
+  /** Starts following the keys. */
   start(): void {
     if (this.#isStarted) return;
     this.#isStarted = true;
     void this.#follow();
   }
 
-  /** Follows no more. */
+  /** Stops following the keys. */
   stop(): void {
     this.#isStopped = true;
     this.#round.abort();
@@ -90,45 +95,52 @@
   }
 
   /**
-   * Breaks off a watch that may never answer, and reads anew. A connection may be dead
-   * without a sign while other calls are answered or refused.
+   * Aborts a watch that may never return, and lists the keys again. A connection may have
+   * died unnoticed while other calls are answered or rejected.
    */
   restart(): void {
     this.#round.abort();
   }
 
-  /** Whether another process tells the changes, so that the store is not asked. */
-  setLed(isLed: boolean): void {
-    if (isLed === this.#isLed) return;
-    this.#isLed = isLed;
-    if (isLed) this.#round.abort();
+  /**
+   * Sets whether another process sends the changes, so that the store need not be called.
+   */
+  setFollowingReader(isFollowing: boolean): void {
+    if (isFollowing === this.#isFollowingReader) return;
+    this.#isFollowingReader = isFollowing;
+    if (isFollowing) this.#round.abort();
     else this.#wake?.();
   }
 
   async #follow(): Promise<void> {
-    const { readsFirst } = this.#options;
-    let isCurrent = readsFirst === true && await this.#tryRound(false);
+    const { listsOnStart } = this.#options;
+    let isCurrent = listsOnStart === true && await this.#tryRound(false);
     while (!this.#isStopped) {
-      if (this.#isLed) {
-        isCurrent = await this.#waitUntilAlone();
+      if (this.#isFollowingReader) {
+        isCurrent = await this.#waitForReaderLoss();
         continue;
       }
       isCurrent = await this.#tryRound(isCurrent);
     }
   }
 
-  /** Waits until no other process leads, and whether what is known is current then. */
-  async #waitUntilAlone(): Promise<boolean> {
+  /**
+   * Waits until no reader is followed. Returns whether the known keys are current then.
+   */
+  async #waitForReaderLoss(): Promise<boolean> {
     await new Promise<void>((resolve) => this.#wake = resolve);
     if (this.#isStopped) return false;
-    const isCurrent = this.#options.readsWhenAlone === true &&
+    const isCurrent = this.#options.listsOnReaderLoss === true &&
       await this.#tryRound(false);
     this.#round = new AbortController();
-    await this.#pause(SETTLE_MS);
+    await this.#pause(READER_LOSS_DELAY_MS);
     return isCurrent;
   }
 
-  /** Whether what is known is current, so that a watch can follow. */
+  /**
+   * Makes one call. Returns whether the known keys are current, so that a watch can
+   * follow.
+   */
   async #tryRound(isCurrent: boolean): Promise<boolean> {
     const { reachability } = this.#options;
     this.#round = new AbortController();
@@ -137,17 +149,20 @@
       const isNowCurrent = isCurrent ? await this.#watch() : await this.#list();
       this.#checkedAt = startedAt;
       this.#failures = 0;
-      reachability.noteAnswer(performance.now());
+      reachability.recordAnswer(performance.now());
       return isNowCurrent;
     } catch (error) {
-      if (this.#isStopped || this.#isLed) return false;
-      reachability.noteFailure(performance.now(), error);
+      if (this.#isStopped || this.#isFollowingReader) return false;
+      reachability.recordFailure(performance.now(), error);
       await sleep(this.#nextRetryPauseMs(), undefined, { ref: false });
       return false;
     }
   }
 
-  /** Who knows nothing yet serves nobody until the store answers, and asks at once. */
+  /**
+   * Returns the pause after a failed call. It does not grow before the first answer,
+   * since a process without data cannot serve requests.
+   */
   #nextRetryPauseMs(): number {
     const failures = this.#revision > 0 ? ++this.#failures : 1;
     return getRetryPauseMs(this.#options.retryPauseMs, failures);
@@ -161,12 +176,21 @@
     return true;
   }
 
-  /** False when the store's history has a gap and all must be read again. */
+  /**
+   * Returns false when the store no longer has all changes, or when the keys are due to
+   * be listed again.
+   */
   async #watch(): Promise<boolean> {
-    const { store, prefix, waitMs, gatherMs, rereadMs, onChanged } =
-      this.#options;
-    if (rereadMs !== undefined) {
-      await this.#pause(rereadMs);
+    const {
+      store,
+      prefix,
+      waitMs,
+      gatherMs,
+      rereadIntervalMs,
+      onChanged,
+    } = this.#options;
+    if (rereadIntervalMs !== undefined) {
+      await this.#pause(rereadIntervalMs);
       return false;
     }
     const outcome = await store.watch({
@@ -187,18 +211,20 @@
     const { signal } = this.#round;
     await sleep(milliseconds, undefined, { ref: false, signal })
       .catch(
-        () => {/* Broken off, since another process leads or this one ends. */},
+        () => {
+          /* Aborted because a reader is followed or the watch was stopped. */
+        },
       );
   }
 }
 
 /**
- * Milliseconds until the next call after so many in a row that failed. A store that is
- * away or busy gets fewer calls from each process of a large fleet, and each of them
- * still hears of its return in time for what is written next.
+ * Returns the milliseconds until the next call after `failures` failed calls in a row. An
+ * unavailable or busy store gets fewer calls from each process of a large fleet, yet each
+ * process learns of its recovery in time for the next change.
  *
  * @internal
  */
 export function getRetryPauseMs(firstMs: number, failures: number): number {
-  return firstMs * 2 ** Math.min(failures - 1, MOST_PAUSE_DOUBLINGS);
+  return firstMs * 2 ** Math.min(failures - 1, MAX_PAUSE_DOUBLINGS);
 }
--- a/src/direct/store_watch_test.ts
+++ b/src/direct/store_watch_test.ts
@@ -12,17 +12,17 @@
 import { Reachability } from "./reachability.ts";
 import { getRetryPauseMs, StoreWatch } from "./store_watch.ts";
 
-/** Milliseconds in which a list of this store is read. */
+/** Milliseconds that suffice to list this store. */
 const READ_MS = 50;
-/** Milliseconds after which a watch without a reader has begun. */
-const ALONE_MS = 1200;
+/** Milliseconds without a reader after which a watch has begun. */
+const WITHOUT_READER_MS = 1200;
 
 interface WatchFixture {
   readonly store: HoldingStore;
   readonly watch: StoreWatch;
 }
 
-/** Lists nothing, and holds each watch until it is broken off. */
+/** Lists nothing, and holds each watch until it is aborted. */
 class HoldingStore extends UnregisteredStore {
   lists = 0;
   watches = 0;
@@ -35,77 +35,80 @@
   override watch({ signal }: StoreWatchOptions): Promise<StoreWatchOutcome> {
     this.watches++;
     return new Promise((_, reject) => {
-      signal.addEventListener("abort", () => reject(new Error("broken off")));
+      signal.addEventListener(
+        "abort",
+        () => reject(new Error("aborted by signal")),
+      );
     });
   }
 }
 
-function createWatch(store: WatchedStore, readsAtOnce: boolean): StoreWatch {
+function createWatch(store: WatchedStore, listsAtOnce: boolean): StoreWatch {
   const log = new EventLog({ role: "entry", processName: "test" });
   return new StoreWatch({
     store,
     prefix: "any/",
     waitMs: 1000,
     retryPauseMs: 10,
-    readsFirst: readsAtOnce,
-    readsWhenAlone: readsAtOnce,
+    listsOnStart: listsAtOnce,
+    listsOnReaderLoss: listsAtOnce,
     reachability: new Reachability("test", log),
     onListed: () => undefined,
     onChanged: () => undefined,
   });
 }
 
-/** A watch that starts while another process leads, and has had time to read. */
-async function startLed(readsAtOnce: boolean): Promise<WatchFixture> {
+/** Starts a watch that follows a reader, and gives it time to list. */
+async function startFollowing(listsAtOnce: boolean): Promise<WatchFixture> {
   const store = new HoldingStore();
-  const watch = createWatch(store, readsAtOnce);
-  watch.setLed(true);
+  const watch = createWatch(store, listsAtOnce);
+  watch.setFollowingReader(true);
   watch.start();
   await sleep(READ_MS);
   return { store, watch };
 }
 
-describe("a watch that another process may lead", () => {
-  it("makes no call while it is led", async () => {
-    const { store, watch } = await startLed(false);
+describe("a watch that may follow a reader", () => {
+  it("makes no call while it follows a reader", async () => {
+    const { store, watch } = await startFollowing(false);
     watch.stop();
     assert.deepEqual([store.lists, store.watches], [0, 0]);
   });
 
-  it("reads once at the start where that is wanted at once", async () => {
-    const { store, watch } = await startLed(true);
+  it("lists once at the start if configured", async () => {
+    const { store, watch } = await startFollowing(true);
     watch.stop();
     assert.deepEqual([store.lists, store.watches], [1, 0]);
   });
 
-  it("reads once, and watches only after a while, when its reader fails", async () => {
-    const { store, watch } = await startLed(true);
-    watch.setLed(false);
+  it("lists once, and watches only after a delay, when its reader is lost", async () => {
+    const { store, watch } = await startFollowing(true);
+    watch.setFollowingReader(false);
     await sleep(READ_MS);
     assert.deepEqual([store.lists, store.watches], [2, 0]);
-    watch.setLed(true);
+    watch.setFollowingReader(true);
     await sleep(READ_MS);
     watch.stop();
     assert.deepEqual([store.lists, store.watches], [2, 0]);
   });
 
-  it("watches when nobody leads any more", async () => {
-    const { store, watch } = await startLed(true);
-    watch.setLed(false);
-    await sleep(ALONE_MS);
+  it("watches when no reader replaces the lost one", async () => {
+    const { store, watch } = await startFollowing(true);
+    watch.setFollowingReader(false);
+    await sleep(WITHOUT_READER_MS);
     watch.stop();
     assert.equal(store.watches, 1);
   });
 });
 
 /**
- * The pattern: the store is busy for some seconds, and every process of a fleet asks it
- * again and again. Each refused call is work for the store, too.
+ * Guards against overloading a store that is busy for some seconds and is called again
+ * and again by every process of a fleet. Rejected calls are work for the store as well.
  */
-describe("calls to a store that refuses them", () => {
+describe("calls to a store that rejects them", () => {
   const FIRST_PAUSE_MS = 400;
 
-  it("are few, and yet in time for its return", () => {
+  it("are few, but frequent enough to notice its recovery in time", () => {
     let calls = 0;
     let longestMs = 0;
     for (let now = 0; now < 8000; calls++) {
@@ -117,7 +120,7 @@
     assert.ok(longestMs <= 1600);
   });
 
-  it("follow soon after the first that failed", () => {
+  it("follow after the shortest pause when the first one fails", () => {
     assert.equal(getRetryPauseMs(FIRST_PAUSE_MS, 1), FIRST_PAUSE_MS);
   });
 });
--- a/src/direct/superseded_instances.ts
+++ b/src/direct/superseded_instances.ts
@@ -1,26 +1,27 @@
 /**
- * Tells which listed back ends another one has taken the place of.
+ * Detects listed back ends that were replaced by another one.
  *
- * The pattern: machines lose power and their back ends start anew at the same addresses,
- * while the entries of those before lapse only seconds later. Two of a kind are listed
- * then, and half of the requests go to incarnations that are gone: each costs an attempt
- * and a part of the retries that the pool may get.
+ * When VMs lose power, their back ends restart at the same addresses, but the
+ * registrations of the old incarnations expire only seconds later. Until then both are
+ * listed, and half of the requests go to incarnations that no longer exist. Each of these
+ * requests costs an attempt and a share of the pool's retries.
  *
  * @module
  */
 import type { BackEndInstance } from "../messages/back_end_instance.ts";
 
-/** A back end with the revision of the store at which its entry came to be. */
+/** A back end with the revision of the store at which its registration was created. */
 export interface ListedInstance {
   readonly instance: BackEndInstance;
   readonly createdRevision: number;
 }
 
 /**
- * All instances, those as leaving whose address a later entry has. The time at which an
- * entry came to be decides and not its last change: a heartbeat of the one before may
- * arrive late. An entry of a pool that nobody knows may come from anyone, and takes no
- * place; `isKnownPool` tells which pools there are.
+ * Returns all instances, and marks those as leaving whose address has a newer
+ * registration. The creation revision decides and not the last change, because a
+ * heartbeat of the old incarnation may arrive late. A registration of an unknown pool may
+ * come from anyone, so it does not replace another one; `isKnownPool` returns whether a
+ * pool exists.
  *
  * @example
  * ```ts
--- a/src/direct/superseded_instances_test.ts
+++ b/src/direct/superseded_instances_test.ts
@@ -27,8 +27,8 @@
     .map(({ id }) => id);
 }
 
-describe("back ends that start anew before the entry of the one before lapses", () => {
-  it("take its place", () => {
+describe("back ends that restart before their old registration expires", () => {
+  it("replace the old incarnation", () => {
     const listed = [
       createListed("before", "one:80", 3),
       createListed("after", "one:80", 90),
@@ -37,7 +37,7 @@
     assert.deepEqual(servingOf(listed), ["after", "other"]);
   });
 
-  it("take its place in whichever order they are listed", () => {
+  it("replace the old incarnation in any order of the list", () => {
     const listed = [
       createListed("after", "one:80", 90),
       createListed("before", "one:80", 3),
@@ -45,7 +45,7 @@
     assert.deepEqual(servingOf(listed), ["after"]);
   });
 
-  it("stay when no other has their address", () => {
+  it("remain when no other has their address", () => {
     const listed = [
       createListed("one", "one:80", 3),
       createListed("two", "two:80", 3),
@@ -53,7 +53,7 @@
     assert.deepEqual(servingOf(listed), ["one", "two"]);
   });
 
-  it("stay when an entry of a pool that nobody knows names their address", () => {
+  it("remain when a registration of an unknown pool has their address", () => {
     const listed = [
       createListed("one", "one:80", 3),
       createListed("foreign", "one:80", 90, "unknown"),
--- a/src/links/link.ts
+++ b/src/links/link.ts
@@ -1,6 +1,6 @@
 /**
- * One connection between two of our processes, after its handshake or during
- * it: batches what is sent in one turn and checks what arrives.
+ * One connection between two processes of a deployment, during or after its handshake.
+ * Batches the messages sent in one turn of the event loop, and checks what it receives.
  *
  * @module
  */
@@ -15,25 +15,25 @@
 
 /** Milliseconds between two heartbeats. */
 const HEARTBEAT_MS = 2000;
-/** Missed heartbeats after which the other side counts as gone. */
+/** Missed heartbeats after which the other side is considered gone. */
 const MAX_MISSED_HEARTBEATS = 3;
 
-/** What the owner of a link wants to hear of it. */
+/** Receives the events of a link. */
 export interface LinkListener {
   /** Called for each message, in order. */
   onMessage(message: Message): void;
-  /** Called once; `fault` is there when this side closed for a reason. */
+  /** Called once. `fault` is set when this side closed the link for a reason. */
   onClose(fault?: LinkFault): void;
 }
 
-/** One connection between two of our processes. */
+/** One connection between two processes of a deployment. */
 export class Link {
   readonly #socket: WebSocket;
   #listener: LinkListener;
   #outbox: Message[] = [];
-  #flushIsPlanned = false;
+  #isFlushScheduled = false;
   #missedHeartbeats = 0;
-  #hasHeard = true;
+  #hasReceived = true;
   #fault: LinkFault | undefined;
   readonly #heartbeat: NodeJS.Timeout;
 
@@ -41,36 +41,36 @@
   constructor(socket: WebSocket, listener: LinkListener) {
     this.#socket = socket;
     this.#listener = listener;
-    this.#heartbeat = setInterval(() => this.#beat(), HEARTBEAT_MS);
+    this.#heartbeat = setInterval(() => this.#checkHeartbeat(), HEARTBEAT_MS);
     socket.on("message", (data, isBinary) => this.#receive(data, isBinary));
     socket.on("pong", () => {
       this.#missedHeartbeats = 0;
     });
     socket.on("error", () => socket.terminate());
-    socket.on("close", () => this.#closed());
+    socket.on("close", () => this.#onClosed());
   }
 
-  /** Hands the link to another listener, once the handshake is done. */
+  /** Replaces the listener, once the handshake is done. */
   setListener(listener: LinkListener): void {
     this.#listener = listener;
   }
 
-  /** Bytes handed to the socket that it has not yet sent. */
+  /** Bytes passed to the socket that it has not sent yet. */
   get bufferedBytes(): number {
     return this.#socket.bufferedAmount;
   }
 
-  /** Sends a message with all others of this turn of the event loop. */
+  /** Sends a message together with all others of this turn of the event loop. */
   send(message: Message): void {
     this.#outbox.push(message);
-    if (this.#flushIsPlanned) return;
-    this.#flushIsPlanned = true;
+    if (this.#isFlushScheduled) return;
+    this.#isFlushScheduled = true;
     setImmediate(() => this.flush());
   }
 
-  /** Sends what waits now. */
+  /** Sends the queued messages now. */
   flush(): void {
-    this.#flushIsPlanned = false;
+    this.#isFlushScheduled = false;
     if (this.#outbox.length === 0) return;
     const messages = this.#outbox;
     this.#outbox = [];
@@ -78,7 +78,7 @@
     this.#socket.send(encodeFrame(messages));
   }
 
-  /** Closes for a numbered reason, or without one. */
+  /** Closes the link, for a numbered reason or without one. */
   close(fault?: LinkFault): void {
     this.flush();
     this.#fault ??= fault;
@@ -86,7 +86,7 @@
     else this.#socket.close(LINK_FAULT_CODES[fault], fault);
   }
 
-  /** Ends the connection at once, without a closing handshake. */
+  /** Closes the connection at once, without a closing handshake. */
   terminate(fault: LinkFault): void {
     this.#fault ??= fault;
     this.#socket.terminate();
@@ -94,7 +94,7 @@
 
   #receive(data: RawData, isBinary: boolean): void {
     this.#missedHeartbeats = 0;
-    this.#hasHeard = true;
+    this.#hasReceived = true;
     if (this.#fault !== undefined) return;
     if (!isBinary) return this.close("UNREADABLE_FRAME");
     const frame = decodeFrame(data as Uint8Array);
@@ -106,19 +106,19 @@
     if (this.#fault === undefined) this.#listener.onMessage(message);
   }
 
-  #beat(): void {
+  #checkHeartbeat(): void {
     if (this.#missedHeartbeats >= MAX_MISSED_HEARTBEATS) {
       return this.terminate("PEER_SILENT");
     }
-    const isSilent = !this.#hasHeard;
-    this.#hasHeard = false;
-    // Whatever arrives shows that the other side lives.
+    const isSilent = !this.#hasReceived;
+    this.#hasReceived = false;
+    // Any received data shows that the other side is alive.
     if (!isSilent) return;
     this.#missedHeartbeats++;
     if (this.#socket.readyState === this.#socket.OPEN) this.#socket.ping();
   }
 
-  #closed(): void {
+  #onClosed(): void {
     clearInterval(this.#heartbeat);
     this.#listener.onClose(this.#fault);
   }
--- a/src/links/link_client.ts
+++ b/src/links/link_client.ts
@@ -1,6 +1,6 @@
 /**
- * The dialling side: keeps one connection to one address, and dials again with
- * a growing pause after it was lost.
+ * The dialling side: keeps one connection to one address, and dials again with a growing
+ * pause after it is lost.
  *
  * @module
  */
@@ -18,17 +18,17 @@
 import { LINK_PATH, type LinkIdentity } from "./link_server.ts";
 
 const FIRST_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 5000;
-const DIAL_LIMIT_MS = 3000;
+const MAX_PAUSE_MS = 5000;
+const DIAL_TIMEOUT_MS = 3000;
 
-/** What the owner of a client wants to hear. */
+/** Receives the events of a client. */
 export interface LinkClientListener {
-  /** The dialled process has proved itself. */
+  /** Called when the dialled process has authenticated itself. */
   onConnected(link: Link, welcome: WelcomeMessage): void;
   onMessage(message: Message): void;
-  /** The proved connection was lost. */
+  /** Called when the authenticated connection was lost. */
   onDisconnected(fault?: LinkFault): void;
-  /** A dial did not lead to a proved connection. */
+  /** Called when a dial did not lead to an authenticated connection. */
   onDialFailed(fault?: LinkFault): void;
 }
 
@@ -56,7 +56,7 @@
     this.#dial();
   }
 
-  /** Closes the connection and dials no more. */
+  /** Closes the connection and stops dialling. */
   stop(): void {
     this.#isStopped = true;
     clearTimeout(this.#timer);
@@ -68,13 +68,13 @@
     const socket = new WebSocket(
       `ws://${this.#options.address}${LINK_PATH}`,
       {
-        handshakeTimeout: DIAL_LIMIT_MS,
+        handshakeTimeout: DIAL_TIMEOUT_MS,
         maxPayload: MAX_FRAME_BYTES,
         perMessageDeflate: false,
       },
     );
     this.#socket = socket;
-    const onEarlyEnd = () => this.#dialFailed();
+    const onEarlyEnd = () => this.#onDialFailed();
     socket.once("close", onEarlyEnd);
     socket.on("error", () => socket.terminate());
     socket.once("open", () => {
@@ -90,19 +90,19 @@
       onMessage: (message) => {
         if (challenge === undefined && message.kind === "challenge") {
           challenge = message;
-          this.#sayHello(link, challenge, nonce);
+          this.#sendHello(link, challenge, nonce);
         } else if (challenge !== undefined && message.kind === "welcome") {
           this.#finishHandshake(link, message, [challenge.nonce, nonce]);
         } else {
           link.close("UNEXPECTED_MESSAGE");
         }
       },
-      onClose: (fault) => this.#dialFailed(fault),
+      onClose: (fault) => this.#onDialFailed(fault),
     });
     this.#link = link;
   }
 
-  #sayHello(link: Link, challenge: ChallengeMessage, nonce: string): void {
+  #sendHello(link: Link, challenge: ChallengeMessage, nonce: string): void {
     if (challenge.protocol !== PROTOCOL_VERSION) {
       link.close("WRONG_PROTOCOL");
       return;
@@ -145,21 +145,21 @@
       onClose: (fault) => {
         this.#link = undefined;
         listener.onDisconnected(fault);
-        this.#planDial();
+        this.#scheduleDial();
       },
     });
     listener.onConnected(link, welcome);
   }
 
-  #dialFailed(fault?: LinkFault): void {
+  #onDialFailed(fault?: LinkFault): void {
     this.#link = undefined;
     this.#options.listener.onDialFailed(fault);
-    this.#planDial();
+    this.#scheduleDial();
   }
 
-  #planDial(): void {
+  #scheduleDial(): void {
     if (this.#isStopped) return;
     this.#timer = setTimeout(() => this.#dial(), this.#pauseMs);
-    this.#pauseMs = Math.min(this.#pauseMs * 2, LONGEST_PAUSE_MS);
+    this.#pauseMs = Math.min(this.#pauseMs * 2, MAX_PAUSE_MS);
   }
 }
--- a/src/links/link_faults_test.ts
+++ b/src/links/link_faults_test.ts
@@ -52,14 +52,14 @@
   return { ...hello, proof };
 }
 
-/** A frame of one message. */
+/** Encodes a frame with one message. */
 function frame(message: unknown): Uint8Array {
   return PACKER.pack([message]);
 }
 
 interface FaultRow {
   readonly name: string;
-  /** What is sent after the challenge, and after a welcome. */
+  /** Data sent after the challenge, and after the welcome. */
   readonly first: (challenge: Challenge) => Uint8Array | string;
   readonly second?: Uint8Array | string;
   readonly fault: LinkFault | "TOO_LARGE";
@@ -67,22 +67,22 @@
 
 const FAULT_ROWS: readonly FaultRow[] = [
   {
-    name: "text in place of bytes",
+    name: "text instead of bytes",
     first: () => "hello",
     fault: "UNREADABLE_FRAME",
   },
   {
-    name: "bytes that are no frame",
+    name: "bytes that are not a frame",
     first: () => new Uint8Array([0xc1, 0xff, 0x00]),
     fault: "UNREADABLE_FRAME",
   },
   {
-    name: "a frame that was cut short",
+    name: "a truncated frame",
     first: (challenge) => frame(createHello(challenge)).subarray(0, 40),
     fault: "UNREADABLE_FRAME",
   },
   {
-    name: "a frame that is no list",
+    name: "a frame that is not a list",
     first: () => PACKER.pack({ kind: "hello" }),
     fault: "UNREADABLE_FRAME",
   },
@@ -97,7 +97,7 @@
     fault: "UNKNOWN_MESSAGE",
   },
   {
-    name: "another version of the messages",
+    name: "another protocol version",
     first: (challenge) => frame(createHello(challenge, { protocol: 2 })),
     fault: "WRONG_PROTOCOL",
   },
@@ -118,7 +118,7 @@
     fault: "WRONG_PROOF",
   },
   {
-    name: "an order before the proof",
+    name: "a request before the proof",
     first: () => frame({ kind: "cancel", requestId: 1, attempt: 1 }),
     fault: "UNEXPECTED_MESSAGE",
   },
@@ -129,23 +129,23 @@
     fault: "UNKNOWN_MESSAGE",
   },
   {
-    name: "a frame larger than any may be",
+    name: "a frame over the size limit",
     first: (challenge) => frame(createHello(challenge)),
     second: new Uint8Array(17 * 1024 * 1024),
     fault: "TOO_LARGE",
   },
 ];
 
-/** Close code of the protocol itself for frames over the limit. */
+/** Close code of the WebSocket protocol for frames over the limit. */
 const TOO_LARGE_CODE = 1009;
 
-describe("connections between our processes", () => {
+describe("connections between processes of a deployment", () => {
   let listener: HttpListener;
   let address: string;
   let received: Message[];
-  let good: LinkClient;
-  let goodLink: Link;
-  let goodIsOpen = false;
+  let healthyClient: LinkClient;
+  let healthyLink: Link;
+  let isHealthyOpen = false;
 
   before(async () => {
     listener = new HttpListener();
@@ -164,18 +164,18 @@
     });
     await listener.listen(address);
     await new Promise<WelcomeMessage>((resolve) => {
-      good = new LinkClient({
+      healthyClient = new LinkClient({
         address,
         role: "entry",
         identity: { ...IDENTITY, name: "good" },
         listener: {
           onConnected: (link, welcome) => {
-            goodLink = link;
-            goodIsOpen = true;
+            healthyLink = link;
+            isHealthyOpen = true;
             resolve(welcome);
           },
           onMessage: () => undefined,
-          onDisconnected: () => goodIsOpen = false,
+          onDisconnected: () => isHealthyOpen = false,
           onDialFailed: () => undefined,
         },
       });
@@ -183,12 +183,12 @@
   });
 
   after(() => {
-    good.stop();
+    healthyClient.stop();
     listener.close();
   });
 
   for (const row of FAULT_ROWS) {
-    it(`closes with a number and harms no other: ${row.name}`, async () => {
+    it(`closes with a code and affects no other connection: ${row.name}`, async () => {
       received.length = 0;
       const socket = new WebSocket(`ws://${address}${LINK_PATH}`);
       const closed = once(socket, "close");
@@ -205,8 +205,8 @@
         : LINK_FAULT_CODES[row.fault];
       assert.equal(code, expected);
       assert.deepEqual(received, []);
-      assert.ok(goodIsOpen, "Another connection was harmed");
-      goodLink.send({ kind: "status_request" });
+      assert.ok(isHealthyOpen, "Another connection was closed");
+      healthyLink.send({ kind: "status_request" });
       while (received.length === 0) {
         await new Promise((resolve) => setImmediate(resolve));
       }
@@ -214,9 +214,9 @@
     });
   }
 
-  it("does not join a process that cannot prove itself", async () => {
+  it("rejects a process that cannot authenticate itself", async () => {
     const answers: string[] = [];
-    const stranger = new LinkClient({
+    const rejectedClient = new LinkClient({
       address,
       role: "entry",
       identity: { ...IDENTITY, secret: "another-secret-than-ours" },
@@ -230,7 +230,7 @@
     while (answers.length === 0) {
       await new Promise((resolve) => setImmediate(resolve));
     }
-    stranger.stop();
+    rejectedClient.stop();
     assert.deepEqual(answers, ["rejected"]);
   });
 });
--- a/src/links/link_server.ts
+++ b/src/links/link_server.ts
@@ -1,6 +1,6 @@
 /**
- * The dialled side: takes connections on a target's port and lets in only
- * processes that prove that they belong to the deployment.
+ * The dialled side: accepts connections, and admits only processes that prove that they
+ * belong to the deployment.
  *
  * @module
  */
@@ -16,13 +16,13 @@
 } from "../messages/types.ts";
 import { Link } from "./link.ts";
 
-/** Path on which processes talk to each other. */
+/** URL path of connections between processes. */
 export const LINK_PATH = "/lagoonwharf/link";
 
-/** Milliseconds in which a connection must prove itself. */
-const HANDSHAKE_LIMIT_MS = 5000;
+/** Milliseconds in which a connection must be authenticated. */
+const HANDSHAKE_TIMEOUT_MS = 5000;
 
-/** Who this process is towards its peers. */
+/** The identity of this process towards its peers. */
 export interface LinkIdentity {
   readonly deployment: string;
   readonly secret: string;
@@ -31,20 +31,22 @@
   readonly failureDomain: string;
 }
 
-/** What a dialled process adds to its identity. */
+/** What a dialled process adds to its identity in its welcome message. */
 export interface WelcomeDetails {
   readonly pool: string;
   readonly concurrency: number;
 }
 
-/** What the owner of the server wants to hear. */
+/** Receives the events of a server. */
 export interface LinkServerListener {
-  /** A peer has proved itself. Returns the listener for its messages. */
+  /**
+   * Called when a peer has authenticated itself. Returns the listener for its messages.
+   */
   onPeer(link: Link, hello: HelloMessage): {
     onMessage(message: Message): void;
     onClose(fault?: LinkFault): void;
   };
-  /** A connection was closed before it proved itself. */
+  /** Called when a connection was closed before it was authenticated. */
   onRejected(fault: LinkFault | undefined): void;
 }
 
@@ -55,14 +57,14 @@
   readonly listener: LinkServerListener;
 }
 
-/** Takes connections of other lagoonwharf processes. */
+/** Accepts connections from other processes of the deployment. */
 export class LinkServer {
   readonly #server: WebSocketServer;
   readonly #options: LinkServerOptions;
-  /** Timers of connections that have not proved themselves. */
-  readonly #limits = new WeakMap<Link, NodeJS.Timeout>();
+  /** Timers of connections that are not authenticated yet. */
+  readonly #handshakeTimers = new WeakMap<Link, NodeJS.Timeout>();
 
-  /** Listens for upgrades on an HTTP server. */
+  /** Handles upgrade requests of an HTTP server. */
   constructor(http: Server, options: LinkServerOptions) {
     this.#options = options;
     this.#server = new WebSocketServer({
@@ -90,25 +92,25 @@
     const link: Link = new Link(webSocket, {
       onMessage: (message) => this.#finishHandshake(link, nonce, message),
       onClose: (fault) => {
-        clearTimeout(limit);
+        clearTimeout(timeout);
         this.#options.listener.onRejected(fault);
       },
     });
-    const limit = setTimeout(
+    const timeout = setTimeout(
       () => link.close("HANDSHAKE_TIMEOUT"),
-      HANDSHAKE_LIMIT_MS,
+      HANDSHAKE_TIMEOUT_MS,
     );
     link.send({ kind: "challenge", protocol: PROTOCOL_VERSION, nonce });
-    this.#limits.set(link, limit);
+    this.#handshakeTimers.set(link, timeout);
   }
 
   #finishHandshake(link: Link, nonce: string, message: Message): void {
-    const fault = this.#tryFault(nonce, message);
+    const fault = this.#findFault(nonce, message);
     if (fault !== undefined || message.kind !== "hello") {
       link.close(fault ?? "UNEXPECTED_MESSAGE");
       return;
     }
-    clearTimeout(this.#limits.get(link));
+    clearTimeout(this.#handshakeTimers.get(link));
     const { identity, welcome, listener } = this.#options;
     link.send({
       kind: "welcome",
@@ -125,7 +127,7 @@
     link.setListener(listener.onPeer(link, message));
   }
 
-  #tryFault(nonce: string, message: Message): LinkFault | undefined {
+  #findFault(nonce: string, message: Message): LinkFault | undefined {
     const { identity } = this.#options;
     if (message.kind !== "hello") return "UNEXPECTED_MESSAGE";
     if (message.protocol !== PROTOCOL_VERSION) return "WRONG_PROTOCOL";
