--- a/src/direct/drain_follower_test.ts
+++ b/src/direct/drain_follower_test.ts
@@ -200,7 +200,7 @@
     onSettings: ({ version }) => notifications.push(`settings-${version}`),
   });
   settings.start();
-  for (let turns = 0; turns < 20; turns++) await setImmediate();
+  for (let round = 0; round < 20; round++) await setImmediate();
   settings.stop();
   drains.stop();
   return { notifications: notifications.join(" "), log, drains, store };
--- a/src/direct/drained_domains.ts
+++ b/src/direct/drained_domains.ts
@@ -54,7 +54,7 @@
    *
    * @example
    * ```ts
-   * drains.take({ revision: 7, failureDomains: ["a"] }, performance.now());
+   * drains.apply({ revision: 7, failureDomains: ["a"] }, performance.now());
    * ```
    */
   take(set: DrainSet, now: number): AppliedDrains | undefined {
--- a/src/direct/entry_audience.ts
+++ b/src/direct/entry_audience.ts
@@ -51,13 +51,13 @@
     this.#writers.delete(link);
   }
 
-  /** Sends all entries whether the group runs. */
+  /** Sends to all entries whether the group runs. */
   sendObservation(observation: GroupSightMessage): void {
     for (const link of this.#writers.keys()) link.send(observation);
   }
 
   /**
-   * Sends all entries the load of the ranks. Skipped while the link is still busy with
+   * Sends the load of the ranks to all entries. Skipped while the link is still busy with
    * the previous load.
    *
    * @example
--- a/src/direct/peers/memory_teller.ts
+++ b/src/direct/peers/memory_teller.ts
@@ -26,8 +26,8 @@
   #lastPeerDigest: string | undefined;
 
   /** Starts with nothing sent. */
-  constructor(memory: ReplicatedSection<Item>) {
-    this.#section = memory;
+  constructor(section: ReplicatedSection<Item>) {
+    this.#section = section;
   }
 
   /**
--- a/src/direct/peers/peer_choice_test.ts
+++ b/src/direct/peers/peer_choice_test.ts
@@ -74,9 +74,12 @@
 
   it("never query each other", () => {
     for (const { name, address } of entries) {
-      for (const asked of candidatesOf(name)) {
-        const back = candidatesOf(asked.slice(0, -2));
-        assert.ok(!back.includes(address), `${name} and ${asked}`);
+      for (const candidate of candidatesOf(name)) {
+        const nextCandidates = candidatesOf(candidate.slice(0, -2));
+        assert.ok(
+          !nextCandidates.includes(address),
+          `${name} and ${candidate}`,
+        );
       }
     }
   });
--- a/src/direct/peers/peer_client.ts
+++ b/src/direct/peers/peer_client.ts
@@ -39,7 +39,7 @@
   readonly #client: LinkClient;
   #link: Link | undefined;
   #queryId = 0;
-  #askedAt = 0;
+  #queriedAt = 0;
   /** The digests of the other entry's state, as last received. */
   #peerDigests = EMPTY_DIGESTS;
   #replicator: StateReplicator;
@@ -76,13 +76,16 @@
     this.#isQueryPending = this.#link === undefined;
     if (this.#link === undefined) return;
     const { getKnown, isFollowing } = this.#options;
-    this.#askedAt = performance.now();
+    this.#queriedAt = performance.now();
     this.#link.send({
       kind: "store_news_query",
       ...getKnown(),
       queryId: ++this.#queryId,
       isFollowing,
-      memories: this.#replicator.createUpdate(this.#peerDigests, this.#askedAt),
+      memories: this.#replicator.createUpdate(
+        this.#peerDigests,
+        this.#queriedAt,
+      ),
     });
   }
 
@@ -101,6 +104,6 @@
   #receive(update: StoreNewsMessage): void {
     this.#peerDigests = getDigests(update.memories);
     const isLatest = update.queryId === this.#queryId;
-    this.#options.onUpdate(update, isLatest ? this.#askedAt : undefined);
+    this.#options.onUpdate(update, isLatest ? this.#queriedAt : undefined);
   }
 }
--- a/src/direct/peers/peer_server.ts
+++ b/src/direct/peers/peer_server.ts
@@ -174,7 +174,7 @@
  *
  * @example
  * ```ts
- * const update = createNews(state, { settingsVersion: 3 }, now);
+ * const update = createStoreUpdate(state, { settingsVersion: 3 }, now);
  * ```
  */
 export function createNews(
--- a/src/direct/peers/permit_asker.ts
+++ b/src/direct/peers/permit_asker.ts
@@ -34,7 +34,7 @@
 }
 
 /** A connection to an entry that issues permits. */
-interface Issuer {
+interface IssuerConnection {
   readonly client: LinkClient;
   link: Link | undefined;
   /** Requests that wait for the connection. */
@@ -45,7 +45,7 @@
 /** Requests permits from other entries. */
 export class PermitRequester {
   readonly #options: PermitRequesterOptions;
-  readonly #issuers = new Map<string, Issuer>();
+  readonly #issuers = new Map<string, IssuerConnection>();
   readonly #pending = new Map<number, PendingRequest>();
   #queryId = 0;
 
@@ -80,7 +80,7 @@
     this.#pending.clear();
   }
 
-  #connect(address: string): Issuer {
+  #connect(address: string): IssuerConnection {
     const client = new LinkClient({
       address,
       role: "entry",
@@ -96,7 +96,7 @@
         onDialFailed: () => undefined,
       },
     });
-    const issuer: Issuer = {
+    const issuer: IssuerConnection = {
       client,
       link: undefined,
       pendingQueryIds: [],
@@ -106,7 +106,7 @@
     return issuer;
   }
 
-  #onConnected(issuer: Issuer, link: Link): void {
+  #onConnected(issuer: IssuerConnection, link: Link): void {
     issuer.link = link;
     const { pendingQueryIds } = issuer;
     issuer.pendingQueryIds = [];
--- a/src/direct/peers/reader_turns.ts
+++ b/src/direct/peers/reader_turns.ts
@@ -156,7 +156,7 @@
    *
    * @example
    * ```ts
-   * const action = policy.next(performance.now());
+   * const action = policy.nextAction(performance.now());
    * ```
    */
   next(now: number): ReaderAction {
--- a/src/direct/process_registry_test.ts
+++ b/src/direct/process_registry_test.ts
@@ -25,7 +25,7 @@
   return { items, revision: joinRevision({ era, revision: 10 }) };
 }
 
-/** Returns the names of the known processes after each of the lists was read. */
+/** Returns the names of the processes that are known after all of the lists were read. */
 async function follow(
   listings: readonly StoreListing[],
 ): Promise<readonly string[]> {
--- a/src/direct/reducer_memories.ts
+++ b/src/direct/reducer_memories.ts
@@ -22,8 +22,12 @@
     leaving: registry.leaving,
     onCrashes: (requests) =>
       dispatch({ kind: "crashes_told", now: performance.now(), requests }),
-    onLimits: (told) =>
-      dispatch({ kind: "limits_told", now: performance.now(), limits: told }),
+    onLimits: (targetLimits) =>
+      dispatch({
+        kind: "limits_told",
+        now: performance.now(),
+        limits: targetLimits,
+      }),
     onLeaving: (targets) =>
       dispatch({ kind: "leaving_told", now: performance.now(), targets }),
   });
--- a/src/direct/settings_follower_test.ts
+++ b/src/direct/settings_follower_test.ts
@@ -103,7 +103,7 @@
     onSettings: () => undefined,
   });
   follower.start();
-  for (let turns = 0; turns < 10; turns++) await setImmediate();
+  for (let round = 0; round < 10; round++) await setImmediate();
   follower.stop();
   const inForce = follower.inUse?.settings.version;
   return { reads: format.reads, watches: store.watches, inForce };
