--- a/src/policy/placement/greedy_packer.ts
+++ b/src/policy/placement/greedy_packer.ts
@@ -1,6 +1,6 @@
 /**
- * Packs all experts anew, heaviest first: the baseline that knows no cost, and
- * the first placement of a group.
+ * Packs all experts from scratch, heaviest first. It provides the first placement of a
+ * group, and the baseline of planners that take moves into account.
  *
  * @module
  */
@@ -17,7 +17,7 @@
   readonly tokens: number;
 }
 
-/** Packs all experts anew, whatever that moves. */
+/** Packs all experts from scratch, regardless of the number of moves. */
 export class GreedyPacker extends PlacementPlanner {
   override plan(current: LayerPlacement, load: LayerLoad): PlannedLayer {
     const slots = current.experts.map((experts) => experts.length);
@@ -27,7 +27,7 @@
 }
 
 /**
- * Places the heaviest replica on the rank that then ends first.
+ * Places the replicas, heaviest first, each on the rank that then has the lowest time.
  *
  * @example
  * ```ts
@@ -50,7 +50,10 @@
   return { experts };
 }
 
-/** One replica of each expert, the spare ones to whoever is hottest. */
+/**
+ * Assigns one replica to each expert, and each remaining one to the expert with the
+ * highest load per replica.
+ */
 function splitHottest(
   tokens: readonly number[],
   total: number,
@@ -97,7 +100,7 @@
     const held = packing.experts[rank] ?? [];
     if (held.length >= slots) continue;
     const tokens = (packing.tokens[rank] ?? 0) + replica.tokens;
-    // Two replicas on one rank are worth no more than one.
+    // A second replica on the same rank has no benefit.
     const isWasted = held.includes(replica.expert);
     const time = isWasted ? Number.MAX_VALUE : tokens /
       (packing.load.speeds[rank] ?? 1);
--- a/src/policy/placement/incremental_planner.ts
+++ b/src/policy/placement/incremental_planner.ts
@@ -1,34 +1,34 @@
 /**
- * Plans the next map of a group whose popularity changes about as fast as
- * experts can be copied: a few copies at a time of what is asked for most.
+ * Plans the next expert map of a group whose expert popularity changes about as fast as
+ * experts can be copied: each plan makes a few copies of the most requested experts.
  *
  * @module
  */
 import type { ExpertMap, LayerPlacement } from "../../messages/group_types.ts";
 import { PlacementDraft, type ReplicaChange } from "./placement_draft.ts";
 
-/** What a plan is made from. */
+/** The input of a plan. */
 export interface PlanInput {
   readonly current: ExpertMap;
   /** Tokens by layer and expert, in any unit. */
   readonly tokens: readonly (readonly number[])[];
-  /** Time of each rank over that of a rank of usual speed. */
+  /** Time of each rank relative to a rank of usual speed. */
   readonly paces: readonly number[];
 }
 
 /** Bounds of one plan. */
 export interface PlanLimits {
-  /** Experts that a rank can hold of one layer. */
+  /** Maximum number of experts of one layer that a rank holds. */
   readonly slotsPerRank: number;
-  /** Experts that a rank may load for one map, over all layers. */
+  /** Maximum number of experts that a rank loads for one map, over all layers. */
   readonly mostNewPerRank: number;
-  /** Experts of one layer that a rank may load for one map. */
+  /** Maximum number of experts of one layer that a rank loads for one map. */
   readonly mostNewPerLayer: number;
   /** Milliseconds to load one expert. */
   readonly loadMs: number;
   /**
-   * Time of a pass over the pause that callers bear, if both are known: near 1 a pass
-   * that takes longer makes answers late, far below nobody notices.
+   * Ratio of the pass time to the pause that callers tolerate, if both are known. Near 1
+   * a longer pass makes answers late, far below 1 nobody notices it.
    */
   readonly passPart?: number;
 }
@@ -36,52 +36,57 @@
 /** A planned map. */
 export interface IncrementalPlan {
   readonly map: ExpertMap;
-  /** Experts that ranks must load. */
+  /** Number of experts that ranks must load. */
   readonly copies: number;
-  /** Sum over the layers of the most loaded rank's part; 1 a layer is even. */
+  /** Sum over the layers of the most loaded rank's relative load; 1 for an even layer. */
   readonly costBefore: number;
   readonly costAfter: number;
 }
 
 /**
- * Part by which one copy makes all passes slower while it is made: 0.15 however many
- * ranks copy, so a copy has a part of it, as three or more ranks copy side by side.
+ * Relative increase of the pass time during one copy. Copying slows passes down by 0.15,
+ * however many ranks copy, and usually three or more of them copy at the same time.
  */
 const COPY_SLOWDOWN = 0.05;
 /**
- * Milliseconds for which a copy is of use: popularity changes every few seconds, and a copy
- * is in force after a part of that.
+ * Milliseconds for which a copy is useful: popularity changes every few seconds, and a
+ * copy takes a fraction of that time to come into force.
  */
 const USEFUL_MS = 2500;
 /**
- * Part of a pass that one copy must save while passes take no time at all, over the part
- * of all experts that it moves; the longer passes take against the pause that callers
- * bear, the less.
+ * Minimum benefit of one copy when the pass time is 0, as the ratio of the fraction of a
+ * pass that it saves to the fraction of all experts that it moves. The minimum falls as
+ * the pass time approaches the pause that callers tolerate.
  */
 const EASY_GAIN = 10;
 /**
- * Milliseconds by which a switch delays the group: its pass is held until all ranks are
- * armed. Over {@link USEFUL_MS} it must save as much, or nobody is better off.
+ * Milliseconds for which a switch delays the group, as its pass is held until all ranks
+ * are armed. The plan must save at least as much within {@link USEFUL_MS}.
  */
 const SWITCH_MS = 40;
 /**
- * Part of a pass that a plan must save, beside that, while passes take no time against the
- * pause that callers bear: nobody notices what it saves, and each switch may hold the group
- * for a moment that all of its callers notice.
+ * Fraction of a pass that a plan must save in addition when the pass time is 0: callers
+ * don't notice what it saves, but each switch may hold the group for a moment that all of
+ * them notice.
  */
 const EASY_PLAN_GAIN = 0.08;
-/** Part of that pause from which each copy that makes up for itself is made. */
+/**
+ * Ratio of the pass time to that pause from which on every copy is made that saves more
+ * than it costs.
+ */
 const PRESSING_PASS_PART = 0.8;
-/** Part of a layer's cost that dropping a replica must save: no copy is needed. */
+/**
+ * Fraction of a layer's cost that dropping a replica must save; dropping needs no copy.
+ */
 const SMALLEST_DROP_GAIN = 0.001;
-/** Most loaded ranks of a layer whose experts are given more replicas. */
+/** Number of most loaded ranks of a layer whose experts may get more replicas. */
 const RANKS_CONSIDERED = 2;
 /**
- * Least loaded ranks of a layer that are considered for a copy: the best one is among
- * them, and plans for large groups take a third of the time.
+ * Number of least loaded ranks of a layer that are considered as destinations. The best
+ * one is among them, and plans for large groups take a third of the time.
  */
 const RECEIVERS_CONSIDERED = 16;
-/** Replicas at a full rank that are considered for being dropped. */
+/** Number of replicas at a full rank that are considered for removal. */
 const DROPS_CONSIDERED = 2;
 
 interface ScoredChange {
@@ -91,7 +96,7 @@
 }
 
 /**
- * Plans the next map; undefined when no copy is worth its while.
+ * Plans the next map; returns undefined if no change is beneficial.
  *
  * @example
  * ```ts
@@ -107,13 +112,15 @@
 
 class IncrementSearch {
   readonly #limits: PlanLimits;
-  /** Part of a pass that one copy must save. */
+  /** Minimum fraction of a pass that one copy must save. */
   readonly #smallestGain: number;
   readonly #drafts: readonly PlacementDraft[];
-  /** Copies by rank, and by rank within each layer. */
+  /** Number of copies by rank, and by layer and rank. */
   readonly #copies: number[];
   readonly #copiesByLayer: readonly number[][];
-  /** Best change of each layer; undefined: none, missing: to be searched. */
+  /**
+   * Best change of each layer: undefined if there is none, absent if not yet searched.
+   */
   readonly #bestOf = new Map<number, ScoredChange | undefined>();
 
   constructor(input: PlanInput, limits: PlanLimits) {
@@ -171,7 +178,7 @@
     return made;
   }
 
-  /** Dropping a replica where its rank is loaded most needs no copy. */
+  /** Drops replicas at the most loaded ranks where that lowers the cost. */
   #dropReplicas(): number {
     let dropped = 0;
     for (const draft of this.#drafts) {
@@ -202,8 +209,8 @@
   }
 
   /**
-   * Searched again only after a change that concerns the layer: with 16 layers a
-   * plan takes a tenth of the time.
+   * Returns the best change of a layer. It is cached until a change affects the layer,
+   * which makes planning 16 layers ten times as fast.
    */
   #knownBestOf(layer: number): ScoredChange | undefined {
     if (!this.#bestOf.has(layer)) {
@@ -212,7 +219,10 @@
     return this.#bestOf.get(layer);
   }
 
-  /** A change was made in a layer, for which a rank loads an expert. */
+  /**
+   * Invalidates the best changes affected by a change in a layer for which a rank loads
+   * an expert.
+   */
   #forgetBest(changed: number, rank: number): void {
     this.#bestOf.delete(changed);
     for (const [layer, best] of this.#bestOf) {
@@ -257,7 +267,10 @@
       (ofLayer[rank] as number) < mostNewPerLayer;
   }
 
-  /** The most loaded ranks' parts, one a layer: what a pass takes. */
+  /**
+   * Returns the sum over the layers of the most loaded rank's load, which determines the
+   * pass time.
+   */
   #highestLoads(): number {
     return this.#drafts.reduce((sum, draft) => sum + draft.highestLoad, 0);
   }
@@ -268,8 +281,9 @@
 }
 
 /**
- * Part of a pass that one copy must save: what makes up for the passes that it slows
- * down (0.024 for one that takes 400 ms), and more while passes are short.
+ * Returns the minimum fraction of a pass that one copy must save: enough to make up for
+ * the passes that it slows down (0.008 for a copy of 400 ms), and more while passes are
+ * short.
  */
 function smallestGainOf(
   { loadMs, passPart }: PlanLimits,
@@ -279,12 +293,18 @@
   return Math.max(forSlowdown, EASY_GAIN * movedPart * easeOf(passPart));
 }
 
-/** Part of a pass that all copies of a plan must save together, for the switch. */
+/**
+ * Returns the fraction of a pass that all copies of a plan must save together to justify
+ * the switch.
+ */
 function smallestPlanGainOf({ passPart }: PlanLimits): number {
   return SWITCH_MS / USEFUL_MS + EASY_PLAN_GAIN * easeOf(passPart);
 }
 
-/** 1 while passes take no time against the pause that callers bear, 0 near it. */
+/**
+ * Returns 1 for a pass time of 0, falling to 0 as it approaches the pause that callers
+ * tolerate.
+ */
 function easeOf(passPart: number | undefined): number {
   return 1 - clampToUnit((passPart ?? 1) / PRESSING_PASS_PART);
 }
@@ -293,7 +313,10 @@
   return Math.min(1, Math.max(0, value));
 }
 
-/** What a rank may drop for a new expert; undefined where it has room. */
+/**
+ * Returns the experts that a rank may drop for a new one; undefined if it has a free
+ * slot.
+ */
 function droppableAt(
   draft: PlacementDraft,
   rank: number,
@@ -302,7 +325,7 @@
   return draft.droppableAt(rank).slice(0, DROPS_CONSIDERED);
 }
 
-/** The ways to bring an expert to a rank: as one more replica, or moved. */
+/** Returns the ways to bring an expert to a rank: as an additional replica, or moved. */
 function changesOf(
   move: Required<Pick<ReplicaChange, "expert" | "rank" | "movedFrom">>,
   droppable: readonly number[] | undefined,
@@ -313,7 +336,10 @@
     .flatMap((dropped) => [{ expert, rank, dropped }, { ...move, dropped }]);
 }
 
-/** Parts of the whole; even when nothing was counted. */
+/**
+ * Normalizes counts to fractions of their sum; the fractions are equal if nothing was
+ * counted.
+ */
 function normalized(tokens: readonly number[]): readonly number[] {
   const total = tokens.reduce((sum, count) => sum + count, 0);
   if (total === 0) return tokens.map(() => 1 / tokens.length);
--- a/src/policy/placement/incremental_planner_test.ts
+++ b/src/policy/placement/incremental_planner_test.ts
@@ -14,7 +14,7 @@
   loadMs: 400,
 };
 
-/** Experts in turn: rank 0 holds 0, 4 and 8. */
+/** Creates a map with the experts distributed round-robin: rank 0 holds 0, 4 and 8. */
 function createMap(layers: number): ExpertMap {
   const experts = Array.from(
     { length: RANKS },
@@ -36,7 +36,7 @@
   });
 }
 
-/** A group of any shape, whose experts are held in turn. */
+/** Creates a group of any size with its experts distributed round-robin. */
 function createShape(ranks: number, layers: number, experts: number) {
   const held = Array.from(
     { length: ranks },
@@ -52,7 +52,7 @@
   return { current, paces: new Array<number>(ranks).fill(1) };
 }
 
-/** Popularity that falls with an expert's place in a shuffled order. */
+/** Creates tokens that fall with an expert's position in a random order. */
 function createSkewedTokens(layers: number, experts: number) {
   return Array.from({ length: layers }, (_, layer) => {
     const order = fc.sample(
@@ -69,8 +69,8 @@
   });
 }
 
-describe("plan of a few copies", () => {
-  it("leaves an even load alone", () => {
+describe("incremental plan", () => {
+  it("is undefined for an even load", () => {
     const plan = tryPlanIncrement({
       current: createMap(2),
       tokens: [createTokens(), createTokens()],
@@ -79,7 +79,7 @@
     assert.equal(plan, undefined);
   });
 
-  it("gives a hot expert replicas, one copy a rank", () => {
+  it("adds replicas of a hot expert, at most one copy for each rank", () => {
     const current = createMap(1);
     const plan = tryPlanIncrement({
       current,
@@ -93,7 +93,7 @@
     }
   });
 
-  it("takes experts away from a slow rank", () => {
+  it("moves experts away from a slow rank", () => {
     let current = createMap(1);
     const paces = [12, 1, 1, 1];
     for (let round = 0; round < 3; round++) {
@@ -106,7 +106,7 @@
     assert.deepEqual(current.layers[0]?.experts[0], []);
   });
 
-  it("helps a group of many ranks and layers, too", () => {
+  it("lowers the cost of a group with many ranks and layers", () => {
     const { current, paces } = createShape(24, 16, 96);
     const tokens = createSkewedTokens(16, 96);
     const plan = tryPlanIncrement({ current, tokens, paces }, {
@@ -119,7 +119,7 @@
     assert.ok(plan.costAfter < 0.7 * plan.costBefore);
   });
 
-  it("asks more of a copy that takes longer", () => {
+  it("requires a higher benefit for a copy that takes longer", () => {
     const tokens = createSkewedTokens(3, 96);
     const { current, paces } = createShape(12, 3, 96);
     const copiesAt = (loadMs: number) =>
@@ -133,7 +133,7 @@
     assert.equal(copiesAt(10_000), 0);
   });
 
-  it("asks more of a copy while passes are short, for groups of any size", () => {
+  it("requires a higher benefit for a copy while passes are short, for groups of any size", () => {
     for (
       const [ranks, layers, experts] of [[16, 4, 64], [24, 16, 96]] as const
     ) {
@@ -150,12 +150,12 @@
       const [easy, pressed, unknown] = [0.4, 0.9, undefined].map(planAt);
       assert.ok((easy?.copies ?? 0) < (pressed?.copies ?? 0));
       assert.equal(pressed?.copies, unknown?.copies);
-      // What was most in demand is spread either way.
+      // The load of the most requested experts is spread in both cases.
       assert.ok((easy?.costAfter ?? 0) < 0.85 * (easy?.costBefore ?? 0));
     }
   });
 
-  it("keeps every expert somewhere and within the limits", () => {
+  it("keeps every expert on some rank and respects the limits", () => {
     fc.assert(
       fc.property(
         fc.array(fc.integer({ min: 0, max: 500 }), {
--- a/src/policy/placement/layer_state.ts
+++ b/src/policy/placement/layer_state.ts
@@ -1,7 +1,7 @@
 /**
- * A placement that can be changed step by step. What a change would do is told
- * without making it, in time that grows with the replicas concerned, not with
- * the group.
+ * The placement of one layer, which can be changed one slot at a time. The effect of a
+ * change is computed without making it, in time proportional to the affected replicas
+ * rather than to the group.
  *
  * @module
  * @internal
@@ -9,26 +9,26 @@
 import type { LayerPlacement } from "../../messages/group_types.ts";
 import type { LayerLoad } from "./types.ts";
 
-/** One slot of one rank. */
+/** A slot of a rank. */
 export interface SlotPlace {
   readonly rank: number;
   readonly slot: number;
 }
 
-/** A placement that can be changed step by step. */
+/** The placement of one layer, which can be changed one slot at a time. */
 export class LayerState {
   readonly #experts: number[][];
   readonly #load: LayerLoad;
   /** Ranks that hold each expert, once for each replica. */
   readonly #holders: number[][];
   readonly #times: Float64Array;
-  /** What a change under consideration adds to each rank's time. */
+  /** Pending changes of the time of each rank. */
   readonly #deltas: Float64Array;
   readonly #touched: number[] = [];
   readonly #mean: number;
   #potential = 0;
 
-  /** Begins with a copy of a placement. */
+  /** Starts with a copy of a placement. */
   constructor(placement: LayerPlacement, load: LayerLoad) {
     this.#experts = placement.experts.map((experts) => [...experts]);
     this.#load = load;
@@ -48,22 +48,25 @@
     this.#potential = this.#sumPowers();
   }
 
-  /** Ranks of the group. */
+  /** Number of ranks of the group. */
   get ranks(): number {
     return this.#experts.length;
   }
 
-  /** Time of the slowest rank over that of a perfect spread. */
+  /** Time of the slowest rank relative to a perfectly even distribution. */
   get slowest(): number {
     return this.#times[this.slowestRank()] as number;
   }
 
-  /** Falls when the slowest ranks get faster, even if several are slowest. */
+  /**
+   * Sum of powers of the rank times. It falls when the slowest ranks get faster, even if
+   * several are equally slow.
+   */
   get potential(): number {
     return this.#potential;
   }
 
-  /** The slowest rank. */
+  /** Returns the slowest rank. */
   slowestRank(): number {
     let slowest = 0;
     for (let rank = 1; rank < this.ranks; rank++) {
@@ -72,17 +75,17 @@
     return slowest;
   }
 
-  /** Time of a rank over that of a perfect spread. */
+  /** Returns the time of a rank relative to a perfectly even distribution. */
   timeOf(rank: number): number {
     return this.#times[rank] as number;
   }
 
-  /** Experts of a rank, by slot. */
+  /** Returns the experts of a rank, by slot. */
   expertsOf(rank: number): readonly number[] {
     return this.#experts[rank] as readonly number[];
   }
 
-  /** The expert in a slot. */
+  /** Returns the expert in a slot. */
   expertAt(place: SlotPlace): number {
     return this.expertsOf(place.rank)[place.slot] as number;
   }
@@ -97,19 +100,22 @@
     return this.expertsOf(rank).includes(expert);
   }
 
-  /** The potential if a slot held another expert. */
+  /** Returns the potential after replacing the expert in a slot, without replacing it. */
   potentialAfterReplace(place: SlotPlace, expert: number): number {
     this.#considerReplace(place, expert);
     return this.#considered();
   }
 
-  /** The potential if two slots of different ranks changed experts. */
+  /**
+   * Returns the potential after swapping two slots of different ranks, without swapping
+   * them.
+   */
   potentialAfterSwap(left: SlotPlace, right: SlotPlace): number {
     this.#considerSwap(left, right);
     return this.#considered();
   }
 
-  /** Puts another expert into a slot. */
+  /** Replaces the expert in a slot. */
   replace(place: SlotPlace, expert: number): void {
     const removed = this.expertAt(place);
     this.#considerReplace(place, expert);
@@ -120,7 +126,7 @@
     this.#potential = this.#sumPowers();
   }
 
-  /** Exchanges the experts of two slots of different ranks. */
+  /** Swaps the experts of two slots of different ranks. */
   swap(left: SlotPlace, right: SlotPlace): void {
     const leftExpert = this.expertAt(left);
     const rightExpert = this.expertAt(right);
@@ -135,7 +141,7 @@
     this.#potential = this.#sumPowers();
   }
 
-  /** The placement as it is now. */
+  /** Returns a copy of the current placement. */
   toPlacement(): LayerPlacement {
     return { experts: this.#experts.map((experts) => [...experts]) };
   }
@@ -195,7 +201,7 @@
     for (const rank of holders) this.#add(rank, sign * share);
   }
 
-  /** Adds tokens, as a share of a perfect spread, to what is considered. */
+  /** Adds tokens, as a share of an even distribution, to the pending change of a rank. */
   #add(rank: number, share: number): void {
     this.#touched.push(rank);
     this.#deltas[rank] = (this.#deltas[rank] as number) +
@@ -227,7 +233,7 @@
   }
 }
 
-/** The eighth power: the slowest ranks count far more than the others. */
+/** The eighth power, so that the slowest ranks dominate the sum. */
 function power(time: number): number {
   const square = time * time;
   const fourth = square * square;
--- a/src/policy/placement/load_estimator.ts
+++ b/src/policy/placement/load_estimator.ts
@@ -1,25 +1,25 @@
 /**
- * Estimates of tokens per expert and of rank speeds, from reports that come
- * late and with gaps.
+ * Estimates tokens per expert and speeds of ranks from reports that may be late or
+ * incomplete.
  *
  * @module
  */
 import type { LayerLoad } from "./types.ts";
 
-/** What one interval showed of a layer. */
+/** A report of one layer for one interval. */
 export interface LayerReport {
   /** Tokens a step for each expert; undefined where the report is missing. */
   readonly tokens: readonly (number | undefined)[];
-  /** Time of each rank over that of a rank of usual speed, if reported. */
+  /** Time of each rank relative to a rank of usual speed, if reported. */
   readonly slowdowns: readonly (number | undefined)[];
 }
 
-/** Weight of the newest interval. */
+/** Weights of the newest interval. */
 const TOKEN_SMOOTHING = 0.4;
 const SPEED_SMOOTHING = 0.5;
 /**
- * Relative change of the whole layer after which old intervals are forgotten: a
- * sudden shift must not be averaged away over several intervals.
+ * Relative change of the whole layer after which older intervals are discarded, so that a
+ * sudden shift is not averaged over several intervals.
  */
 const SHIFT_SHARE = 0.25;
 
@@ -28,19 +28,19 @@
   #tokens: number[];
   readonly #speeds: number[];
 
-  /** Begins with an even load and ranks of usual speed. */
+  /** Starts with an even load and ranks of usual speed. */
   constructor(experts: number, ranks: number) {
     this.#tokens = new Array<number>(experts).fill(0);
     this.#speeds = new Array<number>(ranks).fill(1);
   }
 
-  /** The load as it is thought to be. */
+  /** The estimated load. */
   get load(): LayerLoad {
     return { tokens: [...this.#tokens], speeds: [...this.#speeds] };
   }
 
   /**
-   * Takes in the report of an interval.
+   * Updates the estimates with the report of an interval.
    *
    * @example
    * ```ts
--- a/src/policy/placement/placement_draft.ts
+++ b/src/policy/placement/placement_draft.ts
@@ -1,6 +1,6 @@
 /**
- * A placement of one layer that is changed replica by replica. What a change
- * would do to the load of the ranks is told without making it.
+ * A placement of one layer that is changed one replica at a time. The effect of a change
+ * on the load of the ranks is computed without making it.
  *
  * @module
  * @internal
@@ -8,32 +8,32 @@
 import type { LayerPlacement } from "../../messages/group_types.ts";
 
 /**
- * Exponent of the norm that stands for the most loaded rank. Unlike the maximum
- * it also falls when one of several most loaded ranks gets less.
+ * Exponent of the norm that approximates the load of the most loaded rank. Unlike the
+ * maximum, the norm also falls when one of several equally loaded ranks gets less.
  */
 const NORM_EXPONENT = 12;
 
-/** A rank loads an expert. */
+/** A change by which a rank loads an expert. */
 export interface ReplicaChange {
   readonly expert: number;
   readonly rank: number;
-  /** Expert whose replica at the rank is dropped for it, if any. */
+  /** Expert whose replica at the rank is dropped in exchange, if any. */
   readonly dropped?: number;
-  /** Rank that holds the expert no more; undefined: a replica is added. */
+  /** Rank that gives up the expert; undefined if a replica is added. */
   readonly movedFrom?: number;
 }
 
-/** What a draft begins with. */
+/** Options of a {@link PlacementDraft}. */
 export interface PlacementDraftOptions {
   readonly placement: LayerPlacement;
-  /** Part of all tokens that choose each expert. */
+  /** Fraction of all tokens that are routed to each expert. */
   readonly tokens: readonly number[];
-  /** Time of each rank over that of a rank of usual speed. */
+  /** Time of each rank relative to a rank of usual speed. */
   readonly paces: readonly number[];
   readonly slotsPerRank: number;
 }
 
-/** A placement of one layer that is changed replica by replica. */
+/** A placement of one layer that is changed one replica at a time. */
 export class PlacementDraft {
   readonly #tokens: readonly number[];
   readonly #paces: readonly number[];
@@ -47,7 +47,7 @@
   #powers = 0;
   #highestLoad = 0;
 
-  /** Begins with a copy of a placement. */
+  /** Starts with a copy of a placement. */
   constructor(options: PlacementDraftOptions) {
     const { placement, tokens, paces, slotsPerRank } = options;
     this.#tokens = tokens;
@@ -63,38 +63,41 @@
     this.#recount();
   }
 
-  /** Ranks of the group. */
+  /** Number of ranks of the group. */
   get ranks(): number {
     return this.#experts.length;
   }
 
-  /** Load of the most loaded rank: its part of all tokens, times its pace. */
+  /** Load of the most loaded rank: its fraction of all tokens times its pace. */
   get highestLoad(): number {
     return this.#highestLoad;
   }
 
-  /** Close to {@link highestLoad}; falls with every rank near the top. */
+  /**
+   * Approximates {@link highestLoad}, but falls with the load of every highly loaded
+   * rank.
+   */
   get cost(): number {
     return this.#powers ** (1 / NORM_EXPONENT);
   }
 
-  /** Ranks, most loaded first. */
+  /** Returns the ranks, most loaded first. */
   ranksByLoad(): readonly number[] {
     return Array.from(this.#loads.keys())
       .sort((left, right) => this.#loadOf(right) - this.#loadOf(left));
   }
 
-  /** Experts that a rank holds. */
+  /** Returns the experts that a rank holds. */
   expertsOf(rank: number): readonly number[] {
     return this.#experts[rank] as readonly number[];
   }
 
-  /** How many ranks hold an expert. */
+  /** Returns the number of ranks that hold an expert. */
   replicasOf(expert: number): number {
     return this.#holdersOf(expert).length;
   }
 
-  /** Tokens of each replica of an expert, in parts of all tokens. */
+  /** Returns the tokens of each replica of an expert, as a fraction of all tokens. */
   shareOf(expert: number): number {
     return (this.#tokens[expert] as number) / this.replicasOf(expert);
   }
@@ -104,14 +107,14 @@
     return this.#holdersOf(expert).includes(rank);
   }
 
-  /** Whether a rank has room for one more expert. */
+  /** Whether a rank has a free slot. */
   hasRoom(rank: number): boolean {
     return this.expertsOf(rank).length < this.#slotsPerRank;
   }
 
   /**
-   * Experts of a rank that other ranks hold too, those first whose tokens are
-   * least missed.
+   * Returns the experts of a rank that other ranks also hold, ordered by the load that
+   * dropping the replica adds to each other holder.
    */
   droppableAt(rank: number): readonly number[] {
     return this.expertsOf(rank)
@@ -119,7 +122,7 @@
       .sort((left, right) => this.#burdenOf(left) - this.#burdenOf(right));
   }
 
-  /** {@link cost} after a change that is not made. */
+  /** Returns the {@link cost} after a change without making it. */
   costAfter(change: ReplicaChange): number {
     this.#consider(change);
     let powers = this.#powers;
@@ -133,7 +136,7 @@
     return Math.max(0, powers) ** (1 / NORM_EXPONENT);
   }
 
-  /** {@link cost} if a rank held an expert no more. */
+  /** Returns the {@link cost} after dropping a replica without dropping it. */
   costWithout(rank: number, expert: number): number {
     const before = this.shareOf(expert);
     const after = before * this.replicasOf(expert) /
@@ -158,13 +161,13 @@
     this.#recount();
   }
 
-  /** Drops a replica of an expert that other ranks hold too. */
+  /** Drops a replica of an expert that other ranks also hold. */
   drop(rank: number, expert: number): void {
     this.#remove(rank, expert);
     this.#recount();
   }
 
-  /** The placement as it is now, the experts of each rank in ascending order. */
+  /** Returns the current placement, with the experts of each rank in ascending order. */
   toPlacement(): LayerPlacement {
     const experts = this.#experts.map((held) =>
       [...held].sort((left, right) => left - right)
@@ -172,7 +175,7 @@
     return { experts };
   }
 
-  /** Notes what a change adds to the load of each rank. */
+  /** Computes what a change adds to the load of each rank. */
   #consider(change: ReplicaChange): void {
     const { expert, rank, dropped, movedFrom } = change;
     const before = this.shareOf(expert);
@@ -195,7 +198,10 @@
     }
   }
 
-  /** What each other holder gets more when one replica is dropped. */
+  /**
+   * Returns the tokens that each other holder gets in addition when one replica is
+   * dropped.
+   */
   #burdenOf(expert: number): number {
     const replicas = this.replicasOf(expert);
     return this.shareOf(expert) / (replicas - 1);
@@ -240,7 +246,9 @@
   }
 }
 
-/** To the power of {@link NORM_EXPONENT}, in a fifth of the time of `**`. */
+/**
+ * Raises a load to the power of {@link NORM_EXPONENT}, in a fifth of the time of `**`.
+ */
 function power(load: number): number {
   const second = load * load;
   const fourth = second * second;
--- a/src/policy/placement/rank_times.ts
+++ b/src/policy/placement/rank_times.ts
@@ -1,5 +1,5 @@
 /**
- * How long each rank of a group takes for one layer of a step.
+ * Computes how long each rank of a group takes for one layer of a step.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { LayerLoad } from "./types.ts";
 
 /**
- * Time of each rank for a layer, in token times of a rank of usual speed.
+ * Returns the time of each rank for a layer, in token times of a rank of usual speed.
  * Tokens of an expert are split evenly over its replicas.
  *
  * @example
@@ -29,7 +29,7 @@
   });
 }
 
-/** Replicas of each expert. */
+/** Returns the number of replicas of each expert. */
 export function countReplicas(
   placement: LayerPlacement,
   experts: number,
@@ -41,7 +41,7 @@
   return replicas;
 }
 
-/** Experts that ranks have in `after` and had not in `before`. */
+/** Counts the experts that ranks hold in `after` but not in `before`. */
 export function countMoves(
   before: LayerPlacement,
   after: LayerPlacement,
@@ -55,8 +55,9 @@
 }
 
 /**
- * A time that no placement with these slots can beat: the work spread over all
- * ranks, and the hottest experts split as often as the slots allow.
+ * Returns a lower bound of the slowest rank's time for any placement with these slots:
+ * the work is spread over all ranks, and the hottest experts are split as far as the
+ * slots allow.
  *
  * @example
  * ```ts
--- a/src/policy/placement/rebalancer.ts
+++ b/src/policy/placement/rebalancer.ts
@@ -1,5 +1,5 @@
 /**
- * Moves few experts, and only when the time that it saves is worth the moves.
+ * Moves few experts, and only if the saved time outweighs the cost of the moves.
  *
  * @module
  */
@@ -13,28 +13,28 @@
   type PlannedLayer,
 } from "./types.ts";
 
-/** What step time is worth against moves. */
+/** Weights of step time against moves. */
 export interface RebalanceWeights {
   /**
-   * Share of the mean step time that one move must save to be worth it, until
-   * popularity has drifted away again.
+   * Fraction of the mean step time that one move must save before popularity changes
+   * again.
    */
   readonly pricePerMove: number;
-  /** Share of the mean step time that a plan must save in all. */
+  /** Minimum fraction of the mean step time that a plan must save. */
   readonly smallestGain: number;
-  /** Changes that one plan may consist of. */
+  /** Maximum number of changes in one plan. */
   readonly longestPlan: number;
 }
 
-/** Presets for groups that suffer from skew, and for those that pay for each move. */
+/** Presets for groups that suffer from skew, and for groups whose moves are expensive. */
 export const REBALANCE_PRESETS = {
   skew: { pricePerMove: 0.003, smallestGain: 0.02, longestPlan: 24 },
   cost: { pricePerMove: 0.012, smallestGain: 0.03, longestPlan: 24 },
 } as const satisfies Readonly<Record<string, RebalanceWeights>>;
 
-/** Ranks, fastest first, that the slowest rank's experts may go to. */
+/** Number of ranks, fastest first, that may receive experts of the slowest rank. */
 const RANKS_CONSIDERED = 8;
-/** Relative fall of the potential below which a change is not worth a look. */
+/** Minimum relative decrease of the potential by one change. */
 const SMALLEST_FALL = 1e-4;
 
 interface Replacement {
@@ -52,8 +52,8 @@
 type Change = Replacement | Swap;
 
 /**
- * Lowers the slowest rank change by change, and keeps the part of the way that
- * is worth most after its moves are paid for.
+ * Lowers the time of the slowest rank one change at a time, and returns the prefix of
+ * these changes with the highest benefit after the cost of its moves.
  */
 export class Rebalancer extends PlacementPlanner {
   readonly #weights: RebalanceWeights;
@@ -70,7 +70,7 @@
     const before = state.slowest;
     let best: PlannedLayer = { placement: current, moves: 0 };
     let bestWorth = 0;
-    // Nothing is faster than a perfect spread, whose time is 1.
+    // The time of a perfectly even distribution is 1, the lower bound.
     if (before - 1 < smallestGain) return best;
     for (let length = 0; length < longestPlan; length++) {
       const change = new ChangeSearch(state).tryBest();
@@ -99,7 +99,7 @@
     .exhaustive();
 }
 
-/** Finds the change that lowers the potential most for each move. */
+/** Finds the change with the greatest decrease of the potential per move. */
 class ChangeSearch {
   readonly #state: LayerState;
   #best: Change | undefined;
--- a/src/policy/placement/types.ts
+++ b/src/policy/placement/types.ts
@@ -1,11 +1,11 @@
 /**
- * The vocabulary of placing experts on ranks.
+ * Common types of the placement of experts on ranks.
  *
  * @module
  */
 import type { LayerPlacement } from "../../messages/group_types.ts";
 
-/** What is known of one layer when its placement is planned. */
+/** The known load of one layer for which a placement is planned. */
 export interface LayerLoad {
   /** Tokens a step for each expert. */
   readonly tokens: readonly number[];
@@ -13,20 +13,20 @@
   readonly speeds: readonly number[];
 }
 
-/** A placement, and what it costs to get there. */
+/** A planned placement and its cost. */
 export interface PlannedLayer {
   readonly placement: LayerPlacement;
-  /** Experts that ranks must load that they did not have. */
+  /** Number of experts that ranks must load. */
   readonly moves: number;
 }
 
-/** A way to place the experts of a layer. */
+/** A strategy that places the experts of a layer. */
 export abstract class PlacementPlanner {
-  /** The placement for the next interval, given the present one. */
+  /** Returns the placement for the next interval, given the current one. */
   abstract plan(current: LayerPlacement, load: LayerLoad): PlannedLayer;
 }
 
-/** Leaves every expert where it is. */
+/** Keeps every expert where it is. */
 export class FixedPlanner extends PlacementPlanner {
   override plan(current: LayerPlacement): PlannedLayer {
     return { placement: current, moves: 0 };
