--- a/src/policy/admission_order.ts
+++ b/src/policy/admission_order.ts
@@ -1,15 +1,15 @@
 /**
- * Which requests are held back from a rank group that is near its capacity.
+ * Decides which requests are deferred when a rank group is near its capacity.
  *
- * The load pattern: a burst of one kind of request, at times the least urgent and at times
- * the most urgent, takes a group beyond what it can process in time. The answers of all
- * kinds are late then, though some are worth several times others, and large
- * organisations take the places of small ones.
+ * A burst of requests of one priority, the least urgent or the most urgent, can exceed
+ * what a group processes in time. Without admission control the answers of all priorities
+ * are then late, although some are worth several times others, and large organisations
+ * take the capacity of small ones.
  *
- * All entries hear the same report and hold back the same part of what comes in, so none
- * has to know the others' demand. Each takes that part from the least urgent end of the
- * mix of priorities that it saw lately, and within a priority from organisations that send
- * more than their fair share of it.
+ * All entries receive the same load report and defer the same fraction of arriving
+ * requests, so no entry has to know the demand at the others. Each entry takes that
+ * fraction from the least urgent priorities of its recent arrivals, and within a priority
+ * from the organisations that send more than their fair share of it.
  *
  * @module
  */
@@ -19,38 +19,38 @@
 import { getLatestReturnMs } from "./return_time.ts";
 
 /**
- * Load over capacity below which nothing is held back, and from which everything is that may
- * be held back. Reports are some hundred milliseconds old, so the load goes on rising for a while after
- * requests are held back.
+ * Ratios of load to capacity: below the first no request is deferred, from the second on
+ * every request that may be deferred is. Reports are some hundred milliseconds old, so
+ * the load goes on rising for a while after deferral starts.
  */
 const HOLD_START_UTILIZATION = 0.7;
 const HOLD_ALL_UTILIZATION = 1;
-/** Part of each priority that is always admitted, so that none is starved. */
+/** Fraction of each priority that is always admitted, so that none is starved. */
 const LEAST_ADMITTED = 0.25;
 /**
- * Part of a priority's admitted share that each organisation is admitted with, however much
- * it sends: otherwise one that sends half of a priority would hardly be served.
+ * Fraction of a priority's admission rate that each organisation gets however much it
+ * sends. Without it an organisation that sends half of a priority would hardly be served.
  */
 const LEAST_ORGANISATION_FACTOR = 0.5;
-/** Milliseconds after which a caller should come back at the earliest. */
+/** Lower bound of the retry delay, in milliseconds. */
 const LEAST_RETURN_MS = 1000;
-/** Part of the possible times over which returns are spread however little is held back. */
+/** Fraction of the range of retry delays that is used however little is deferred. */
 const LEAST_SPREAD = 0.3;
-/** Milliseconds for which parts are used before they are computed anew. */
+/** Milliseconds for which computed fractions are reused. */
 const PARTS_CACHE_MS = 100;
 
-/** What decides how likely a request is held back. */
+/** The properties of a request that determine its deferral probability. */
 export type OrderedRequest = Pick<
   MixArrival,
   "priority" | "organisation" | "weight"
 >;
 
-/** When and against what a request is ordered. */
+/** The conditions under which a request is admitted or deferred. */
 export interface OrderFacts {
   readonly now: number;
-  /** Part of all that comes in that is to be held back, 0 to 1. */
+  /** Fraction of all arriving requests to defer, from 0 to 1. */
   readonly heldPart: number;
-  /** Priorities that the settings name, most urgent first. */
+  /** Priorities named by the settings, most urgent first. */
   readonly known: readonly Priority[];
 }
 
@@ -58,12 +58,13 @@
   readonly at: number;
   readonly heldPart: number;
   readonly byPriority: ReadonlyMap<Priority, number>;
-  /** Part of each organisation's requests that is held back, by priority. */
+  /** Deferred fraction of each organisation's requests, by priority. */
   readonly byOrganisation: Map<Priority, ReadonlyMap<string, number>>;
 }
 
 /**
- * Part of all that comes in that is to be held back at a load, both in requests.
+ * Returns the fraction of all arriving requests to defer at a load. Load and capacity are
+ * in requests.
  *
  * @example
  * ```ts
@@ -79,19 +80,19 @@
   return Math.min(1, Math.max(0, part));
 }
 
-/** What the time to come back of a request is computed from. */
+/** The input of {@link getDeferralRetryDelayMs}. */
 export interface AdmissionReturnFacts {
-  /** Milliseconds until its deadline. */
+  /** Milliseconds until the request's deadline. */
   readonly leftMs: number;
-  /** Part of all that comes in that is held back. */
+  /** Fraction of all arriving requests that is deferred. */
   readonly heldPart: number;
-  /** A random number from 0 up to 1, so that callers do not come back together. */
+  /** A random number in [0, 1) that spreads retries over time. */
   readonly drawn: number;
 }
 
 /**
- * Milliseconds after which the caller of a request that was held back should come back:
- * at least a second, at most a third of what it has left, and later the more is held back.
+ * Returns the milliseconds after which the caller of a deferred request should retry: at
+ * least a second, at most a third of its remaining time, and longer the more is deferred.
  *
  * @example
  * ```ts
@@ -107,19 +108,20 @@
   return Math.min(longest, LEAST_RETURN_MS + range * part * drawn);
 }
 
-/** Chooses which requests of one pool are held back. */
+/** Decides which requests of one pool are deferred. */
 export class AdmissionOrder {
   readonly #mix = new ArrivalMix();
   #parts: Parts | undefined;
 
-  /** A request came in. */
+  /** Records an arriving request. */
   noteArrival(arrival: MixArrival): void {
     this.#mix.note(arrival);
   }
 
   /**
-   * How likely a request like this one is held back, 0 to 1. Callers compare it with one
-   * random number for each request, so that asking again changes nothing.
+   * Returns the probability, from 0 to 1, that a request with these properties is
+   * deferred. Callers compare it with one random number for each request, so that
+   * evaluating a request again gives the same result.
    *
    * @example
    * ```ts
@@ -167,7 +169,10 @@
   }
 }
 
-/** Held part of each priority: from the least urgent on, and never of the first. */
+/**
+ * Returns the deferred fraction of each priority. The least urgent priority is deferred
+ * first, the most urgent one never.
+ */
 function takeFromLeast(
   shares: ReadonlyMap<Priority, number>,
   heldPart: number,
@@ -186,7 +191,9 @@
   return held;
 }
 
-/** A priority that was not seen is held back as the next one that is more urgent. */
+/**
+ * Returns the fraction for a priority without arrivals: that of the next more urgent one.
+ */
 function getPartOfUnseen(
   priority: Priority,
   held: ReadonlyMap<Priority, number>,
--- a/src/policy/admission_order_test.ts
+++ b/src/policy/admission_order_test.ts
@@ -13,7 +13,7 @@
 interface Sender {
   readonly priority: number;
   readonly organisation: string;
-  /** Requests of this sender among all. */
+  /** Number of requests that this sender contributes. */
   readonly requests: number;
 }
 
@@ -27,7 +27,7 @@
   return order;
 }
 
-/** Each priority is a third of what comes in. */
+/** Creates an order in which each priority makes up a third of all arrivals. */
 function createEvenOrder(): AdmissionOrder {
   return createOrder(KNOWN.map((priority) => ({
     priority,
@@ -55,8 +55,8 @@
   return KNOWN.map((priority) => heldOf(order, { priority }, { heldPart }));
 }
 
-describe("part that is held back", () => {
-  it("grows from 0.7 to 1 of the capacity", () => {
+describe("deferred fraction", () => {
+  it("grows from 0 to 1 between 0.7 and 1 of the capacity", () => {
     const partAt = (load: number) => getHeldPart({ load, capacity: 100 });
     const parts = [60, 70, 85, 100, 200].map(partAt);
     const rounded = parts.map((part) => Math.round(part * 100) / 100);
@@ -65,54 +65,54 @@
   });
 });
 
-describe("time to come back after a refusal", () => {
+describe("retry delay of a deferred request", () => {
   const timesAt = (heldPart: number) =>
     [0, 0.5, 0.999].map((drawn) =>
       Math.round(getAdmissionReturnMs({ leftMs: 8000, heldPart, drawn }))
     );
 
-  it("is a second to a third of the time left, longer the more is held back", () => {
+  it("ranges from a second to a third of the time left, more with a higher deferred fraction", () => {
     assert.deepEqual(timesAt(0), [1000, 1241, 1482]);
     assert.deepEqual(timesAt(1), [1000, 1803, 2605]);
   });
 
-  it("is honoured when little time is left", () => {
+  it("stays below a third of a short remaining time", () => {
     const facts = { leftMs: 1500, heldPart: 1, drawn: 0.5 };
     assert.equal(getAdmissionReturnMs(facts), 440);
   });
 });
 
 describe("order of admission", () => {
-  it("holds back the least urgent first in a burst", () => {
+  it("defers the least urgent first in a burst", () => {
     const order = createEvenOrder();
     assert.deepEqual(heldByPriority(order, 0), [0, 0, 0]);
     assert.deepEqual(heldByPriority(order, 0.2), [0, 0, 0.6]);
     assert.deepEqual(heldByPriority(order, 0.4), [0, 0.45, 0.75]);
   });
 
-  it("admits a quarter of the least urgent and all of the first", () => {
+  it("admits a quarter of the least urgent and all of the most urgent", () => {
     assert.deepEqual(heldByPriority(createEvenOrder(), 1), [0, 0.75, 0.75]);
   });
 
-  it("takes priorities for equally frequent as an entry starts", () => {
+  it("assumes equal shares of the priorities before the first arrival", () => {
     const order = new AdmissionOrder();
     assert.deepEqual(heldByPriority(order, 0.2), [0, 0, 0.6]);
   });
 
-  it("never takes the only priority that one of many entries saw for the first", () => {
+  it("does not treat the only priority that an entry received as the most urgent", () => {
     const sender = { priority: 7, organisation: "andamaq", requests: 1 };
     const order = createOrder([sender]);
     assert.deepEqual(heldByPriority(order, 1), [0, 0.75, 0.75]);
   });
 
-  it("forgets a burst that is over", () => {
+  it("ignores arrivals outside its window", () => {
     const sender = { priority: 7, organisation: "andamaq", requests: 1000 };
     const order = createOrder([sender]);
     assert.equal(heldOf(order, {}, { heldPart: 0.2 }), 0.2);
     assert.equal(heldOf(order, {}, { heldPart: 0.2, now: 5000 }), 0.6);
   });
 
-  it("holds back a large organisation before many small ones", () => {
+  it("defers a large organisation before many small ones", () => {
     const small = Array.from({ length: 40 }, (_, index) => ({
       priority: 7,
       organisation: `small-${index}`,
@@ -125,14 +125,14 @@
     const ofSmall = heldOf(order, { organisation: "small-1" }, { heldPart });
     assert.equal(ofSmall, 0);
     assert.ok(ofLarge > 0.4 && ofLarge < 0.6, `${ofLarge}`);
-    // At least half of the usual part, so that it is not shut out.
+    // The large organisation keeps at least half of the usual fraction.
     const ofLargeAtMost = heldOf(order, { organisation: "large" }, {
       heldPart: 1,
     });
     assert.ok(ofLargeAtMost <= 0.88, `${ofLargeAtMost}`);
   });
 
-  it("holds back returned requests as late ones of their kind", () => {
+  it("defers a priority without arrivals like the next more urgent one", () => {
     const sender = { priority: 8, organisation: "andamaq", requests: 1000 };
     const order = createOrder([sender, { ...sender, priority: 7 }]);
     const heldPart = 0.3;
--- a/src/policy/arrival_mix.ts
+++ b/src/policy/arrival_mix.ts
@@ -1,45 +1,45 @@
 /**
- * The mix of priorities and organisations among the requests that came in lately.
+ * Counts recent arrivals by priority and organisation.
  *
  * @module
  */
 import type { Priority } from "../messages/priority.ts";
 import type { OrganisationDemand } from "./fair_division.ts";
 
-/** A request that came in. */
+/** An arriving request. */
 export interface MixArrival {
   readonly priority: Priority;
   readonly organisation: string;
-  /** Share of the organisation against others. */
+  /** Weight of the organisation relative to others. */
   readonly weight: number;
   readonly now: number;
 }
 
 /**
- * Milliseconds for which a request counts: long enough to average out chance, short enough
- * to follow a burst of some seconds.
+ * Length of the window in milliseconds: long enough to average out random variation,
+ * short enough to follow a burst of some seconds.
  */
 const MIX_MS = 5000;
 /**
- * Weight of the prior, equal shares of the priorities in the settings, in requests. One of
- * 720 entries sees less than one request in 5 s, so its own counts are not enough.
+ * Weight, in requests, of the prior: equal shares of the priorities in the settings. One
+ * of 720 entries receives less than one request in 5 s, so its own counts are not enough.
  */
 const PRIOR_REQUESTS = 6;
 
-/** Counts what came in during the last seconds. */
+/** Counts the arrivals of the last seconds. */
 export class ArrivalMix {
   #arrivals: MixArrival[] = [];
   #firstKept = 0;
   readonly #demands = new Map<Priority, Map<string, OrganisationDemand>>();
 
-  /** A request came in. */
+  /** Records an arriving request. */
   note(arrival: MixArrival): void {
     this.#arrivals.push(arrival);
     this.#change(arrival, 1);
     this.forgetOld(arrival.now);
   }
 
-  /** Counts only what came in during the last seconds. */
+  /** Removes arrivals that have left the window. */
   forgetOld(now: number): void {
     while (this.#firstKept < this.#arrivals.length) {
       const oldest = this.#arrivals[this.#firstKept] as MixArrival;
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Share of each priority, with those that the settings name assumed to be equally
-   * frequent as far as little was seen.
+   * Returns the share of each priority. The priorities named by the settings are assumed
+   * to be equally frequent as long as there are few arrivals.
    *
    * @example
    * ```ts
@@ -74,7 +74,7 @@
     return new Map([...counts].map(([priority, n]) => [priority, n / all]));
   }
 
-  /** What each organisation sent with a priority. */
+  /** Returns the requests of each organisation at a priority. */
   demandsOf(priority: Priority): ReadonlyMap<string, OrganisationDemand> {
     return this.#demands.get(priority) ?? new Map();
   }
--- a/src/policy/blind_limit.ts
+++ b/src/policy/blind_limit.ts
@@ -1,33 +1,34 @@
 /**
- * How much an entry sends to a pool of whose load it knows nothing.
+ * Limits what an entry sends to a pool whose load is unknown.
  *
- * The pattern: a whole fleet starts anew at once. All callers whose requests were lost or
- * refused meanwhile come back within a second, and no entry knows yet what the others send,
- * since the deciders of the rank groups have just started, too. Each entry takes the pool for
- * idle; all together they fill every place and queue as much again, passes take longer than
- * the pause that callers bear, and for three seconds all answers are late, those of new
- * requests as well. Until loads are told each entry takes its share of the places.
+ * When all processes restart at once, every caller whose request was lost or refused
+ * meanwhile retries within a second. No entry knows what the others send, as the deciders
+ * of the rank groups have just started, too. If each entry assumed an idle pool, together
+ * they would fill all of it and queue as many requests again: passes would exceed the
+ * tolerated pause, and for three seconds all answers would be late, those of new requests
+ * as well. Until loads are reported, each entry uses its share of the pool's concurrency.
  *
  * @module
  */
 
 /**
- * Part of all places that entries may send blindly together. Callers are spread unevenly
- * over entries, so less than half of what they may send is sent: with 0.75, 31 of 80 places
- * were taken and requests refused that could have run; without a limit 111 were sent.
+ * Ratio of the requests that all entries together may send to the pool's concurrency.
+ * Callers are spread unevenly over entries, so less than half of the allowance is used: a
+ * factor of 0.75 filled 31 of 80 places and refused requests that could have run, and no
+ * limit sent 111.
  */
 const BLIND_PART = 1.25;
 
-/** A pool of whose load nothing was told lately. */
+/** A pool without a recent load report. */
 export interface BlindPool {
-  /** Requests that all its targets run at once. */
+  /** Requests that all targets of the pool run at once. */
   readonly places: number;
-  /** Entries that send to it; undefined while that is not known. */
+  /** Number of entries that send to the pool; undefined while it is unknown. */
   readonly entries: number | undefined;
 }
 
 /**
- * Requests that one entry may have at the pool, at least one.
+ * Returns the number of requests that one entry may have at the pool, at least one.
  *
  * @example
  * ```ts
--- a/src/policy/blind_limit_test.ts
+++ b/src/policy/blind_limit_test.ts
@@ -4,7 +4,7 @@
 import { getBlindLimit } from "./blind_limit.ts";
 
 describe("requests to a pool of unknown load", () => {
-  /** How much is sent where the callers of a burst are spread by chance. */
+  /** Counts the requests sent when the callers of a burst choose entries at random. */
   function countSent(places: number, entries: number, burst: number): number {
     const random = new RandomSource(5);
     const held = new Array<number>(entries).fill(0);
@@ -16,7 +16,7 @@
     return held.reduce((sum, count) => sum + Math.min(count, limit), 0);
   }
 
-  it("fill most places when one and a half times as many come at once", () => {
+  it("fill most of the pool in a burst of one and a half times its concurrency", () => {
     for (const [places, entries] of [[80, 35], [768, 99], [96, 9]] as const) {
       const sent = countSent(places, entries, 1.5 * places);
       assert.ok(sent >= 0.7 * places, `${sent} of ${places}`);
@@ -24,7 +24,7 @@
     }
   });
 
-  it("are one at least, and as many as come while nobody is known", () => {
+  it("are at least one, and unlimited while the number of entries is unknown", () => {
     assert.equal(getBlindLimit({ places: 8, entries: 200 }), 1);
     assert.equal(getBlindLimit({ places: 8, entries: undefined }), Infinity);
   });
--- a/src/policy/crash_history.ts
+++ b/src/policy/crash_history.ts
@@ -1,56 +1,64 @@
 /**
- * Remembers under which requests targets have ended, to refuse a request that ends each
- * target that begins to run it (a poison request).
+ * Records which requests targets crashed under, and refuses a request that crashes every
+ * target that runs it (a poison request).
  *
- * The pattern: a target ends, its caller gets no answer and sends the same request again,
- * the next target ends. Each may take its whole rank group with it for seconds. All that ran
- * beside it looks the same after one crash, and a loss of power or of a rack ends many
- * targets at once. What tells the cause apart is the order: it was sent again after a target
- * had ended under it, to one that lived, and that one ended, too; and nobody has seen it
- * answered in between.
+ * A target crashes, its caller gets no answer and sends the same request again, and the
+ * next target crashes. Each may take its whole rank group down for seconds. After one
+ * crash all requests that ran on the target are equally suspect, and a power or rack
+ * failure ends many targets at once. The order of events identifies the cause: the
+ * request was sent again to a live target after an earlier target had crashed under it,
+ * that target crashed as well, and no entry saw the request answered in between.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** Crashes in a row after which a request is refused. */
+/** Consecutive crashes after which a request is refused. */
 const CRASHES_TO_REFUSE = 2;
 /**
- * Milliseconds for which a request is refused after that; so much longer with each crash
- * more. Once the time is over it may run again: what crashed may have been mended, or
- * another cause may have ended the targets.
+ * Milliseconds for which a request is first refused, and the factor by which each further
+ * crash extends that time. Afterwards the request may run again, as the defect may have
+ * been fixed, or the targets may have crashed for another reason.
  */
 const REFUSED_MS = 60_000;
 const LONGER_EACH_TIME = 4;
-/** Crashes beyond which the time grows no more. */
+/** Number of crashes beyond which the refusal time stops growing. */
 const MOST_COUNTED = 6;
-/** Milliseconds for which crashes of a request that was refused are kept. */
+/** Milliseconds for which the crashes of a refused request are kept. */
 const KEPT_MS = 3_600_000;
-/** The same where one target ended, as it does under all that ran beside the cause. */
+/**
+ * The same for a request with a single crash, which every request that ran beside the
+ * cause has.
+ */
 const SUSPECTED_MS = 120_000;
-/** Requests that are remembered: those that ran at some targets when these crashed. */
+/**
+ * Maximum number of requests kept: those that were running on targets as they crashed.
+ */
 const MOST_REQUESTS = 256;
-/** Crashes of one request that are remembered. */
+/** Maximum number of crashes kept for one request. */
 const MOST_CRASHES = 8;
 
-/** A target that ended under a request. Times are in milliseconds of the own clock. */
+/**
+ * A crash of a target that was running a request. Times are in milliseconds of the local
+ * clock.
+ */
 export interface Crash {
   readonly target: string;
   /**
-   * When the target was last known to live before it crashed: when the request was sent to
-   * it, or earlier if it gave no sign of life since.
+   * When the target was last known to be alive before the crash: when the request was
+   * sent to it, or earlier if the target has sent nothing since.
    */
   readonly aliveAt: number;
-  /** When the attempt there ended without an answer. */
+  /** When the attempt on the target ended without an answer. */
   readonly endedAt: number;
 }
 
-/** What is remembered of one request. */
+/** The recorded history of one request. */
 export interface CrashedRequest {
   /** Digest of the request. */
   readonly request: string;
   readonly crashes: readonly Crash[];
-  /** When it was last seen answered after a crash, if it ever was. */
+  /** When the request was last answered after a crash, if it was. */
   readonly servedAt?: number;
 }
 
@@ -59,24 +67,24 @@
   servedAt: number;
 }
 
-/** Remembers under which requests targets have ended. */
+/** Records which requests targets crashed under. */
 export class CrashHistory {
   readonly #byRequest = new Map<string, RequestRecord>();
   #content: string | undefined;
 
-  /** Whether no target is known to have ended under any request. */
+  /** Whether no crash is recorded. */
   get isEmpty(): boolean {
     return this.#byRequest.size === 0;
   }
 
-  /** What is remembered, in short: the same for the same crashes. */
+  /** Digest of the recorded crashes, equal for equal crashes. */
   get content(): string {
     return this.#content ??= this.isEmpty
       ? ""
       : hash([...this.#byRequest].map(describe).sort().join(" "));
   }
 
-  /** Everything that is remembered. */
+  /** Returns the history of all recorded requests. */
   list(): readonly CrashedRequest[] {
     return [...this.#byRequest].map(([request, { crashes, servedAt }]) => ({
       request,
@@ -85,13 +93,13 @@
     }));
   }
 
-  /** Whether a target has ended under a request since it was last answered. */
+  /** Whether a target has crashed under a request since its last answer. */
   hasCrashed(request: string): boolean {
     return (this.#byRequest.get(request)?.crashes.size ?? 0) > 0;
   }
 
   /**
-   * Milliseconds for which a request is refused yet; 0: it may run.
+   * Returns the milliseconds for which a request remains refused; 0 if it may run.
    *
    * @example
    * ```ts
@@ -109,20 +117,23 @@
     return Math.max(0, until - now);
   }
 
-  /** Takes in a crash; returns whether it is news. */
+  /** Records a crash; returns whether it is new. */
   note(request: string, crash: Crash, now: number): boolean {
     const isKnown = this.#has(request, crash);
     this.#take([{ request, crashes: [crash] }], now);
     return !isKnown && this.#has(request, crash);
   }
 
-  /** A request was answered, so it ended nothing before; returns whether that is news. */
+  /**
+   * Records an answer, which clears the request's earlier crashes; returns whether the
+   * history changed.
+   */
   noteServed(request: string, servedAt: number): boolean {
     if (!this.hasCrashed(request)) return false;
     return this.merge([{ request, crashes: [], servedAt }], servedAt);
   }
 
-  /** Takes in what another process remembers; returns whether it is news. */
+  /** Merges the history of another process; returns whether the local one changed. */
   merge(told: readonly CrashedRequest[], now: number): boolean {
     const before = this.content;
     this.#take(told, now);
@@ -145,7 +156,8 @@
     this.#byRequest.set(request, record);
     record.servedAt = Math.max(record.servedAt, servedAt ?? record.servedAt);
     for (const crash of crashes) {
-      // A word that was long on its way makes a crash look later than it was.
+      // Delivery delay makes a crash appear later than it was, so the earliest time is
+      // kept.
       const known = record.crashes.get(crash.target);
       const isLater = known !== undefined && known.endedAt <= crash.endedAt;
       if (isLater || now - crash.endedAt >= KEPT_MS) continue;
@@ -168,8 +180,9 @@
   }
 
   /**
-   * One that ended a single target, the longest ago, may be a coincidence. All entries drop
-   * the same of those that end at once, or they would tell each other of them for ever.
+   * Evicts the least suspect request: the one with the fewest consecutive crashes, then
+   * the oldest. Ties are broken by digest, so that all entries evict the same request and
+   * do not replicate evicted ones back and forth.
    */
   #dropLeast(): void {
     const rows = [...this.#byRequest].map(([request, record]) => ({
@@ -189,7 +202,10 @@
   return { crashes: new Map(), servedAt: Number.NEGATIVE_INFINITY };
 }
 
-/** Crashes of targets each of which lived after the request had ended the one before. */
+/**
+ * Returns the consecutive crashes: each of these targets was alive after the crash before
+ * it.
+ */
 function crashesInRow({ crashes }: RequestRecord): readonly Crash[] {
   const row: Crash[] = [];
   for (const crash of byTimeOf(crashes)) {
--- a/src/policy/crash_history_test.ts
+++ b/src/policy/crash_history_test.ts
@@ -1,7 +1,7 @@
 /**
- * The pattern that these tests tell of: one request ends each target that begins to run it,
- * and with each target all that runs beside it. Whoever ran beside it must not be taken for
- * the cause, nor whoever was under way when power was lost.
+ * Guards against refusing the wrong requests when one request crashes every target that
+ * runs it. The requests that ran beside it on the same targets are not the cause, and
+ * neither are those in flight during a power failure.
  *
  * @module
  */
@@ -31,14 +31,14 @@
   return { target: `target-${number}`, aliveAt: at, endedAt: at + 200 };
 }
 
-describe("a request that came again after a target had ended under it", () => {
-  it("is refused once another one has ended", () => {
+describe("a request that was sent again after a crash", () => {
+  it("is refused after a second crash", () => {
     const history = createHistory([createCrash(1), createCrash(2)]);
     assert.ok(history.getRefusedMs("poison", 10_300) > 0);
     assert.equal(history.getRefusedMs("another", 10_300), 0);
   });
 
-  it("is refused where the first word of it lay unread for a while", () => {
+  it("is refused when the report of its first crash was delayed", () => {
     const [first, second] = [createCrash(1), createCrash(2)];
     const history = new CrashHistory();
     const late = { ...first, aliveAt: 9000, endedAt: 11_200 };
@@ -47,7 +47,7 @@
     assert.ok(history.getRefusedMs("poison", 12_000) > 0);
   });
 
-  it("may run again a minute later, and then four", () => {
+  it("may run again after a minute, and after four minutes with a third crash", () => {
     const two = createHistory([createCrash(1), createCrash(2)]);
     assert.equal(two.getRefusedMs("poison", 10_200 + MINUTE_MS), 0);
     const crashes = [1, 2, 3].map((number) => createCrash(number));
@@ -55,7 +55,7 @@
     assert.equal(three.getRefusedMs("poison", 15_200), 4 * MINUTE_MS);
   });
 
-  it("is forgotten when it comes no more", () => {
+  it("is forgotten when it is not sent again", () => {
     const history = createHistory([createCrash(1), createCrash(2)]);
     const later = 2 * 60 * MINUTE_MS;
     history.note("other", createCrash(3, later), later + 200);
@@ -69,21 +69,21 @@
 }
 
 const INNOCENT: readonly InnocentRow[] = [
-  { name: "under which one target ended", crashes: [createCrash(1)] },
+  { name: "that was running during a single crash", crashes: [createCrash(1)] },
   {
-    name: "that was at many targets when all lost power",
+    name: "that was running on several targets during a power failure",
     crashes: [1, 2, 3, 4].map((number) => createCrash(number, 1000)),
   },
   {
     name:
-      "that waited for two targets one after the other, silent from the start",
+      "that waited for two targets, one after the other, that were silent from the start",
     crashes: [
       { target: "one", aliveAt: 900, endedAt: 3000 },
       { target: "two", aliveAt: 950, endedAt: 5000 },
     ],
   },
   {
-    name: "whose one crash is told twice",
+    name: "whose single crash is reported twice",
     crashes: [createCrash(1), { ...createCrash(1), endedAt: 9000 }],
   },
 ];
@@ -103,7 +103,7 @@
     assert.equal(history.getRefusedMs("poison", 10_300), 0);
   });
 
-  it("that is answered after all", () => {
+  it("that was answered after two crashes", () => {
     const history = createHistory([createCrash(1), createCrash(2)]);
     assert.ok(history.noteServed("poison", 11_000));
     assert.equal(history.getRefusedMs("poison", 11_000), 0);
@@ -124,8 +124,8 @@
   servedAt: fc.option(fc.nat(20_000), { nil: undefined }),
 });
 
-describe("what several entries remember", () => {
-  it("is bounded, and the worst are kept", () => {
+describe("crash histories of several entries", () => {
+  it("are bounded, and keep the requests with the most crashes", () => {
     const history = createHistory([createCrash(1), createCrash(2)]);
     for (let number = 0; number < 500; number++) {
       const at = 20_000 + number;
@@ -135,7 +135,7 @@
     assert.ok(history.getRefusedMs("poison", 20_600) > 0);
   });
 
-  it("is the same once each has told the other all, whoever tells first", () => {
+  it("are equal after each has merged the other, in either order", () => {
     fc.assert(
       fc.property(
         fc.array(CRASHED, { maxLength: 6 }),
--- a/src/policy/deadline_memory.ts
+++ b/src/policy/deadline_memory.ts
@@ -1,44 +1,44 @@
 /**
- * Tells callers that come back from those that ask for the first time, by the time that
- * they have left.
+ * Distinguishes retries from first attempts by their remaining time.
  *
- * The pattern: during an outage requests arrive that were refused or cut off before,
- * among others that were not. The first kind asks no more, so it should wait; the second
- * should come back later. Nothing in a request says which it is, but one that was sent
- * away has spent a part of its deadline. Callers' deadlines differ by a sixth among
- * themselves and operators change what they allow, so the usual deadline is learnt.
+ * During an outage, requests that were refused or cut off before arrive among first
+ * attempts. The caller of such a request does not retry again, so the request should
+ * wait, while a first attempt should be retried later. Nothing in a request tells which
+ * one it is, but a retry has spent a fraction of its deadline. Deadlines of first
+ * attempts vary by up to a sixth, and operators change the allowed deadline, so the usual
+ * deadline is learned from requests.
  *
  * @module
  */
 
 /**
- * Part of the longest deadline seen below which a caller has spent time before: those
- * that were told to come back have two thirds left at most, and callers that ask for the
- * first time were seen to give 0.85 to 1 of the longest.
+ * Fraction of the longest recent deadline below which a request counts as a retry.
+ * Retries after a retry delay have at most two thirds left; first attempts have 0.85 to 1
+ * of the longest deadline.
  */
 const FRESH_PART = 0.75;
-/** Milliseconds for which deadlines are gathered before older ones are forgotten. */
+/** Milliseconds for which deadlines are collected before older ones are discarded. */
 const WINDOW_MS = 10_000;
-/** Deadlines without which a window says nothing. */
+/** Minimum number of deadlines in a window before it replaces the previous one. */
 const FEWEST_SEEN = 5;
 
-/** The longest deadlines that callers of one service gave lately. */
+/** Tracks the longest recent deadline of the requests of one service. */
 export class DeadlineMemory {
   #startedAt: number;
-  /** Longest of the window before this one. */
+  /** Longest deadline of the previous window. */
   #longestBefore: number;
   #longest = 0;
   #seen = 0;
 
-  /** Begins with the longest deadline that the service's settings allow. */
+  /** Starts with the longest deadline that the service's settings allow. */
   constructor(allowedMs: number, now: number) {
     this.#longestBefore = allowedMs;
     this.#startedAt = now;
   }
 
   /**
-   * Takes in the deadline of a request; returns whether its caller has spent a part of
-   * its time before.
+   * Records the deadline of a request; returns whether the request is a retry, whose
+   * caller has already spent a fraction of its time.
    *
    * @example
    * ```ts
--- a/src/policy/deadline_memory_test.ts
+++ b/src/policy/deadline_memory_test.ts
@@ -3,27 +3,27 @@
 import { RandomSource } from "../core/random_source.ts";
 import { DeadlineMemory } from "./deadline_memory.ts";
 
-/** Milliseconds that callers of one service give at most. */
+/** Longest deadline that callers of the service use, in milliseconds. */
 const LONGEST_MS = 8000;
 
-/** A caller that asks for the first time; they differ by 0.15 of the longest. */
+/** Returns the deadline of a first attempt, 0.85 to 1 of the longest. */
 function drawFreshMs(random: RandomSource): number {
   return LONGEST_MS * (0.85 + 0.15 * random.nextBelow(1000) / 1000);
 }
 
-describe("callers that come back", () => {
-  it("are told from those that ask first, whose deadlines differ", () => {
+describe("retried requests", () => {
+  it("are distinguished from first attempts with varying deadlines", () => {
     const random = new RandomSource(7);
     const deadlines = new DeadlineMemory(LONGEST_MS, 0);
     for (let now = 0; now < 60_000; now += 20) {
       const freshMs = drawFreshMs(random);
       assert.equal(deadlines.observe(freshMs, now), false);
-      // Told to come back after a third of its time.
+      // The caller retried after a third of its time.
       assert.equal(deadlines.observe(freshMs * 2 / 3, now), true);
     }
   });
 
-  it("are told when settings allow other deadlines than callers give", () => {
+  it("are recognised when the allowed deadline differs from the used ones", () => {
     for (const allowedMs of [2000, 30_000]) {
       const random = new RandomSource(7);
       const deadlines = new DeadlineMemory(allowedMs, 0);
@@ -32,14 +32,14 @@
         const freshMs = drawFreshMs(random);
         const isWrong = deadlines.observe(freshMs, now) ||
           !deadlines.observe(freshMs * 0.6, now);
-        // What settings say is forgotten with the first two windows.
+        // The allowed deadline has no effect after the first two windows.
         if (now > 20_000 && isWrong) wrong++;
       }
       assert.equal(wrong, 0, `${allowedMs} ms allowed`);
     }
   });
 
-  it("are told again soon after callers give shorter deadlines", () => {
+  it("are recognised again soon after callers switch to shorter deadlines", () => {
     const deadlines = new DeadlineMemory(LONGEST_MS, 0);
     let now = 0;
     for (; now < 12_000; now += 100) deadlines.observe(LONGEST_MS, now);
--- a/src/policy/domain_drains.ts
+++ b/src/policy/domain_drains.ts
@@ -1,14 +1,14 @@
 /**
- * Which failure domains are drained, and how much of the load one takes whose drain has
- * just ended. Connections and caches there are cold, and all the load at once would
- * overload it.
+ * Tracks which failure domains are drained, and how much load a domain receives after its
+ * drain has ended. Its connections and caches are cold then, so all of the load at once
+ * would overload it.
  *
  * @module
  */
-/** Milliseconds in which a failure domain takes up its whole load after a drain. */
+/** Milliseconds over which a failure domain returns to its full load after a drain. */
 export const RETURN_MS = 3000;
 
-/** What a set of drained failure domains has changed. */
+/** The difference between two sets of drained failure domains. */
 export interface DrainChange {
   /** Failure domains whose drain begins. */
   readonly begun: readonly string[];
@@ -16,11 +16,13 @@
   readonly ended: readonly string[];
 }
 
-/** Which failure domains are drained. */
+/** Tracks which failure domains are drained. */
 export class DomainDrains {
   #drained: ReadonlySet<string> = new Set();
   #changedAt = Number.NEGATIVE_INFINITY;
-  /** When the drains of those ended that do not take their whole load yet. */
+  /**
+   * When the drain ended, for failure domains that have not returned to their full load.
+   */
   readonly #endedAt = new Map<string, number>();
 
   /** The drained failure domains. */
@@ -28,13 +30,13 @@
     return this.#drained;
   }
 
-  /** When the set changed last, in milliseconds. */
+  /** When the set last changed, in milliseconds. */
   get changedAt(): number {
     return this.#changedAt;
   }
 
   /**
-   * These failure domains are drained from now on, and no others.
+   * Replaces the set of drained failure domains; returns the difference.
    *
    * @example
    * ```ts
@@ -52,7 +54,7 @@
     return { begun, ended };
   }
 
-  /** Whether no failure domain is drained or returns from a drain. */
+  /** Whether no failure domain is drained or ramping up after a drain. */
   isIdle(now: number): boolean {
     for (const [name, endedAt] of this.#endedAt) {
       if (now - endedAt >= RETURN_MS) this.#endedAt.delete(name);
@@ -60,7 +62,10 @@
     return this.#drained.size + this.#endedAt.size === 0;
   }
 
-  /** Fraction of requests for which a target there is a candidate, from 0 to 1. */
+  /**
+   * Returns the fraction of requests for which a target in the domain is a candidate,
+   * from 0 to 1.
+   */
   getShare(failureDomain: string, now: number): number {
     if (this.#drained.has(failureDomain)) return 0;
     const endedAt = this.#endedAt.get(failureDomain);
--- a/src/policy/domain_reachability.ts
+++ b/src/policy/domain_reachability.ts
@@ -1,45 +1,49 @@
 /**
- * Which failure domains an entry cannot reach now.
+ * Tracks which failure domains an entry cannot reach.
  *
- * The pattern: a failure domain is cut off from the others while callers still reach the
- * entries in it. Targets on the other side stay listed and serve other callers. Each request
- * that is sent there waits for the connection timeout, and so do its retry and the request
- * with which its caller returns; together they take most of the time that the caller had.
+ * When a network partition cuts off a failure domain, callers still reach the entries in
+ * it. Targets on the other side stay listed and serve other callers. Each request that is
+ * sent to them waits for the connection timeout, and so do its retry by the entry and the
+ * later retry by its caller; together they use up most of the caller's time.
  *
  * A domain counts as unreachable after connections to several of its targets have failed
- * without an answer of any target there in between. From then on a request that only targets
- * there could serve is refused or waits as in any other outage, and probes find its end.
+ * and none of its targets has answered in between. From then on a request that only its
+ * targets could serve is refused or waits as in any other outage, and probes detect the
+ * end.
  *
  * @module
  */
 
 /**
- * Targets to which connections must fail without an answer of the domain in between. One or
- * two may have crashed by themselves.
+ * Minimum number of targets to which connections have failed without an answer from the
+ * domain in between. One or two targets may have crashed on their own.
  */
 const FEWEST_FAILED_TARGETS = 3;
-/** Milliseconds after which a failed connection says nothing any more. */
+/** Milliseconds after which a failed connection is ignored. */
 const FAILURE_MEMORY_MS = 1500;
 /**
- * Milliseconds between the first and the last of these failures, at least: connections that
- * fail at one moment may have been made while this process stood still.
+ * Minimum milliseconds between the first and the last of these failures. Connections that
+ * fail at the same moment may have timed out while this process was frozen.
  */
 const LEAST_SPAN_MS = 100;
 /**
- * Milliseconds that a connection takes to fail, at least, where nothing answers. One that
- * fails sooner was refused by its host, which is reached.
+ * Minimum milliseconds that a connection takes to fail if the host does not answer. A
+ * connection that fails sooner was refused by its host, which is therefore reachable.
  */
 const LEAST_TIMEOUT_MS = 200;
 /**
- * Milliseconds between two probes where no other target could serve the request. Each costs
- * one request the time limit of a connection, and the end of the outage is found that much
- * later at most.
+ * Milliseconds between two probes if no other target could serve the request. Each probe
+ * costs one request the connection timeout, and the end of the outage is detected at most
+ * this much later.
  */
 const PROBE_INTERVAL_MS = 250;
-/** The same while targets of other failure domains serve: the end is less urgent. */
+/**
+ * The same while targets of other failure domains can serve, where detecting the end is
+ * less urgent.
+ */
 const PROBE_INTERVAL_BESIDE_OTHERS_MS = 2000;
 
-/** A target as far as its place counts. */
+/** A target and the failure domain it is in. */
 export interface TargetPlace {
   readonly name: string;
   readonly pool: string;
@@ -48,24 +52,24 @@
 
 /** An attempt whose connection failed. */
 export interface FailedConnection {
-  /** Milliseconds after which it failed. */
+  /** Milliseconds from the start of the connection to its failure. */
   readonly tookMs: number;
   readonly now: number;
 }
 
 interface DomainState {
-  /** When a connection to each target failed last, in milliseconds. */
+  /** When a connection to each target last failed, in milliseconds. */
   readonly failedAt: Map<string, number>;
   isUnreachable: boolean;
-  /** When the last request of each pool was sent there as a probe, in milliseconds. */
+  /** When a request of each pool was last sent as a probe, in milliseconds. */
   readonly probedAt: Map<string, number>;
 }
 
-/** Which failure domains an entry cannot reach now. */
+/** Tracks which failure domains an entry cannot reach. */
 export class DomainReachability {
   readonly #states = new Map<string, DomainState>();
 
-  /** Names of the failure domains that cannot be reached. */
+  /** Names of the unreachable failure domains. */
   get unreachable(): readonly string[] {
     return [...this.#states]
       .filter(([, { isUnreachable }]) => isUnreachable)
@@ -73,8 +77,8 @@
   }
 
   /**
-   * A connection to a target could not be made; returns whether its failure domain is
-   * unreachable since.
+   * Records a failed connection to a target; returns whether its failure domain has
+   * become unreachable by it.
    *
    * @example
    * ```ts
@@ -100,7 +104,9 @@
     return becomesUnreachable;
   }
 
-  /** A target said something; returns whether its failure domain was unreachable. */
+  /**
+   * Records a message from a target; returns whether its failure domain was unreachable.
+   */
   noteReached({ failureDomain }: TargetPlace): boolean {
     const wasUnreachable =
       this.#states.get(failureDomain)?.isUnreachable === true;
@@ -109,8 +115,8 @@
   }
 
   /**
-   * The targets that may be sent a request, some of them perhaps as a probe; `now` is in
-   * milliseconds.
+   * Returns the targets that may be sent a request, including those due for a probe;
+   * `now` is in milliseconds.
    *
    * @example
    * ```ts
@@ -131,7 +137,7 @@
     );
   }
 
-  /** A request goes to a target. */
+  /** Records that a request is sent to a target. */
   noteSent({ pool, failureDomain }: TargetPlace, now: number): void {
     this.#states.get(failureDomain)?.probedAt.set(pool, now);
   }
--- a/src/policy/domain_reachability_test.ts
+++ b/src/policy/domain_reachability_test.ts
@@ -1,6 +1,7 @@
 /**
- * The load that these tests tell of: a failure domain is cut off for some seconds while
- * callers go on at its entries, whose targets are mostly on the other side.
+ * Guards against callers that wait for connections in vain while a failure domain is cut
+ * off for some seconds: callers keep sending to its entries, whose targets are mostly on
+ * the other side of the partition.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -20,7 +21,7 @@
 const FAR = createTargets("far", 4);
 const NEAR = createTargets("near", 2);
 
-/** Connections to some targets of the far domain fail, 100 ms apart. */
+/** Fails connections to some targets of the far domain, 100 ms apart. */
 function createCutOff(failures: number): DomainReachability {
   const reachability = new DomainReachability();
   FAR.slice(0, failures).forEach((target, number) =>
@@ -30,7 +31,7 @@
 }
 
 describe("a failure domain whose targets cannot be connected to", () => {
-  it("is sent probes only, so that callers do not wait for connections in vain", () => {
+  it("is sent only probes, so that callers do not wait for connections in vain", () => {
     const reachability = createCutOff(3);
     assert.deepEqual(reachability.unreachable, ["far"]);
     assert.equal(reachability.filter(FAR, 300).length, 4);
@@ -39,7 +40,7 @@
     assert.equal(reachability.filter(FAR, 600).length, 4);
   });
 
-  it("is probed seldom while targets elsewhere serve", () => {
+  it("is probed less often while targets of other domains serve", () => {
     const reachability = createCutOff(3);
     reachability.noteSent(FAR[0] as TargetPlace, 300);
     const targets = [...FAR, ...NEAR];
@@ -47,8 +48,8 @@
     assert.equal(reachability.filter(targets, 2400).length, 6);
   });
 
-  // Guards against the probes of one pool keeping those of another from being sent.
-  it("is probed for each pool by itself", () => {
+  // Guards against probes of one pool suppressing those of another.
+  it("is probed for each pool separately", () => {
     const reachability = createCutOff(3);
     const others = FAR.map((target) => ({ ...target, pool: "orders" }));
     reachability.noteSent(FAR[0] as TargetPlace, 300);
@@ -56,7 +57,7 @@
     assert.equal(reachability.filter(others, 310).length, 4);
   });
 
-  it("is used as before once one of its targets answers", () => {
+  it("is used again once one of its targets answers", () => {
     const reachability = createCutOff(3);
     reachability.noteSent(FAR[0] as TargetPlace, 300);
     assert.equal(reachability.noteReached(FAR[1] as TargetPlace), true);
@@ -64,13 +65,13 @@
   });
 });
 
-describe("a failure domain some of whose targets have crashed", () => {
+describe("a failure domain with some crashed targets", () => {
   it("stays reachable with two failed targets", () => {
     const reachability = createCutOff(2);
     assert.deepEqual(reachability.unreachable, []);
   });
 
-  it("stays reachable when one target fails again and again", () => {
+  it("stays reachable when one target fails repeatedly", () => {
     const reachability = new DomainReachability();
     for (let at = 0; at < 1000; at += 100) {
       reachability.noteFailed(FAR[0] as TargetPlace, { tookMs: 400, now: at });
@@ -78,7 +79,7 @@
     assert.deepEqual(reachability.unreachable, []);
   });
 
-  it("stays reachable while others answer in between", () => {
+  it("stays reachable while its targets answer between failures", () => {
     const reachability = new DomainReachability();
     for (const target of FAR) {
       reachability.noteFailed(target, { tookMs: 400, now: 0 });
@@ -95,7 +96,7 @@
     assert.deepEqual(reachability.unreachable, []);
   });
 
-  it("says once that it became unreachable", () => {
+  it("reports once that it became unreachable", () => {
     const reachability = createCutOff(2);
     const [, , third, fourth] = FAR as readonly TargetPlace[];
     assert.ok(third !== undefined && fourth !== undefined);
@@ -105,8 +106,8 @@
     assert.equal(failAt(fourth, 300), false);
   });
 
-  // Guards against a service that crashed making its domain unreachable for others.
-  it("stays reachable when its targets refuse connections at once", () => {
+  // Guards against a crashed service making its failure domain unreachable for others.
+  it("stays reachable when its targets refuse connections immediately", () => {
     const reachability = new DomainReachability();
     FAR.forEach((target, number) =>
       reachability.noteFailed(target, { tookMs: 2, now: number * 100 })
@@ -114,8 +115,8 @@
     assert.deepEqual(reachability.unreachable, []);
   });
 
-  // Guards against an entry that stood still taking its targets for unreachable.
-  it("stays reachable when all connections fail at one moment", () => {
+  // Guards against an entry that was frozen treating its targets as unreachable.
+  it("stays reachable when all connections fail at the same moment", () => {
     const reachability = new DomainReachability();
     for (const target of FAR) {
       reachability.noteFailed(target, { tookMs: 3000, now: 0 });
--- a/src/policy/fair_division.ts
+++ b/src/policy/fair_division.ts
@@ -1,30 +1,31 @@
 /**
- * Divides what can be admitted between organisations: those that ask for less than their
- * fair share get all, and the others get equal amounts for their weight.
+ * Divides the admitted requests among organisations by max-min fairness: organisations
+ * that request less than their fair share are admitted in full, and the others get equal
+ * amounts by weight.
  *
  * @module
  */
 
-/** What one organisation asks for. */
+/** The demand of one organisation. */
 export interface OrganisationDemand {
   readonly requests: number;
-  /** Share against other organisations. */
+  /** Weight relative to other organisations. */
   readonly weight: number;
 }
 
-/** How much can be admitted. */
+/** Bounds of a division. */
 export interface DivisionFacts {
-  /** Part of all requests that is admitted, 0 to 1. */
+  /** Fraction of all requests that is admitted, from 0 to 1. */
   readonly part: number;
-  /** Part of its requests that each organisation is admitted with at least. */
+  /** Minimum admitted fraction of each organisation's requests. */
   readonly leastPart: number;
 }
 
-/** Halvings until the level is exact enough: below a thousandth of a request. */
+/** Bisection steps, enough for a precision of a thousandth of a request. */
 const HALVINGS = 24;
 
 /**
- * Part of its requests that each organisation is admitted with, by its name.
+ * Returns the admitted fraction of each organisation's requests, by name.
  *
  * @example
  * ```ts
--- a/src/policy/fair_queue.ts
+++ b/src/policy/fair_queue.ts
@@ -1,36 +1,36 @@
 /**
- * A bounded queue that is shared fairly: by priority first, then between
- * organisations by weight, then in order of arrival. Targets queue work in it, and entries
- * the requests that wait for a target.
+ * A bounded queue with fair scheduling: by priority first, then by weight among
+ * organisations, then in order of arrival. Targets queue work in it, and entries queue
+ * requests that wait for a target.
  *
  * @module
  */
 import { LEAST_PRIORITY, type Priority } from "../messages/priority.ts";
 
-/** Priorities, most urgent first. */
+/** All priorities, most urgent first. */
 export const PRIORITIES: readonly Priority[] = Array.from(
   { length: LEAST_PRIORITY + 1 },
   (_, priority) => priority,
 );
 
-/** What the queue must know of an item. */
+/** The scheduling properties of a queued item. */
 export interface QueuedItem {
   readonly organisation: string;
   readonly weight: number;
   readonly priority: Priority;
-  /** The work is given up unless it starts by then, see {@link latestStart}. */
+  /** The item is dropped unless it starts by this time, see {@link latestStart}. */
   readonly startBy: number;
 }
 
 /**
- * Share of the time up to its deadline that work may wait. What starts at the
- * last moment mostly ends too late, and so costs others their turn; and who is
- * given up should hear of it in time to come back.
+ * Fraction of the remaining time for which work may wait. Work that starts at the last
+ * moment mostly ends too late and delays other work, and the caller of a dropped request
+ * should learn of it in time to retry.
  */
 const LONGEST_WAIT_SHARE = 0.5;
 
 /**
- * When work must start at the latest.
+ * Returns the latest time at which work must start.
  *
  * @example
  * ```ts
@@ -42,14 +42,14 @@
 }
 
 /**
- * Lines of organisations without items that an empty queue keeps. Their turns matter little
- * then, and there may be some ten thousand organisations.
+ * Maximum number of idle organisation queues that an empty fair queue keeps. Their
+ * virtual times matter little then, and there may be some ten thousand organisations.
  */
 const MOST_IDLE_LINES = 1000;
 
 interface OrganisationLine<T> {
   readonly items: T[];
-  /** Virtual time at which the next item of the organisation is due. */
+  /** Virtual time at which the organisation's next item is due. */
   dueAt: number;
 }
 
@@ -58,7 +58,7 @@
   virtualNow: number;
 }
 
-/** A bounded queue, fair between organisations. */
+/** A bounded queue with fair scheduling among organisations. */
 export class FairQueue<T extends QueuedItem> {
   readonly #limit: number;
   readonly #lanes = new Map<Priority, Lane<T>>();
@@ -72,17 +72,17 @@
     }
   }
 
-  /** Items that wait. */
+  /** Number of queued items. */
   get length(): number {
     return this.#length;
   }
 
   /**
-   * Adds an item. When the queue is full, the organisation with the longest
-   * line for its weight gives up its newest item, so that a flood by one
-   * organisation costs the others nothing.
+   * Adds an item. When the queue is full, the newest item of the organisation with the
+   * longest queue relative to its weight is dropped, so that one organisation that floods
+   * the queue does not affect the others.
    *
-   * @returns the item that finds no room: another, this one, or undefined
+   * @returns the dropped item, which may be the added one, or undefined
    *
    * @example
    * ```ts
@@ -96,7 +96,7 @@
     return this.#dropFromLongestLine();
   }
 
-  /** Takes the item that is due, or undefined when none waits. */
+  /** Removes and returns the next item, or undefined if the queue is empty. */
   tryTake(): T | undefined {
     for (const priority of PRIORITIES) {
       const item = this.#tryTakeFrom(this.#laneOf(priority));
@@ -106,14 +106,14 @@
   }
 
   /**
-   * All items in the order in which they would be taken, without taking any: some of them
-   * may not be able to go yet.
+   * Returns all items in scheduling order without removing them, as some may not be able
+   * to start yet.
    */
   inOrder(): readonly T[] {
     return PRIORITIES.flatMap((priority) => orderOf(this.#laneOf(priority)));
   }
 
-  /** Takes an item out of its turn; its organisation's next item is due later for it. */
+  /** Removes an item regardless of its position and charges its organisation for it. */
   take(item: T): void {
     const lane = this.#laneOf(item.priority);
     const line = lane.lines.get(item.organisation);
@@ -126,12 +126,15 @@
     }
   }
 
-  /** Takes out the newest item of the longest line among the least urgent. */
+  /**
+   * Removes the newest item of the longest organisation queue at the least urgent
+   * priority.
+   */
   tryDrop(): T | undefined {
     return this.#dropFromLongestLine();
   }
 
-  /** Takes out every item for which `isUnwanted` holds. */
+  /** Removes and returns every item for which `isUnwanted` holds. */
   removeWhere(isUnwanted: (item: T) => boolean): readonly T[] {
     const removed: T[] = [];
     for (const lane of this.#lanes.values()) {
@@ -152,7 +155,7 @@
       line = { items: [], dueAt: lane.virtualNow };
       lane.lines.set(item.organisation, line);
     }
-    // Time in which an organisation asked for nothing is no credit against the others.
+    // An idle organisation gains no credit over the others.
     if (line.items.length === 0) {
       line.dueAt = Math.max(line.dueAt, lane.virtualNow);
     }
@@ -194,7 +197,7 @@
   }
 }
 
-/** Items of a lane as organisations take turns by weight. */
+/** Returns the items of a lane in scheduling order. */
 function orderOf<T extends QueuedItem>(lane: Lane<T>): readonly T[] {
   const lines = [...lane.lines.values()]
     .filter(({ items }) => items.length > 0)
@@ -215,8 +218,9 @@
 }
 
 /**
- * An emptied line keeps its due time until the lane has caught up with it;
- * otherwise an organisation that sends one at a time would jump the others.
+ * Removes an empty organisation queue once the lane's virtual time has reached its due
+ * time. If it were removed earlier, an organisation that sends one item at a time would
+ * get ahead of the others.
  */
 function forgetIfCaughtUp<T>(lane: Lane<T>, name: string): void {
   const line = lane.lines.get(name);
--- a/src/policy/fair_queue_test.ts
+++ b/src/policy/fair_queue_test.ts
@@ -31,7 +31,7 @@
 }
 
 describe("fair queue", () => {
-  it("shares by weight between organisations that always have work", () => {
+  it("shares by weight between organisations with continuous demand", () => {
     const queue = new FairQueue<Item>(1000);
     for (let index = 0; index < 90; index++) {
       queue.add(createItem(`a${index}`, { organisation: "a", weight: 2 }));
@@ -42,7 +42,7 @@
     assert.ok(Math.abs(ofA - 60) <= 1, `${ofA} of 90`);
   });
 
-  it("gives no more to who sends one at a time", () => {
+  it("gives no advantage to an organisation that sends one item at a time", () => {
     const queue = new FairQueue<Item>(1000);
     for (let index = 0; index < 100; index++) {
       queue.add(createItem(`busy${index}`, { organisation: "busy" }));
@@ -57,7 +57,7 @@
     assert.ok(ofSingle <= 31, `${ofSingle} of 60`);
   });
 
-  it("tells the order in which items would be taken, and takes none", () => {
+  it("lists the items in scheduling order without removing them", () => {
     const queue = new FairQueue<Item>(10);
     queue.add(createItem("last", { priority: 8 }));
     for (const name of ["a1", "a2"]) queue.add(createItem(name));
@@ -68,7 +68,7 @@
     assert.deepEqual(drain(queue).map(({ name }) => name), order);
   });
 
-  it("counts an item that goes ahead as its organisation's turn", () => {
+  it("charges the organisation for an item that is taken out of order", () => {
     const queue = new FairQueue<Item>(10);
     const items = ["a1", "a2"].map((name) => createItem(name));
     for (const item of items) queue.add(item);
@@ -79,7 +79,7 @@
     assert.equal(queue.length, 0);
   });
 
-  it("takes quick work first", () => {
+  it("takes the most urgent priority first", () => {
     const queue = new FairQueue<Item>(10);
     queue.add(
       createItem("background", { priority: PRIORITIES_BY_NAME.background }),
@@ -90,7 +90,7 @@
     assert.deepEqual(names, ["quick", "normal", "background"]);
   });
 
-  it("drops the newest of the longest line when it is full", () => {
+  it("drops the newest item of the longest organisation queue when it is full", () => {
     const queue = new FairQueue<Item>(2);
     queue.add(createItem("flood1", { organisation: "flood" }));
     queue.add(createItem("flood2", { organisation: "flood" }));
@@ -99,7 +99,7 @@
     assert.equal(queue.length, 2);
   });
 
-  it("keeps its order when some are taken out", () => {
+  it("keeps the order when items are removed", () => {
     const queue = new FairQueue<Item>(10);
     for (const name of ["1", "2", "3"]) queue.add(createItem(name));
     const removed = queue.removeWhere((item) => item.name === "2");
--- a/src/policy/group_capacity.ts
+++ b/src/policy/group_capacity.ts
@@ -1,32 +1,31 @@
 /**
- * How many requests a rank group can process without a pass that takes longer than callers
- * tolerate between two pieces of an answer.
+ * Computes how many requests a rank group can process before its passes exceed the pause
+ * that callers tolerate between two pieces of an answer.
  *
- * The load pattern: all ranks of a group run each pass together, so each request makes
- * every pass longer for all. What one request costs is not constant: the popularity of
- * experts changes each few seconds, and until the map follows, a pass takes half as long
- * again or more. An answer that takes 2 s nearly always meets such a time. In a burst,
- * passes take longer than the pause that callers tolerate, and the answers under way are
- * late for all callers alike.
+ * All ranks of a group run each pass together, so each request lengthens every pass for
+ * all requests. The cost of a request varies: the popularity of experts changes every few
+ * seconds, and until the expert map follows, a pass takes half as long again or more. An
+ * answer that takes 2 s almost always spans such a period. In a burst, passes exceed the
+ * tolerated pause, and all answers in progress are late.
  *
- * So the capacity is computed from what the group's decider reports, with the highest cost
- * of the last seconds in place of the last one.
+ * The capacity is therefore computed from the reports of the group's decider with the
+ * highest cost of the last seconds instead of the most recent one.
  *
  * @module
  */
 
-/** What a decider reports of its group. */
+/** A report of a group's decider. */
 export interface CapacityReport {
   readonly at: number;
-  /** Formation of the group; costs of another one say nothing. */
+  /** Epoch in which the group was formed; costs of other epochs are discarded. */
   readonly epoch?: number;
-  /** Mean time of the last passes, in milliseconds; undefined: there were none. */
+  /** Mean time of the recent passes, in milliseconds; undefined if there were none. */
   readonly passMs?: number;
-  /** Requests that run and that wait, over all ranks. */
+  /** Running and waiting requests of all ranks. */
   readonly load: number;
 }
 
-/** What capacity is computed for. */
+/** The conditions for which the capacity is computed. */
 export interface CapacityFacts {
   readonly now: number;
   /** Pause between two pieces of an answer that callers tolerate, in milliseconds. */
@@ -51,28 +50,33 @@
   readonly load: number;
 }
 
-/** Part of the pause that a pass may take; the rest covers what varies between passes. */
+/**
+ * Fraction of the pause that a pass may take; the rest covers variation between passes.
+ */
 const PASS_PART = 0.9;
-/** Milliseconds for which a cost counts: popularity changes each 2.5 to 4 s. */
+/**
+ * Milliseconds for which a cost is used; the popularity of experts changes every 2.5 to 4
+ * s.
+ */
 const COST_MEMORY_MS = 6000;
-/** Milliseconds after which a report is ignored: the decider has probably failed. */
+/** Milliseconds after which a report is ignored, as the decider has probably failed. */
 const REPORT_LIMIT_MS = 1500;
 /**
- * Samples below this part of the slots are ignored: the variation of idle passes, divided by
- * few requests, would look like a high cost.
+ * Samples with a load below this fraction of the slots are ignored: the variation of idle
+ * passes, divided by few requests, would look like a high cost.
  */
 const LEAST_SAMPLED_PART = 0.1;
-/** Bounds of what a report can mean. */
+/** Upper bounds of plausible reports. */
 const LONGEST_PASS_MS = 60_000;
 const LARGEST_LOAD = 1_000_000;
 
-/** Capacity of one rank group, from the reports of its decider. */
+/** Computes the capacity of one rank group from the reports of its decider. */
 export class GroupCapacity {
   #samples: Sample[] = [];
   #last: CapacityReport | undefined;
 
   /**
-   * Takes in a report. One with absurd values is dropped; returns whether it was taken.
+   * Records a report; returns whether it was plausible. Implausible reports are dropped.
    *
    * @example
    * ```ts
@@ -94,8 +98,9 @@
   }
 
   /**
-   * Load and capacity now; undefined without a recent report, or where even a pass
-   * without requests takes too long, so that fewer requests would help nobody.
+   * Returns the current load and capacity. The result is undefined without a recent
+   * report, or if even a pass without requests takes too long, as fewer requests would
+   * not help then.
    *
    * @example
    * ```ts
@@ -115,7 +120,10 @@
     return { load: last.load, capacity, ageMs };
   }
 
-  /** Highest milliseconds by which one request made a pass longer lately. */
+  /**
+   * Returns the highest recent cost: the milliseconds by which one request lengthens a
+   * pass.
+   */
   #highestCost({ now, idlePassMs, slots }: CapacityFacts): number {
     let highest = 0;
     for (const { at, passMs, load } of this.#samples) {
--- a/src/policy/group_capacity_test.ts
+++ b/src/policy/group_capacity_test.ts
@@ -18,7 +18,7 @@
   };
 }
 
-/** A report of passes that each request makes longer by so much. */
+/** Creates a report of passes that each request lengthens by `costMs`. */
 function createReport(
   costMs: number,
   changes: Partial<CapacityReport> = {},
@@ -33,13 +33,13 @@
 }
 
 describe("capacity of a rank group", () => {
-  it("is what passes have time for within the pause", () => {
+  it("is the number of requests whose passes fit within the pause", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(0.5));
     assert.equal(capacityAt(capacity, 0), 200);
   });
 
-  it("keeps the cost of a jump that ends within the time of an answer", () => {
+  it("keeps a short peak of the cost for the duration of an answer", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(1, { at: 0 }));
     for (let at = 200; at <= 5800; at += 200) {
@@ -50,19 +50,19 @@
     assert.equal(capacityAt(capacity, 6000), 200);
   });
 
-  it("is never more than the slots", () => {
+  it("does not exceed the slots", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(0.1));
     assert.equal(capacityAt(capacity, 0), 224);
   });
 
-  it("takes no cost from a few requests in a nearly idle group", () => {
+  it("ignores costs measured with few requests in a nearly idle group", () => {
     const capacity = new GroupCapacity();
     capacity.note({ at: 0, passMs: 45, load: 2 });
     assert.equal(capacityAt(capacity, 0), 224);
   });
 
-  it("is not known once the decider is silent", () => {
+  it("is unknown once the decider stops reporting", () => {
     const capacity = new GroupCapacity();
     assert.equal(capacityAt(capacity, 0), undefined);
     capacity.note(createReport(0.5));
@@ -70,14 +70,14 @@
     assert.equal(capacityAt(capacity, 1501), undefined);
   });
 
-  it("forgets the costs of a group that formed anew", () => {
+  it("discards the costs of an earlier epoch", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(1, { epoch: 1 }));
     capacity.note(createReport(0.5, { epoch: 2, at: 200 }));
     assert.equal(capacityAt(capacity, 200), 200);
   });
 
-  it("drops reports with absurd values", () => {
+  it("drops implausible reports", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(0.5));
     const absurd: readonly Partial<CapacityReport>[] = [
@@ -93,7 +93,7 @@
     assert.equal(capacityAt(capacity, 0), 200);
   });
 
-  it("holds nothing back where even an idle pass takes too long", () => {
+  it("is unknown if even an idle pass takes too long", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(0.5));
     const facts = createFacts({ idlePassMs: 140 });
--- a/src/policy/idle_lifetime.ts
+++ b/src/policy/idle_lifetime.ts
@@ -1,37 +1,37 @@
 /**
- * For how long a connection without a request can be used again, learnt from what
- * servers say and from connections that were found dead.
+ * Learns for how long an idle connection can be reused, from what servers announce and
+ * from connections that turned out to be closed.
  *
- * The pattern: a server (or something on the way to it) forgets connections sooner than
- * it promised and without a word. What is sent next on one is reset, nobody knows whether
- * it has run, and a request that may not run twice is lost. Servers of one pool are alike,
- * so one dead connection says how old the others of the pool may get.
+ * A server, or a device on the path to it, may drop connections earlier than announced
+ * and without notice. The next request on such a connection is reset, it is unknown
+ * whether it has run, and a request that must not run twice is lost. Servers of one pool
+ * behave alike, so one dead connection indicates the maximum idle time for the others.
  *
  * @module
  */
 
-/** Longest time that is believed, whatever a server promises, in milliseconds. */
+/** Maximum idle time in milliseconds, whatever a server announces. */
 const LONGEST_MS = 60_000;
-/** Shortest limit, below which connections are in use again before it matters. */
+/** Minimum idle time in milliseconds; connections are reused sooner than this. */
 const SHORTEST_MS = 50;
 /**
- * Part of the age of a dead connection up to which others are used: it may have died at
- * any time since its last answer.
+ * Fraction of a dead connection's idle time up to which others are reused, as it may have
+ * been dropped at any time since its last answer.
  */
 const SAFE_PART = 0.5;
 /**
- * Milliseconds after which the limit is doubled again. Each doubling puts one request at
- * risk, so it is not done more often than callers would notice.
+ * Milliseconds after which the limit is doubled. Each doubling risks one request, so it
+ * happens no more often than callers would notice.
  */
 const DOUBLE_AFTER_MS = 4000;
 
-/** For how long idle connections to the servers of one pool can be used. */
+/** Tracks for how long idle connections to the servers of one pool can be reused. */
 export class IdleLifetime {
   #limitMs = LONGEST_MS;
   #changedAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * Milliseconds without a request after which a connection is not used any more.
+   * Returns the idle time in milliseconds after which a connection is not reused.
    *
    * @example
    * ```ts
@@ -48,7 +48,7 @@
     return this.#limitMs;
   }
 
-  /** A connection that had rested for so long was found dead. */
+  /** Records that a connection was found dead after `restedMs` of idle time. */
   noteDead(restedMs: number, now: number): void {
     const limitMs = Math.max(SHORTEST_MS, restedMs * SAFE_PART);
     this.#limitMs = Math.min(this.getLimitMs(now), limitMs);
--- a/src/policy/idle_lifetime_test.ts
+++ b/src/policy/idle_lifetime_test.ts
@@ -3,8 +3,8 @@
 import { IdleLifetime } from "./idle_lifetime.ts";
 
 /**
- * Requests on connections that the servers have forgotten, of those that an entry sends
- * one at a time, each so many milliseconds after the one before.
+ * Counts the requests that an entry sends on dropped connections. It sends one request
+ * every `gapMs`, and servers drop idle connections after `forgottenAfterMs`.
  */
 function countLost(gapMs: number, forgottenAfterMs: number): number {
   const lifetime = new IdleLifetime();
@@ -19,30 +19,30 @@
 }
 
 describe("the lifetime of idle connections", () => {
-  it("is as long as servers promise until one is found dead", () => {
+  it("is as long as servers announce until a connection is found dead", () => {
     assert.ok(new IdleLifetime().getLimitMs(0) >= 10_000);
   });
 
-  it("falls below the age of the one that was dead", () => {
+  it("drops below the idle time of a dead connection", () => {
     const lifetime = new IdleLifetime();
     lifetime.noteDead(600, 100);
     assert.equal(lifetime.getLimitMs(100), 300);
   });
 
-  it("is found again when servers no longer forget", () => {
+  it("recovers when servers no longer drop connections", () => {
     const lifetime = new IdleLifetime();
     lifetime.noteDead(600, 0);
     assert.ok(lifetime.getLimitMs(30_000) >= 10_000);
   });
 
-  it("does not grow for a connection that was known to be old", () => {
+  it("does not grow when a connection is found dead that had exceeded it", () => {
     const lifetime = new IdleLifetime();
     lifetime.noteDead(600, 0);
     lifetime.noteDead(9000, 10);
     assert.equal(lifetime.getLimitMs(10), 300);
   });
 
-  it("costs at most one request in four seconds, and none without need", () => {
+  it("costs at most one request every four seconds, and none if requests are frequent", () => {
     assert.ok(countLost(500, 300) <= 11);
     assert.equal(countLost(200, 300), 0);
   });
--- a/src/policy/late_admission.ts
+++ b/src/policy/late_admission.ts
@@ -1,72 +1,77 @@
 /**
- * Lets requests that are late already into a rank group only as fast as it leaves time
- * for those that can still be on time.
+ * Limits how fast late requests are admitted to a rank group, so that requests that can
+ * still be answered in time are not delayed.
  *
- * The pattern: a group that was lost opens again, and all that waited for it would be
- * sent there at once, while new requests arrive as ever. All ranks run each pass
- * together, so one request more makes each pass longer for all of them: passes soon take
- * longer than the pause that callers bear between two pieces of an answer, and every
- * answer under way is late then, though it is worth twice as much on time.
+ * When a lost group opens again, all requests that waited for it would be sent at once,
+ * in addition to new ones. All ranks run each pass together, so each further request
+ * lengthens every pass. Passes soon exceed the pause that callers tolerate between two
+ * pieces of an answer, and every answer in progress is late, although an answer in time
+ * is worth twice as much.
  *
- * So late requests are let in by the word that the group's decider gives on the time of
- * a pass: some with each word while passes are short, none while they come near that
- * pause. Each entry acts by itself on the same word, and what all entries together let
- * in between two words moves the time of a pass by less than what is kept free.
+ * Late requests are therefore admitted at the rate of the decider's reports of the pass
+ * time: some with each report while passes are short, none while they come near the
+ * tolerated pause. Each entry acts on the same report independently, and what all entries
+ * together admit between two reports changes the pass time by less than the margin.
  *
- * None is held back until its caller leaves while passes are still shorter than that pause:
- * one that has waited for long goes where there is a place. A caller that gets nothing is
- * worse off than some that get theirs late, and who waits has arrived over time, so they
- * go in over time, too.
+ * While passes are shorter than the tolerated pause, no request is deferred until its
+ * caller gives up: after a long wait it is sent as soon as a target has a free slot. An
+ * unanswered caller is worse than some late answers, and waiting requests arrived over
+ * time, so they are admitted over time, too.
  *
  * @module
  */
 
-/** A decider's word on how long the passes of its group take. */
+/** A decider's report of the pass time of its group. */
 export interface PassWord {
-  /** Mean time of a pass, in milliseconds; undefined: the group made none lately. */
+  /** Mean time of a pass, in milliseconds; undefined if there was no recent pass. */
   readonly passMs: number | undefined;
   readonly at: number;
 }
 
-/** A request whose answer can hardly be on time any more. */
+/** A request whose answer is unlikely to be in time. */
 export interface LateRequest {
   readonly now: number;
-  /** Milliseconds since it came to this entry. */
+  /** Milliseconds since the request arrived at this entry. */
   readonly waitedMs: number;
-  /** Whether the target would begin with it at once. */
+  /** Whether the target would start the request immediately. */
   readonly hasFreePlace: boolean;
 }
 
 /**
- * Part of the pause that callers bear up to which passes are short. A usual pass takes less
- * than half of it, one with all places taken more than all of it.
+ * Fraction of the tolerated pause up to which passes count as short. A usual pass takes
+ * less than half of the pause, a pass with all slots in use more than all of it.
  */
 const SHORT_PASS_PART = 0.6;
-/** Late requests that an entry sends between two words on short passes. */
+/**
+ * Maximum number of late requests that an entry sends between two reports of short
+ * passes.
+ */
 const MOST_PER_WORD = 2;
-/** The same while nothing is known of passes: a group that has just opened. */
+/** The same while the pass time is unknown, in a group that has just opened. */
 const MOST_PER_FIRST_WORD = 1;
 /**
- * Milliseconds after which a late request is held back no longer: its caller leaves two
- * seconds after it came, and the first piece of an answer takes some passes.
+ * Milliseconds after which a late request is no longer deferred: its caller gives up two
+ * seconds after arrival, and the first piece of an answer takes some passes.
  */
 const LONGEST_HELD_MS = 1300;
-/** Milliseconds after which a word holds nobody back: the decider is gone. */
+/** Milliseconds after which a report is ignored, as the decider is unavailable. */
 const WORD_LIMIT_MS = 1500;
 
-/** Lets late requests into one rank group. */
+/** Limits the late requests that are admitted to one rank group. */
 export class LateAdmission {
   #word: PassWord | undefined;
   #let = 0;
 
-  /** The group's decider gave its word, each some hundred milliseconds. */
+  /**
+   * Records a report of the group's decider; they arrive every few hundred milliseconds.
+   */
   note(word: PassWord): void {
     this.#word = word;
     this.#let = 0;
   }
 
   /**
-   * Whether a late request that has waited for so long may be sent to the group now.
+   * Whether a late request may be sent to the group now.
    *
    * @example
    * ```ts
@@ -84,15 +89,16 @@
     return this.#let < mostPerWord(word, pauseObjectiveMs);
   }
 
-  /** A late request was sent to the group. */
+  /** Records that a late request was sent to the group. */
   count(): void {
     this.#let++;
   }
 }
 
 /**
- * Whether it is served now or not at all, and can be. Where passes take longer than callers
- * bear, there are too many requests for the group, and one more has others end unserved.
+ * Whether the request must be sent now to be answered at all, and can be. If passes
+ * exceed the tolerated pause, the group is overloaded, and another request would leave
+ * others unanswered.
  */
 function isLastChance(
   { waitedMs, hasFreePlace }: LateRequest,
--- a/src/policy/late_admission_test.ts
+++ b/src/policy/late_admission_test.ts
@@ -4,19 +4,19 @@
 
 const PAUSE_OBJECTIVE_MS = 120;
 const ENTRIES = 9;
-/** Milliseconds between two words of the decider. */
+/** Milliseconds between two reports of the decider. */
 const WORD_MS = 200;
-/** Late requests that wait at the opening, over all entries. */
+/** Late requests that wait as the group opens, over all entries. */
 const WAITING = 250;
 /** New requests a second, over all entries. */
 const NEW_PER_SECOND = 50;
-/** Pieces of one answer, one a pass. */
+/** Pieces of one answer, one in each pass. */
 const PIECES = 28;
-/** Milliseconds of a pass without requests, and for each one that runs. */
+/** Milliseconds of a pass without requests, and the increase by each running request. */
 const EMPTY_PASS_MS = 30;
 const PASS_MS_PER_REQUEST = 0.35;
 
-/** Whether one that has just come may be sent. */
+/** Whether a request that has just arrived may be sent. */
 function isOpenAt(admission: LateAdmission, now: number): boolean {
   return admission.isOpen(PAUSE_OBJECTIVE_MS, {
     now,
@@ -25,7 +25,7 @@
   });
 }
 
-/** Longest pass within three seconds from the opening of a lost group. */
+/** Returns the longest pass within three seconds after a lost group opens. */
 function playOpening(isLimited: boolean): number {
   const admissions = Array.from({ length: ENTRIES }, () => new LateAdmission());
   let waiting = WAITING;
@@ -59,15 +59,15 @@
 }
 
 describe("late requests at a group that opens", () => {
-  it("make its passes too long when all are sent at once", () => {
+  it("make passes too long when all are sent at once", () => {
     assert.ok(playOpening(false) > PAUSE_OBJECTIVE_MS);
   });
 
-  it("leave passes short when they follow the word on passes", () => {
+  it("keep passes short when limited by the reported pass time", () => {
     assert.ok(playOpening(true) <= PAUSE_OBJECTIVE_MS);
   });
 
-  it("are sent one by one while nothing is known of passes", () => {
+  it("are admitted one at a time while the pass time is unknown", () => {
     const admission = new LateAdmission();
     admission.note({ passMs: undefined, at: 0 });
     assert.equal(isOpenAt(admission, 0), true);
@@ -75,7 +75,7 @@
     assert.equal(isOpenAt(admission, 0), false);
   });
 
-  it("are held back by nothing when the decider is not heard", () => {
+  it("are not limited when the decider stops reporting", () => {
     const admission = new LateAdmission();
     assert.equal(isOpenAt(admission, 0), true);
     admission.note({ passMs: 200, at: 0 });
@@ -84,10 +84,10 @@
   });
 
   /**
-   * The pattern: with the first map of a group that has just formed passes stay long for
-   * longer than callers bear silence, while half of the places are free.
+   * Guards against unanswered requests after a group has formed: with its first map,
+   * passes stay long for longer than callers wait, while half of the slots are free.
    */
-  it("are let in before their callers leave, though passes are long", () => {
+  it("are admitted before their callers give up, even if passes are long", () => {
     const admission = new LateAdmission();
     admission.note({ passMs: 100, at: 0 });
     const isOpenAfter = (waitedMs: number, hasFreePlace: boolean) =>
@@ -98,16 +98,15 @@
       });
     assert.equal(isOpenAfter(1000, true), false);
     assert.equal(isOpenAfter(1400, true), true);
-    // Its caller would leave before the place is free.
+    // The caller would give up before a slot becomes free.
     assert.equal(isOpenAfter(1400, false), false);
   });
 
   /**
-   * The pattern: a decider stands still while popularity changes, passes are too long for
-   * seconds, and each request that is added has others meet the end of their callers'
-   * patience.
+   * Guards against overload while the decider is frozen and popularity changes: passes
+   * are too long for seconds, and each further request leaves others unanswered.
    */
-  it("are not let in besides where passes are longer than callers bear", () => {
+  it("are not admitted as a last chance if passes exceed the tolerated pause", () => {
     const admission = new LateAdmission();
     admission.note({ passMs: 150, at: 0 });
     const late = { now: 100, waitedMs: 1400, hasFreePlace: true };
--- a/src/policy/leaving_targets.ts
+++ b/src/policy/leaving_targets.ts
@@ -1,49 +1,49 @@
 /**
- * The targets that have said with an answer that they leave.
+ * Tracks the targets that have announced in an answer that they are leaving.
  *
- * A word in an answer reaches one entry, and it is true for all of them, so entries tell each
- * other. It holds for as long as that incarnation is known: one that has said so is never sent
- * a request again, whatever lists say of it later, and a target that comes back has another
- * name. What is told late, or not at all, costs no rule: an entry that was not told goes by the
- * list and by the answers that it gets itself.
+ * An announcement reaches one entry and applies to all of them, so entries replicate it.
+ * It holds as long as that incarnation is known: the target is never sent a request
+ * again, whatever later lists say, and a restarted target has another name. Delayed or
+ * lost replication breaks no guarantee: an entry without the update relies on the list
+ * and on the answers that it receives itself.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** Targets that entries tell each other, at most. */
+/** Maximum number of targets that entries replicate. */
 const MOST_TOLD = 1024;
 /**
- * Milliseconds for which a target that is listed no more is remembered. A list may lack it
- * while the platform's store is away, or comes back from an older copy.
+ * Milliseconds for which a target that is no longer listed is remembered. A list may lack
+ * a target while the platform's store is unavailable or restored from an older copy.
  */
 const REMEMBERED_MS = 600_000;
 
-/** A target that has said that it leaves. */
+/** A target that has announced that it is leaving. */
 export interface LeavingTarget {
   readonly target: string;
-  /** When it was last heard of, by a list or by itself, in milliseconds. */
+  /** When the target was last listed or announced that it is leaving, in milliseconds. */
   readonly knownAt: number;
 }
 
-/** The targets that have said that they leave. */
+/** Tracks the targets that have announced that they are leaving. */
 export class LeavingTargets {
   readonly #knownAt = new Map<string, number>();
   #listed: ReadonlySet<string> = new Set();
   #content: string | undefined;
 
-  /** Targets that are listed though they have said that they leave. */
+  /** Number of leaving targets that are still listed. */
   get listedCount(): number {
     return [...this.#knownAt.keys()].filter((name) => this.#listed.has(name))
       .length;
   }
 
-  /** In short: the same for the same targets. */
+  /** Digest of the leaving targets, equal for equal sets of targets. */
   get content(): string {
     return this.#content ??= describeAll(this.list());
   }
 
-  /** Everything that is told to other entries, ordered by target. */
+  /** Returns the leaving targets that are replicated, ordered by name. */
   list(): readonly LeavingTarget[] {
     return [...this.#knownAt]
       .map(([target, knownAt]) => ({ target, knownAt }))
@@ -51,19 +51,19 @@
       .slice(0, MOST_TOLD);
   }
 
-  /** Whether a target has said that it leaves. */
+  /** Whether a target has announced that it is leaving. */
   has(target: string): boolean {
     return this.#knownAt.has(target);
   }
 
-  /** A target said that it leaves; whether that is news. */
+  /** Records a target's announcement; returns whether it is new. */
   note(target: string, now: number): boolean {
     const isNews = !this.#knownAt.has(target);
     this.#set(target, now);
     return isNews;
   }
 
-  /** Takes in what another entry remembers; returns those that are news. */
+  /** Merges the targets received from another entry; returns the new ones. */
   merge(told: readonly LeavingTarget[], now: number): readonly LeavingTarget[] {
     const news = told.filter((one) =>
       !this.#knownAt.has(one.target) && !this.#isOld(one, now)
@@ -72,7 +72,7 @@
     return news;
   }
 
-  /** These targets are listed now. */
+  /** Replaces the set of listed targets. */
   setListed(targets: ReadonlySet<string>, now: number): void {
     this.#listed = targets;
     for (const [target, knownAt] of [...this.#knownAt]) {
--- a/src/policy/leaving_targets_test.ts
+++ b/src/policy/leaving_targets_test.ts
@@ -1,6 +1,7 @@
 /**
- * The pattern that these tests tell of: a target says to some entries that it leaves, while
- * lists name it, lack it for a moment, or name it long after.
+ * Guards against sending requests to a target that has announced to some entries that it
+ * is leaving, while lists still name it, lack it for a moment, or name it long
+ * afterwards.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -16,8 +17,8 @@
   return leaving;
 }
 
-describe("a target that has said that it leaves", () => {
-  it("is news once", () => {
+describe("a target that has announced that it is leaving", () => {
+  it("is new only once", () => {
     const leaving = new LeavingTargets();
     assert.ok(leaving.note("i-1", 0));
     assert.ok(!leaving.note("i-1", 10));
@@ -25,7 +26,7 @@
     assert.ok(!leaving.has("i-2"));
   });
 
-  it("is remembered for as long as it is listed", () => {
+  it("is remembered as long as it is listed", () => {
     const leaving = createLeaving("i-1");
     for (let minute = 1; minute < 60; minute++) {
       leaving.setListed(LISTED, minute * MINUTE_MS);
@@ -34,7 +35,7 @@
     assert.equal(leaving.listedCount, 1);
   });
 
-  it("is remembered while lists lack it for minutes, and not for ever", () => {
+  it("is remembered while it is unlisted for minutes, but not indefinitely", () => {
     const leaving = createLeaving("i-1");
     leaving.setListed(UNLISTED, 9 * MINUTE_MS);
     assert.ok(leaving.has("i-1"));
@@ -44,8 +45,8 @@
   });
 });
 
-describe("entries that tell each other who leaves", () => {
-  it("come to the same memory, and are told no news twice", () => {
+describe("entries that replicate leaving targets", () => {
+  it("reach the same state, and do not report a target as new twice", () => {
     const [first, second] = [createLeaving("i-1"), createLeaving("i-2")];
     assert.equal(second.merge(first.list(), 10).length, 1);
     assert.equal(first.merge(second.list(), 10).length, 1);
@@ -53,7 +54,7 @@
     assert.equal(first.merge(second.list(), 20).length, 0);
   });
 
-  it("do not bring back what is long gone", () => {
+  it("do not restore a target that was removed long ago", () => {
     const [first, second] = [createLeaving("i-1"), new LeavingTargets()];
     second.setListed(UNLISTED, 0);
     assert.deepEqual(second.merge(first.list(), 11 * MINUTE_MS), []);
--- a/src/policy/link_pacer.ts
+++ b/src/policy/link_pacer.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps what is sent beside more urgent messages within a part of a machine's link.
+ * Limits low-priority traffic to a fraction of a VM's link.
  *
  * @module
  */
@@ -8,24 +8,24 @@
 
 /** Options of a {@link LinkPacer}. */
 export interface LinkPacerOptions {
-  /** Bytes that the link carries in a second. */
+  /** Capacity of the link in bytes per second. */
   readonly bytesPerSecond: number;
-  /** Part of the link that may be used, from 0 to 1. */
+  /** Fraction of the link that may be used, from 0 to 1. */
   readonly part: number;
 }
 
-/** Lets through what fits into a part of a link. */
+/** Limits traffic to a fraction of a link. */
 export class LinkPacer {
   readonly #options: LinkPacerOptions;
   #isFreeAt = Number.NEGATIVE_INFINITY;
 
-  /** Nothing was sent yet. */
+  /** Starts with the whole allowance available. */
   constructor(options: LinkPacerOptions) {
     this.#options = options;
   }
 
   /**
-   * Whether so many bytes may be sent now, a time in milliseconds; if so, they count.
+   * Whether `bytes` may be sent now, a time in milliseconds; if so, they are counted.
    *
    * @example
    * ```ts
--- a/src/policy/link_pacer_test.ts
+++ b/src/policy/link_pacer_test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from "node:test";
 import { LinkPacer } from "./link_pacer.ts";
 
-describe("a part of a link", () => {
-  it("is not exceeded, and is used", () => {
+describe("link pacer", () => {
+  it("uses its fraction of the link and does not exceed it", () => {
     const pacer = new LinkPacer({ bytesPerSecond: 500_000, part: 0.2 });
     let sent = 0;
     for (let now = 0; now < 10_000; now++) {
