--- a/src/policy/permit_bounds.ts
+++ b/src/policy/permit_bounds.ts
@@ -1,36 +1,36 @@
 /**
- * How many permits for a target may come together, and for how long they hold.
+ * Bounds the burst and the lifetime of permits for a target.
  *
- * Within any second a target that warms up may get 1.5 r + 5 requests, where r is its limit.
- * The first entry gives r and a second one 0.25 r; permits live for 0.2 s + 1.5 / r, and up to
- * 2 and 1 of them come at once. The most in one second is
- * 1.25 r (1 + 0.2 + 1.5 / r) + 2 + 1 = 1.5 r + 4.875.
+ * In any second a target that warms up may receive at most 1.5 r + 5 requests, where r is
+ * its limit. The primary issuer issues r permits a second and the secondary issuer 0.25
+ * r. Permits live for 0.2 s + 1.5 / r, and bursts are limited to 2 and 1 permits. The
+ * maximum in one second is 1.25 r (1 + 0.2 + 1.5 / r) + 2 + 1 = 1.5 r + 4.875.
  *
  * @module
  */
 import type { SendLimit } from "./send_limits.ts";
 import type { TokenBucketOptions } from "./token_bucket.ts";
 
-/** Milliseconds for which a permit holds, from the question for it. */
+/** Milliseconds for which a permit is valid, counted from the request for it. */
 export const PERMIT_MS = 1000;
-/** Requests let through at once, in seconds of the limit; one at least. */
+/** Size of a burst in seconds of the limit; a burst is at least one request. */
 const BURST_SECONDS = 0.25;
 /**
- * Lowest rate that is used, in requests a second. With none the target would get no request,
- * and the end of its limit would go unnoticed.
+ * Minimum rate in requests a second. At a rate of 0 the target would get no request, and
+ * the end of its limit would go unnoticed.
  */
 const LEAST_PER_SECOND = 0.1;
-/** Most that come at once from the entry that gives the whole of a warm-up limit. */
+/** Maximum burst of the issuer that issues the whole of a warm-up limit. */
 const WARM_UP_BURST = 2;
-/** Most that come at once from an entry that gives a part of a warm-up limit. */
+/** Maximum burst of an issuer that issues a share of a warm-up limit. */
 const WARM_UP_PART_BURST = 1;
-/** Milliseconds for which a permit for a target that warms up holds, at least. */
+/** Minimum lifetime in milliseconds of a permit for a target that warms up. */
 const WARM_UP_PERMIT_MS = 200;
-/** Permits whose time at the limit's rate is added to that. */
+/** Added to that lifetime, in permit intervals at the limit's rate. */
 const WARM_UP_PERMITS_KEPT = 1.5;
 
 /**
- * The bucket out of which an entry gives a part of a limit.
+ * Returns the options of the bucket from which an entry issues a share of a limit.
  *
  * @example
  * ```ts
@@ -49,7 +49,7 @@
 }
 
 /**
- * Milliseconds for which a permit holds, from the question for it.
+ * Returns the milliseconds for which a permit is valid, counted from the request for it.
  *
  * @example
  * ```ts
--- a/src/policy/permit_bounds_test.ts
+++ b/src/policy/permit_bounds_test.ts
@@ -1,6 +1,6 @@
 /**
- * What permits can add up to for a target that warms up, when all that are given are used at
- * the worst moment of their lifetime.
+ * Guards against exceeding the bound on requests to a target that warms up when all
+ * issued permits are used at the worst moment of their lifetime.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -12,7 +12,7 @@
 import { WarmUpLimits } from "./warm_up_limits.ts";
 
 const TARGET = "i-1";
-/** Well after the list of entries was heard. */
+/** A time long after the list of entries was received. */
 const SETTLED_MS = 60_000;
 const RUN_MS = 8000;
 
@@ -37,7 +37,7 @@
   return Array.from({ length: entries }, (_, one) => `entry-${one}`);
 }
 
-/** Entries that give permits for the target, the first one first. */
+/** Returns the entries that issue permits for the target, the primary issuer first. */
 function listGivers(names: readonly string[]): readonly string[] {
   const limits = createLimits(1);
   const find = (left: readonly string[]) =>
@@ -50,7 +50,7 @@
   return [first, find(names.filter((name) => name !== first))];
 }
 
-/** Times at which an entry gives permits that are asked for without end. */
+/** Returns the times at which an entry issues permits under continuous demand. */
 function drain(permits: SendPermits): readonly number[] {
   const given: number[] = [];
   permits.give(TARGET, 0, SETTLED_MS - RUN_MS);
@@ -61,7 +61,7 @@
   return given;
 }
 
-/** Most permits given in any span of so many milliseconds. */
+/** Returns the maximum number of permits issued in any span of `spanMs`. */
 function mostIn(spanMs: number, given: readonly number[]): number {
   const spans = given.map((from) =>
     given.filter((at) => at >= from && at < from + spanMs).length
@@ -72,8 +72,9 @@
 describe("permits for a target that warms up", () => {
   for (const perSecond of [0.5, 2, 8, 17, 50, 200]) {
     const bound = 1.5 * perSecond + 5;
-    // Guards against bursts, lifetimes and a second giver that add up above the bound.
-    it(`stay within its bound, ${perSecond} a second`, (test) => {
+    // Guards against bursts, lifetimes and a secondary issuer that together exceed the
+    // bound.
+    it(`stay within the bound at ${perSecond} a second`, (test) => {
       const limits = createLimits(perSecond);
       const names = createNames(41);
       const given = listGivers(names).flatMap((name) => {
@@ -86,8 +87,9 @@
       assert.ok(most <= bound, `${most}`);
     });
 
-    // Guards against an entry that joins as the first one and gives beside those before it.
-    it(`stay within its bound where an entry joins, ${perSecond} a second`, (test) => {
+    // Guards against an entry that joins as the primary issuer and issues permits beside
+    // the previous issuers.
+    it(`stay within the bound when an entry joins, at ${perSecond} a second`, (test) => {
       const limits = createLimits(perSecond);
       const names = createNames(41);
       const [joins] = listGivers(names) as [string];
@@ -107,15 +109,16 @@
         1000 + getPermitMs(limits.tryGet(TARGET)),
         [...ofFirst, ...joined],
       );
-      // Three give only if one of them is cut off, too; what is given is used at once then.
+      // Three entries issue permits only if one of them is also cut off, and then permits
+      // are used immediately.
       const three = mostIn(1000, [...settled.flat(), ...joined]);
       test.diagnostic(`${withJoined} and ${three} of ${bound}`);
       assert.ok(withJoined <= bound && three <= bound);
     });
   }
 
-  // Guards against an entry that stands still while it ranks all entries for many targets.
-  it("are looked for at one moment for as many targets as 1024 ranks allow", () => {
+  // Guards against an entry that is blocked while it ranks all entries for many targets.
+  it("are looked up at once only for as many targets as 1024 ranked entries allow", () => {
     const targets = Array.from({ length: 600 }, (_, one) => `i-${one}`);
     const limits = createLimits(17, targets);
     const permits = new SendPermits("entry-0", limits);
--- a/src/policy/pool_choice.ts
+++ b/src/policy/pool_choice.ts
@@ -6,20 +6,20 @@
 import type { RandomSource } from "../core/random_source.ts";
 import type { ServiceDocument } from "../messages/settings_documents.ts";
 
-/** Resolution of the draw: weights are compared in this many steps. */
+/** Number of steps into which the range of random numbers is divided. */
 const DRAW_STEPS = 1_000_000;
 
-/** Chooses pools by their weights. */
+/** Chooses pools at random by their weights. */
 export class PoolChoice {
   readonly #random: RandomSource;
 
-  /** Draws from `random`. */
+  /** Uses `random` as the source of random numbers. */
   constructor(random: RandomSource) {
     this.#random = random;
   }
 
   /**
-   * The pool that serves the next request.
+   * Returns the pool that serves the next request.
    *
    * @example
    * ```ts
--- a/src/policy/pool_retry_budgets.ts
+++ b/src/policy/pool_retry_budgets.ts
@@ -1,29 +1,29 @@
 /**
- * Keeps the retries of all entries together below what a pool may get: a share
- * of its requests and some more, in any window of time. Entries do not ask each
- * other; each takes its part.
+ * Limits the retries that a pool receives from all entries together to a share of its
+ * requests plus a slack, in any window of time. Entries do not coordinate; each uses its
+ * share of the limit.
  *
  * @module
  */
 
-/** Limits on the retries that one pool gets from all entries. */
+/** Limits of the retries that one pool receives from all entries. */
 export interface PoolRetryLimits {
-  /** Length of the sliding window, in milliseconds. */
+  /** Length of the sliding window in milliseconds. */
   readonly windowMs: number;
-  /** Retries over requests in a window. */
+  /** Maximum ratio of retries to requests in a window. */
   readonly share: number;
   /** Retries in a window beyond that share, for all entries together. */
   readonly slack: number;
 }
 
 /**
- * Entries assumed before they were counted. A larger deployment than this has a
- * slack that grows with it, and a smaller one only loses some retries.
+ * Number of entries assumed until the actual number is known. If a deployment is larger,
+ * its slack grows accordingly; a smaller one only loses some retries.
  */
 const ASSUMED_PROCESSES = 16;
 /**
- * Part of the slack that is used. An entry that restarts forgets what it has
- * spent, so the rest covers the restart of every second entry in one window.
+ * Fraction of the slack that is used. An entry that restarts forgets which retries it has
+ * made, so the rest covers the restart of every second entry in one window.
  */
 const USED_SLACK = 0.65;
 
@@ -34,7 +34,7 @@
   readonly retries: number[];
 }
 
-/** This entry's part of the retries of each pool. */
+/** Tracks this entry's share of the retries of each pool. */
 export class PoolRetryBudgets {
   #limits: PoolRetryLimits | undefined;
   readonly #counts = new Map<string, PoolCounts>();
@@ -45,24 +45,24 @@
     this.#limits = limits;
   }
 
-  /** Changes the limits. */
+  /** Replaces the limits. */
   setLimits(limits: PoolRetryLimits): void {
     this.#limits = limits;
   }
 
-  /** How many entries share the slack. */
+  /** Sets the number of entries that share the slack. */
   setProcesses(processes: number): void {
     this.#processes = Math.max(1, processes);
   }
 
-  /** A first attempt was made. */
+  /** Records a first attempt. */
   countRequest(pool: string, now: number): void {
     if (this.#limits === undefined) return;
     this.#countsOf(pool, now).requests.push(now);
   }
 
   /**
-   * Takes the right to one retry.
+   * Takes the permission for one retry if the budget allows it.
    *
    * @example
    * ```ts
--- a/src/policy/pool_retry_budgets_test.ts
+++ b/src/policy/pool_retry_budgets_test.ts
@@ -7,7 +7,7 @@
 const ENTRIES = 9;
 
 describe("retries of all entries together", () => {
-  it("stay within the limit in every window, also when entries restart", () => {
+  it("stay within the limit in every window, even when entries restart", () => {
     const random = new RandomSource(7);
     const create = () => {
       const budgets = new PoolRetryBudgets(LIMITS);
@@ -18,7 +18,7 @@
     const requests: number[] = [];
     const retries: number[] = [];
     for (let now = 0; now < 60_000; now += 20) {
-      // Half of the entries end once, and forget what they have spent.
+      // Almost half of the entries restart once, and forget which retries they have made.
       if (now === 30_000) {
         entries.splice(0, 4, ...Array.from({ length: 4 }, create));
       }
@@ -31,7 +31,7 @@
       const allowed = LIMITS.share * inWindow(requests) + LIMITS.slack;
       assert.ok(inWindow(retries) <= allowed, `At ${now}`);
     }
-    assert.ok(retries.length > 300, "The limit must not be far from used");
+    assert.ok(retries.length > 300, "Most of the limit should be used");
   });
 
   it("are unlimited without limits", () => {
--- a/src/policy/prefix_index.ts
+++ b/src/policy/prefix_index.ts
@@ -1,31 +1,31 @@
 /**
- * Remembers which target last saw which prompt prefix. Only our own sendings
- * are counted: the engines' cache events come late and with gaps.
+ * Tracks which target last received which prompt prefix. Only requests sent by this entry
+ * are tracked, as the engines' cache events are late and incomplete.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** Bytes of a prompt that make one block. */
+/** Bytes of a prompt block. */
 const BLOCK_BYTES = 1024;
-/** Blocks of one prompt that are looked at. */
+/** Maximum number of blocks of one prompt that are hashed. */
 const MAX_BLOCKS = 64;
-/** Blocks that are remembered; the ones unused for longest are forgotten. */
+/** Maximum number of blocks in the index; the least recently used ones are evicted. */
 const MAX_ENTRIES = 20_000;
 const HASH_CHARACTERS = 16;
 
-/** Remembers which target last saw which prompt prefix. */
+/** Tracks which target last received which prompt prefix. */
 export class PrefixIndex {
   readonly #limit: number;
   /** Target by block, in order of last use. */
   readonly #targetByBlock = new Map<string, string>();
 
-  /** Remembers up to `limit` blocks. */
+  /** Holds up to `limit` blocks. */
   constructor(limit: number = MAX_ENTRIES) {
     this.#limit = limit;
   }
 
-  /** A prompt with these blocks was sent to a target. */
+  /** Records that a prompt with these blocks was sent to a target. */
   remember(blocks: readonly string[], targetName: string): void {
     for (const block of blocks) {
       this.#targetByBlock.delete(block);
@@ -34,7 +34,10 @@
     while (this.#targetByBlock.size > this.#limit) this.#forgetOldest();
   }
 
-  /** Leading blocks that each target is thought to have in its cache. */
+  /**
+   * Returns the number of leading blocks that each target is assumed to have in its
+   * cache.
+   */
   cachedBlocks(blocks: readonly string[]): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     for (const [index, block] of blocks.entries()) {
@@ -45,7 +48,7 @@
     return counts;
   }
 
-  /** The target has lost its cache, or may have. */
+  /** Removes a target that has lost its cache, or may have. */
   forgetTarget(targetName: string): void {
     for (const [block, name] of this.#targetByBlock) {
       if (name === targetName) this.#targetByBlock.delete(block);
@@ -59,8 +62,8 @@
 }
 
 /**
- * Hashes of a prompt's whole blocks, each over all that comes before it too,
- * so that equal hashes mean equal prefixes.
+ * Hashes a prompt's complete blocks. Each hash includes all preceding blocks, so that
+ * equal hashes mean equal prefixes.
  *
  * @example
  * ```ts
--- a/src/policy/retry_budget.ts
+++ b/src/policy/retry_budget.ts
@@ -1,38 +1,38 @@
 /**
- * Keeps retries to a share of the requests, so that a target that fails
- * everything does not double the load.
+ * Limits retries to a share of the requests, so that a target that fails every request
+ * does not double the load.
  *
  * @module
  */
 
-/** Retries that a service with little traffic may still make. */
+/** Retries that are allowed regardless of traffic. */
 const SPARE_RETRIES = 2;
-/** Requests over which the share is counted; older ones are forgotten. */
+/** Number of requests over which the share is computed; older ones have no effect. */
 const WINDOW_REQUESTS = 1000;
 
-/** Counts requests and lets a share of them be retried. */
+/** Counts requests and allows a share of them to be retried. */
 export class RetryBudget {
   #share: number;
   #credit = SPARE_RETRIES;
 
-  /** `share` is retries over requests, from 0 to 1. */
+  /** `share` is the ratio of retries to requests, from 0 to 1. */
   constructor(share: number) {
     this.#share = share;
   }
 
-  /** Changes the share. */
+  /** Replaces the share. */
   setShare(share: number): void {
     this.#share = share;
   }
 
-  /** A first attempt was made. */
+  /** Records a first attempt. */
   countRequest(): void {
     const limit = SPARE_RETRIES + WINDOW_REQUESTS * this.#share;
     this.#credit = Math.min(limit, this.#credit + this.#share);
   }
 
   /**
-   * Takes the right to one retry.
+   * Takes the permission for one retry if the budget allows it.
    *
    * @example
    * ```ts
--- a/src/policy/return_time.ts
+++ b/src/policy/return_time.ts
@@ -1,25 +1,25 @@
 /**
- * How long a request may wait at an entry, and when the caller of a refused one
- * should come back.
+ * Determines how long a request may wait at an entry, and after which delay the caller of
+ * a refused request should retry.
  *
- * The pattern: everything that could serve a request is gone at once, for an unknown
- * time, and comes back at once; a rank group that lost a rank is the usual case.
- * Callers ask again once or twice, honour a given time up to a third of what their
- * deadline leaves, and give up on a connection that stays silent. Nobody knows the end
- * of the outage, so a request is served if some moment of it at an entry, from its
- * return to the end of its patience, falls after that end. The later it returns, the
- * longer the outages that it outlives: the longest time that callers honour reaches
- * outages that end up to a third of their deadline plus one wait later.
+ * In an outage everything that could serve a request is unavailable for an unknown time
+ * and comes back all at once, usually because a rank group lost a rank. Callers retry
+ * once or twice, honour a retry delay up to a third of their remaining deadline, and give
+ * up on a silent connection. The end of the outage is unknown, so a request is served if
+ * some moment at which it waits at an entry falls after that end. The later it is
+ * retried, the longer the outages that it survives: with the longest delay that callers
+ * honour, it survives outages that end up to a third of its deadline plus one wait after
+ * its arrival.
  *
- * A first attempt is refused at once while something that the work needs is known to be
- * gone, so that its caller has the whole of that time; one that came back has no better
- * choice than to wait. Callers arrive over time and are all sent away for as long, so they
- * return over time, too, and no two entries have to agree on who returns when.
+ * While something that the work needs is known to be lost, a first attempt is refused
+ * immediately, so that its caller has all of that time, and a retried request waits, as
+ * it will not be retried again. Callers arrive over time and all get the same delay, so
+ * their retries are spread over time, too, without coordination between entries.
  *
- * While nothing is known to be gone, the work may go on at any moment: at the beginning of
- * an outage, before anybody knows what was lost, and at its end, when all that was lost is
- * back. Then a first attempt waits, too, as long as its caller bears silence. Whoever
- * arrives early returns later for it, and whoever arrives late is served as it ends.
+ * While nothing is known to be lost, work may resume at any moment: at the beginning of
+ * an outage, before the loss is detected, and at its end, when everything is back. A
+ * first attempt then waits, too, for as long as its caller tolerates silence. Early
+ * arrivals are thus retried later, and late arrivals are served as the outage ends.
  */
 import { ASK_LIMIT_MS } from "./send_permits.ts";
 
@@ -27,57 +27,57 @@
 export type Obstacle =
   /** All targets that could serve it are known to be lost, for an unknown time. */
   | "outage"
-  /** All targets that could serve it stand still, and none is known to be lost. */
+  /** All targets that could serve it are frozen, and none is known to be lost. */
   | "stall"
-  /** No target is listed now; lists change within a second. */
+  /** No target is listed; lists change within a second. */
   | "absence"
-  /** Operators drain all targets that could serve it, for as long as they like. */
+  /** Operators drain all targets that could serve it, for an unlimited time. */
   | "drain"
   /** Targets have as much work as they can finish in time. */
   | "overload"
-  /** All targets that could serve it have named limits, and take no more now. */
+  /** All targets that could serve it have announced limits, which are used up. */
   | "limit"
-  /** All targets that could serve it asked for a backoff, whose end is known. */
+  /** All targets that could serve it have requested a backoff with a known end. */
   | "backoff"
-  /** Only one target is known that may run it, and it is not reached. */
+  /** Only one known target may run it, and that target is unreachable. */
   | "owner_away";
 
-/** What is known of a request that cannot be sent to a target now. */
+/** The properties of a request that cannot be sent to a target now. */
 export interface ReturnFacts {
   readonly obstacle: Obstacle;
-  /** Whether its caller was refused before, so that it asks no more. */
+  /** Whether its caller was refused before, and so will not retry again. */
   readonly isRepeated: boolean;
-  /** Milliseconds after which a target may take it, where that is known. */
+  /** Milliseconds after which a target may accept it, if known. */
   readonly freeInMs?: number;
   /** Milliseconds until its deadline. */
   readonly leftMs: number;
-  /** Milliseconds in which its answer should begin. */
+  /** Milliseconds within which its answer should begin. */
   readonly objectiveMs: number;
 }
 
 /**
- * Part of the objective for which a request that comes first waits for a place: a
- * caller that is refused early enough can still be served in time elsewhere.
+ * Fraction of the objective for which a first attempt waits for a free slot. A caller
+ * that is refused early enough can still be served in time elsewhere.
  */
 const FIRST_WAIT_PART = 0.2;
 /**
- * Milliseconds for which a request waits in silence. Callers leave a silent connection
- * after two seconds, and the first piece of an answer takes up to three tenths of one.
+ * Milliseconds for which a request waits silently. Callers give up on a silent connection
+ * after two seconds, and the first piece of an answer takes up to 0.3 s.
  */
 const SILENT_WAIT_MS = 1700;
-/** Part of the time left up to which callers honour the time that they are given. */
+/** Fraction of the remaining time up to which callers honour a retry delay. */
 const HONOURED_PART = 1 / 3;
 /**
- * Milliseconds kept free below that part: the caller's own clock runs since it sent the
- * request, and counts the way there and back.
+ * Milliseconds subtracted from that fraction: the caller measures the remaining time from
+ * when it sent the request, including the round trip.
  */
 const HONOURED_MARGIN_MS = 60;
-/** Milliseconds after which a place among many is free again, as work ends. */
+/** Milliseconds after which one of many slots is free again, as work ends. */
 const OVERLOAD_RETURN_MS = 1000;
 
 /**
- * Milliseconds for which the request may wait here for a target; 0: it is refused at
- * once.
+ * Returns the milliseconds for which the request may wait here for a target; 0 if it is
+ * refused immediately.
  *
  * @example
  * ```ts
@@ -94,18 +94,18 @@
   const isFutile = facts.obstacle === "owner_away" ||
     facts.obstacle === "drain";
   if (isFutile) return 0;
-  // It waits for the answer of an entry that was asked for a permit, not for a target.
+  // The request waits for another entry's response to a permit request, not for a target.
   if (facts.obstacle === "limit") return Math.min(facts.leftMs, ASK_LIMIT_MS);
   const mayBeServedSoon = facts.isRepeated || facts.obstacle === "stall";
   if (mayBeServedSoon) return Math.min(facts.leftMs, SILENT_WAIT_MS);
-  // What waits for the end of an outage takes the places of those that come after,
-  // and leaves its caller less time to come back later.
+  // A first attempt that waits for the end of an outage takes the slots of later ones and
+  // leaves its caller less time for a retry.
   if (facts.obstacle === "outage") return 0;
   return Math.min(facts.leftMs, FIRST_WAIT_PART * facts.objectiveMs);
 }
 
 /**
- * The longest time to come back that callers honour, with so many milliseconds left.
+ * Returns the longest retry delay that callers honour with `leftMs` milliseconds left.
  *
  * @example
  * ```ts
@@ -117,7 +117,7 @@
 }
 
 /**
- * Milliseconds after which the caller of a refused request should come back.
+ * Returns the milliseconds after which the caller of a refused request should retry.
  *
  * @example
  * ```ts
@@ -131,7 +131,7 @@
  * ```
  */
 export function getReturnMs(facts: ReturnFacts): number {
-  // The end is known: nothing is gained by a return before it, however long that is.
+  // The end is known, so an earlier retry has no benefit, however long the backoff is.
   if (facts.obstacle === "backoff" && facts.freeInMs !== undefined) {
     return facts.freeInMs;
   }
--- a/src/policy/return_time_test.ts
+++ b/src/policy/return_time_test.ts
@@ -8,11 +8,11 @@
 
 const DEADLINE_MS = 8000;
 const OBJECTIVE_MS = 400;
-/** From when all that was gone is listed again until the outage ends. */
+/** Milliseconds from when all lost targets are listed again to the end of the outage. */
 const FORMING_MS = 600;
-/** Milliseconds after which a machine that is silent is known to be gone. */
+/** Milliseconds after which a silent VM is known to be lost. */
 const KNOWN_AFTER_MS = 3600;
-/** Requests of the load, one each so many milliseconds. */
+/** Milliseconds between two requests of the load. */
 const BETWEEN_MS = 20;
 
 function createFacts(changes: Partial<ReturnFacts> = {}): ReturnFacts {
@@ -25,18 +25,18 @@
   };
 }
 
-/** How callers behave that are refused. */
+/** Whether refused callers honour the retry delay. */
 type CallerKind = "honours" | "ignores";
 
 interface OutageLoad {
-  /** When the outage ends that begins at 0. */
+  /** End of the outage that begins at 0. */
   readonly endsAt: number;
-  /** From when on it is known what is gone. */
+  /** When the loss is detected. */
   readonly knownAt: number;
-  /** Requests that arrive from 0 on, until then. */
+  /** Time of the last arrival; requests arrive from 0 on. */
   readonly untilMs: number;
   readonly callers: CallerKind;
-  /** When a second outage begins and ends, if there is one. */
+  /** Start and end of a second outage, if there is one. */
   readonly second?: readonly [startsAt: number, endsAt: number];
 }
 
@@ -54,8 +54,8 @@
 }
 
 /**
- * Part of the requests of an outage that finds the pool open at its first try, at its
- * return, or while it waits.
+ * Returns the fraction of the requests that find the pool available at the first attempt,
+ * at the retry, or while they wait.
  */
 function playOutage(load: OutageLoad): number {
   let asked = 0;
@@ -68,7 +68,7 @@
 }
 
 function isServed(load: OutageLoad, arrival: number): boolean {
-  // What is gone is known after a while, and so is that all is back.
+  // Both the loss and the recovery of targets are detected with a delay.
   const isKnown = arrival >= load.knownAt && arrival < load.endsAt - FORMING_MS;
   const first = createFacts({ obstacle: isKnown ? "outage" : "stall" });
   const firstWait = getLongestWaitMs(first);
@@ -97,16 +97,16 @@
   return at < endsAt || isSecond;
 }
 
-describe("requests of an outage", () => {
-  it("of six seconds are served but for those of its first part", () => {
+describe("requests during an outage", () => {
+  it("of six seconds are served except in its first part", () => {
     const load = createLoad(6000);
-    // Until 5.4 s before the end nobody who honours the time can be served.
+    // Up to 5.4 s before the end no caller that honours the delay can be served.
     assert.ok(playOutage(load) >= 0.9);
   });
 
-  it("are served but for more of its first part where what is gone is known at once", () => {
+  it("are lost in a longer first part if the loss is detected immediately", () => {
     const load = createLoad(6000, { knownAt: 0 });
-    // Until 4.3 s before the end.
+    // Up to 4.3 s before the end.
     assert.ok(playOutage(load) >= 0.71);
   });
 
@@ -116,7 +116,7 @@
     }
   });
 
-  it("are served in part when callers come back at once", () => {
+  it("are partly served if callers retry immediately", () => {
     const load = createLoad(6000, { callers: "ignores" });
     assert.ok(playOutage(load) >= 0.28);
   });
@@ -126,7 +126,7 @@
     assert.equal(playOutage(load), 1);
   });
 
-  it("return over as much time as they arrived in", () => {
+  it("are retried at the rate of their arrival", () => {
     const returns = [0, 1000, 2000].map((arrival) =>
       arrival + getReturnMs(createFacts())
     );
@@ -139,8 +139,8 @@
   });
 });
 
-describe("requests that may come back", () => {
-  it("are never given more than callers honour", () => {
+describe("requests that may be retried", () => {
+  it("get no longer retry delay than callers honour", () => {
     for (const leftMs of [50, 400, 3000, DEADLINE_MS]) {
       for (const obstacle of ["outage", "absence", "overload"] as const) {
         const returnMs = getReturnMs(createFacts({ leftMs, obstacle }));
@@ -154,12 +154,12 @@
     assert.equal(getLongestWaitMs(facts), 300);
   });
 
-  it("come first and meet a full pool wait a fifth of their objective", () => {
+  it("wait for a fifth of their objective on the first attempt at a full pool", () => {
     const facts = createFacts({ obstacle: "overload" });
     assert.equal(getLongestWaitMs(facts), 80);
   });
 
-  it("are refused at once where only one target may run them", () => {
+  it("are refused immediately if only one target may run them", () => {
     for (const isRepeated of [true, false]) {
       const facts = createFacts({ obstacle: "owner_away", isRepeated });
       assert.equal(getLongestWaitMs(facts), 0);
--- a/src/policy/send_limits.ts
+++ b/src/policy/send_limits.ts
@@ -1,37 +1,40 @@
 /**
- * The limits on what all entries together send a target, from every source of them.
+ * Combines the limits on what all entries together send to a target.
  *
  * @module
  */
 import type { TargetLimits } from "./target_limits.ts";
 import type { WarmUpLimits } from "./warm_up_limits.ts";
 
-/** What all entries together may send a target. */
+/** A limit on what all entries together send to a target. */
 export interface SendLimit {
   /** Requests a second. */
   readonly perSecond: number;
   /**
-   * Whether the target warms up, so that what it gets is bounded in any span of one
-   * second; limits that targets name are bounded in spans of some seconds.
+   * Whether the target warms up. Its requests are then limited in every span of one
+   * second; limits that targets announce apply to spans of some seconds.
    */
   readonly isWarmUp: boolean;
 }
 
-/** The limits on what all entries together send a target. */
+/** The limits on what all entries together send to each target. */
 export abstract class SendLimits {
-  /** Whether no target has a limit now. */
+  /** Whether no target has a limit. */
   abstract get isEmpty(): boolean;
 
-  /** What a target may be sent; undefined: it has no limit. */
+  /** Returns the limit of a target; undefined if it has none. */
   abstract tryGet(target: string): SendLimit | undefined;
 }
 
-/** Combines limits that targets name with those of targets that warm up; the lower holds. */
+/**
+ * Combines the limits that targets announce with those of targets that warm up; the lower
+ * one applies.
+ */
 export class CombinedLimits extends SendLimits {
   readonly #named: TargetLimits;
   readonly #warmUp: WarmUpLimits;
 
-  /** Reads both whenever it is asked. */
+  /** Reads both sources on each call. */
   constructor(named: TargetLimits, warmUp: WarmUpLimits) {
     super();
     this.#named = named;
--- a/src/policy/send_permits.ts
+++ b/src/policy/send_permits.ts
@@ -1,19 +1,21 @@
 /**
- * Who may send to a target that has a limit: one that it has named, or that holds while it
- * warms up.
+ * Decides which entry may send to a target that has a limit: one that the target has
+ * announced, or one that applies while it warms up.
  *
- * The pattern: a server in need takes few requests a second from a whole fleet of entries,
- * often fewer than there are entries. An entry's share by itself is then far below one
- * request, and what each lets through alone adds up to many times the limit.
+ * An overloaded target accepts few requests a second from all entries together, often
+ * fewer than there are entries. The share of one entry is then far below one request, and
+ * entries that each apply the limit alone would exceed it many times over.
  *
- * So for each target one entry gives permits out of one token bucket: the first by the hash
- * of target and entry, which every entry finds from the list of entries by itself. It needs
- * no permit, and sends the target what comes to it. Others leave the target to it while they
- * have other targets; without one they ask it for permits, which soon end by themselves.
+ * So one entry for each target issues permits from a token bucket: the first by the hash
+ * of target and entry, which every entry computes from the list of entries. This primary
+ * issuer needs no permits itself. Other entries avoid the target while they can use
+ * others; otherwise they request permits from the issuer, which expire after a short
+ * time.
  *
- * Lists differ for a while as entries come and go, and the first may not be reached. The
- * second then gives permits, and so does a new first one until the old one has heard of it,
- * both at a part of the limit that the target can bear beside the whole of it.
+ * Lists of entries differ for a while after an entry joins or leaves, and the primary
+ * issuer may be unreachable. A secondary issuer then issues permits, and so does a new
+ * primary issuer until the old one has received the new list, both at a share of the
+ * limit that the target can take in addition to the whole limit.
  *
  * @module
  */
@@ -22,65 +24,69 @@
 import type { SendLimits } from "./send_limits.ts";
 import { TokenBucket } from "./token_bucket.ts";
 
-/** Milliseconds after which an entry that was asked is taken for unreachable. */
+/** Milliseconds after which an unanswered permit request counts as failed. */
 export const ASK_LIMIT_MS = 300;
-/** Milliseconds for which one that could not be asked is passed over. */
+/** Milliseconds for which an unreachable issuer is skipped. */
 const UNREACHABLE_MS = 2000;
-/** Milliseconds until all entries know that one has come or gone. */
+/** Milliseconds until all entries know that an entry has joined or left. */
 const SETTLED_AFTER_MS = 5000;
-/** Part of a limit that is given beside the entry that gives the whole. */
+/** Share of the limit issued in addition by a secondary or a new primary issuer. */
 const DEPUTY_PART = 0.25;
-/** Milliseconds after which the first entry sends to a target before all others. */
+/**
+ * Milliseconds after its last request to a target from which on the primary issuer
+ * prefers that target for the next one.
+ */
 const PROBE_AFTER_MS = 1000;
-/** Milliseconds between two questions for permits ahead of need. */
+/** Milliseconds between two permit requests ahead of need. */
 const AHEAD_MS = 200;
 /**
- * Entries ranked at one moment for targets that warm up, at most; one target is always
- * ranked. A rank takes some 3 us, and a failure domain's targets may come back together.
+ * Maximum number of entries ranked at one moment for targets that warm up; one target is
+ * always ranked. Ranking an entry takes about 3 us, and the targets of a failure domain
+ * may all come back together.
  */
 const MOST_RANKED = 1024;
-/** Permits asked for at once, at most. */
+/** Maximum number of permits in one request. */
 const MOST_ASKED = 8;
-/** Milliseconds in which those who were sent away count as a queue. */
+/** Milliseconds for which a denied request counts as waiting for a permit. */
 const QUEUE_MS = 1000;
-/** Bounds of the time after which one that got no permit may ask again, in milliseconds. */
+/** Bounds, in milliseconds, of the delay after which a denied entry may request again. */
 const SHORTEST_WAIT_MS = 20;
 const LONGEST_WAIT_MS = 10_000;
 
-/** Asks an entry for permits. */
+/** A request to another entry for permits. */
 export interface PermitQuestion {
   readonly target: string;
-  /** The entry that is asked. */
+  /** The entry that receives the request. */
   readonly entry: string;
   readonly count: number;
 }
 
-/** What an entry that was asked gives. */
+/** The response of an issuer. */
 export interface PermitAnswer {
   readonly granted: number;
-  /** Milliseconds after which asking again makes sense, where none was given. */
+  /** Milliseconds after which another request may succeed, if none was granted. */
   readonly waitMs: number;
 }
 
-/** What became of a question. */
+/** The outcome of a permit request. */
 export interface PermitOutcome {
   readonly target: string;
   readonly entry: string;
-  /** When it was asked, in milliseconds. */
+  /** When the request was sent, in milliseconds. */
   readonly askedAt: number;
-  /** Undefined where no answer came. */
+  /** Undefined if no response arrived. */
   readonly answer: PermitAnswer | undefined;
 }
 
 /** How a request may get a permit. */
 export type PermitPlan =
   | { readonly kind: "ask"; readonly question: PermitQuestion }
-  /** An answer is on its way. */
+  /** A response is pending. */
   | { readonly kind: "pending" }
-  /** No target has any before so many milliseconds. */
+  /** No target has a permit available for this many milliseconds. */
   | { readonly kind: "none"; readonly freeInMs: number };
 
-/** The entries that give permits for a target, the first one first. */
+/** The entries that issue permits for a target. */
 interface Givers {
   readonly first: string | undefined;
   readonly second: string | undefined;
@@ -88,21 +94,21 @@
 
 interface TargetState {
   givers: Givers;
-  /** Since when this entry is the first, in milliseconds. */
+  /** Since when this entry is the primary issuer, in milliseconds. */
   firstSince: number;
   readonly bucket: TokenBucket;
-  /** Until when each permit of this entry holds. */
+  /** Expiry times of the permits that this entry holds. */
   permits: number[];
   isAsking: boolean;
   askedAt: number;
-  /** Before this it makes no sense to ask. */
+  /** Time before which permits are not requested, in milliseconds. */
   deniedUntil: number;
   sentAt: number;
-  /** When others were last sent away without a permit. */
+  /** Times at which requests of others were recently denied. */
   sentAway: number[];
 }
 
-/** Who may send to targets that have limits. */
+/** Decides which entry may send to targets that have limits. */
 export class SendPermits {
   readonly #self: string;
   readonly #limits: SendLimits;
@@ -113,13 +119,16 @@
   #rankedAt = Number.NEGATIVE_INFINITY;
   #ranked = 0;
 
-  /** Begins without a list of entries, so that this one may send to no such target. */
+  /**
+   * Starts without a list of entries; until there is one, targets with a limit are not
+   * used.
+   */
   constructor(self: string, limits: SendLimits) {
     this.#self = self;
     this.#limits = limits;
   }
 
-  /** The names of all entries, this one included. */
+  /** Sets the names of all entries, including this one. */
   setEntries(entries: readonly string[], now: number): void {
     const isSame = entries.length === this.#entries.length &&
       entries.every((entry) => this.#entries.includes(entry));
@@ -134,7 +143,7 @@
   }
 
   /**
-   * Whether a target may be sent a request now.
+   * Whether a request may be sent to a target now.
    *
    * @example
    * ```ts
@@ -150,7 +159,7 @@
     return this.#mayUseBucket(state, now) && state.bucket.getWaitMs(now) === 0;
   }
 
-  /** A request goes to a target that may be sent one. */
+  /** Records that a request is sent to a target that {@link maySend} allowed. */
   noteSent(target: string, now: number): void {
     if (this.#limits.tryGet(target) === undefined) return;
     const state = this.#stateOf(target, now);
@@ -160,25 +169,29 @@
     else state.bucket.tryTake(now);
   }
 
-  /** Whether a target should be sent the next request, so that its next word is heard. */
+  /**
+   * Whether the next request should go to this target so that its current limit is
+   * learned.
+   */
   isDue(target: string, now: number): boolean {
     const limit = this.#limits.tryGet(target);
-    // Lists say when a target has warmed up; only named limits end by an answer.
+    // Lists report when a target has warmed up; only announced limits end by an answer.
     if (limit === undefined || limit.isWarmUp) return false;
     const state = this.#stateOf(target, now);
     return state.givers.first === this.#self &&
       now - state.sentAt >= PROBE_AFTER_MS && this.maySend(target, now);
   }
 
-  /** Whether this entry is the first that gives permits for a target. */
+  /** Whether this entry is the primary issuer for a target. */
   isFirstOf(target: string): boolean {
     return findGivers(target, this.#entries).first === this.#self;
   }
 
-  /** Another entry asks for permits. */
+  /** Issues permits that another entry requests. */
   give(target: string, count: number, now: number): PermitAnswer {
     const wait = { granted: 0, waitMs: SHORTEST_WAIT_MS };
-    // One that has not heard of the limit yet, or has heard of its end, is told soon.
+    // The other entry's state differs from this one's for a short time, so it may retry
+    // soon.
     if (this.#limits.tryGet(target) === undefined) return wait;
     const state = this.#stateOf(target, now);
     if (!this.#isGiver(state)) return wait;
@@ -189,8 +202,9 @@
   }
 
   /**
-   * Whom to ask for some requests that may go to any of these targets, all limited. A
-   * plan to ask is carried out by the caller, which tells the outcome to {@link noteOutcome}.
+   * Plans how to get permits for `count` requests that may go to any of these targets,
+   * all of which have limits. The caller sends a planned request and reports its outcome
+   * to {@link noteOutcome}.
    */
   plan(
     targets: readonly string[],
@@ -208,13 +222,15 @@
   }
 
   /**
-   * Whom to ask for permits ahead of need: where a limit is high, each entry has a share of
-   * some requests a second, and the target would miss those of all but one.
+   * Plans a permit request ahead of need. If the limit is high, each entry's share is
+   * some requests a second, which the target would miss if only the primary issuer sent
+   * to it.
    */
   tryPlanAhead(target: string, now: number): PermitQuestion | undefined {
     const limit = this.#limits.tryGet(target);
     const share = (limit?.perSecond ?? 0) / Math.max(1, this.#entries.length);
-    // With less than one request in its lifetime a permit asked for ahead would expire unused.
+    // If the share is less than one request per permit lifetime, a prefetched permit
+    // would expire unused.
     if (share * getPermitMs(limit) < 1000) return undefined;
     if (this.maySend(target, now)) return undefined;
     const state = this.#stateOf(target, now);
@@ -222,7 +238,7 @@
     return this.#tryAsk(target, Math.ceil(share * AHEAD_MS / 1000), now);
   }
 
-  /** What became of a question. */
+  /** Records the outcome of a permit request. */
   noteOutcome(
     { target, entry, askedAt, answer }: PermitOutcome,
     now: number,
@@ -242,7 +258,7 @@
     if (answer.granted === 0) state.deniedUntil = now + answer.waitMs;
   }
 
-  /** Targets without a limit need no state. */
+  /** Removes the state of targets that no longer have a limit. */
   forgetUnlimited(): void {
     for (const target of this.#states.keys()) {
       if (this.#limits.tryGet(target) === undefined) {
@@ -260,7 +276,7 @@
     return state;
   }
 
-  /** Whether the entries that give permits for a target are known, or may be found now. */
+  /** Whether the issuers for a target are known, or may be computed now. */
   #mayRank(target: string, now: number): boolean {
     if (this.#states.has(target)) return true;
     if (now > this.#rankedAt) this.#ranked = 0;
@@ -285,7 +301,7 @@
     };
   }
 
-  /** Part of a target's limit that this entry gives. */
+  /** Returns the share of a target's limit that this entry issues. */
   #partOf({ givers, firstSince }: TargetState, now: number): number {
     const isSettled = now - firstSince >= SETTLED_AFTER_MS;
     if (givers.first === this.#self) return isSettled ? 1 : DEPUTY_PART;
@@ -301,7 +317,7 @@
     return this.#giverOf(state, now) === this.#self;
   }
 
-  /** The entry to ask; undefined while none can be reached. */
+  /** Returns the issuer to use; undefined if none is reachable. */
   #giverOf({ givers }: TargetState, now: number): string | undefined {
     return [givers.first, givers.second].find((entry) =>
       entry !== undefined &&
@@ -335,7 +351,10 @@
     return boundWait(bucket.getWaitMs(now));
   }
 
-  /** Milliseconds until one that is sent away may be let through, after those before it. */
+  /**
+   * Records a denied request; returns the milliseconds until one may succeed after those
+   * denied before it.
+   */
   #sendAway(state: TargetState, now: number): number {
     state.sentAway = state.sentAway.filter((at) => now - at < QUEUE_MS);
     const waitMs = state.bucket.getWaitMs(now) * (1 + state.sentAway.length);
--- a/src/policy/send_permits_test.ts
+++ b/src/policy/send_permits_test.ts
@@ -1,6 +1,6 @@
 /**
- * The pattern that these tests tell of: entries share what a target in need takes, while their
- * lists of each other differ and some of them do not answer.
+ * Guards against exceeding or wasting the limit of an overloaded target while entries
+ * have different lists of each other and some of them do not respond.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -16,15 +16,17 @@
 import { WarmUpLimits } from "./warm_up_limits.ts";
 
 const TARGET = "i-1";
-/** Well after the list of entries was heard. */
+/** A time long after the list of entries was received. */
 const SETTLED = 60_000;
 
-/** Limits that targets name, while none is cold. */
+/**
+ * Combines announced limits with those of warming-up targets, of which there are none.
+ */
 function combine(limits: TargetLimits): SendLimits {
   return new CombinedLimits(limits, new WarmUpLimits());
 }
 
-/** Entries that know each other, and the limit of a target. */
+/** Entries that know each other and the limit of a target. */
 class Fleet {
   readonly names: readonly string[];
   readonly permits = new Map<string, SendPermits>();
@@ -60,7 +62,7 @@
   return (plan as Extract<PermitPlan, { readonly kind: "ask" }>).question;
 }
 
-/** How many an entry gives, or sends, within some milliseconds. */
+/** Counts the permits that an entry issues within `forMs`. */
 function countGiven(permits: SendPermits, forMs: number): number {
   let given = 0;
   for (let now = SETTLED; now < SETTLED + forMs; now += 10) {
@@ -69,8 +71,8 @@
   return given;
 }
 
-describe("permits for a target that has named a limit", () => {
-  it("come from one entry, which needs none itself", () => {
+describe("permits for a target that has announced a limit", () => {
+  it("are issued by one entry, which needs none itself", () => {
     const fleet = new Fleet(41);
     const firsts = fleet.names.filter((name) =>
       fleet.permits.get(name)?.isFirstOf(TARGET)
@@ -81,12 +83,12 @@
     assert.ok(fleet.other.maySend("without a limit", SETTLED));
   });
 
-  it("are as many as the target takes", () => {
+  it("are issued at the rate of the limit", () => {
     assert.equal(countGiven(new Fleet(41, 1).first, 10_000), 10);
     assert.equal(countGiven(new Fleet(41, 0.5).first, 10_000), 5);
   });
 
-  it("are taken out of the same bucket by the entry that gives them", () => {
+  it("are taken from the same bucket as the issuer's own requests", () => {
     const { first } = new Fleet(3, 1);
     first.noteSent(TARGET, SETTLED);
     assert.equal(first.give(TARGET, 1, SETTLED).granted, 0);
@@ -94,7 +96,7 @@
     assert.ok(!first.maySend(TARGET, SETTLED + 1000));
   });
 
-  it("let one request through each, and end by themselves", () => {
+  it("allow one request each, and expire", () => {
     const { other } = new Fleet(3);
     const { entry } = questionOf(other.plan([TARGET], 2, SETTLED));
     const answer = { granted: 2, waitMs: 0 };
@@ -105,7 +107,7 @@
     assert.ok(!other.maySend(TARGET, SETTLED + PERMIT_MS));
   });
 
-  it("are asked for once at a time, and not again before they can be had", () => {
+  it("are requested once at a time, and not again before they can be available", () => {
     const { other } = new Fleet(3);
     const { entry } = questionOf(other.plan([TARGET], 1, SETTLED));
     assert.equal(other.plan([TARGET], 1, SETTLED).kind, "pending");
@@ -119,14 +121,14 @@
     questionOf(other.plan([TARGET], 1, SETTLED + 800));
   });
 
-  it("say to those who are sent away when those before them are through", () => {
+  it("make denied entries wait until those before them have been served", () => {
     const { first } = new Fleet(41, 1);
     first.give(TARGET, 1, SETTLED);
     const waits = [1, 2, 3].map(() => first.give(TARGET, 1, SETTLED).waitMs);
     assert.deepEqual(waits, [1000, 2000, 3000]);
   });
 
-  it("are asked of a second entry while the first does not answer", () => {
+  it("are requested from the secondary issuer while the primary one does not respond", () => {
     const { other } = new Fleet(41);
     const { entry } = questionOf(other.plan([TARGET], 1, SETTLED));
     const unanswered = { target: TARGET, entry, askedAt: SETTLED };
@@ -134,14 +136,15 @@
     other.noteOutcome({ ...unanswered, answer: undefined }, later);
     const second = questionOf(other.plan([TARGET], 1, later)).entry;
     assert.notEqual(second, entry);
-    // The target can bear what the second one gives beside the whole of the limit.
+    // The target can take what the secondary issuer issues in addition to the whole
+    // limit.
     const fleet = new Fleet(41, 20);
     const deputy = fleet.permits.get(second) as SendPermits;
     const given = countGiven(deputy, 4000);
     assert.ok(given > 0 && given <= 0.25 * 20 * 4 + 2, `${given}`);
   });
 
-  it("come from a new first entry at a part, until the one before has heard of it", () => {
+  it("are issued at a share by a new primary issuer until the old one has the new list", () => {
     const fleet = new Fleet(3, 20);
     const name = fleet.names.find((one) =>
       fleet.permits.get(one)?.isFirstOf(TARGET)
@@ -158,7 +161,7 @@
     assert.ok(soon <= 0.25 * 20 * 4 + 2, `${soon}`);
   });
 
-  it("are asked for ahead where each entry's share is a request a second", () => {
+  it("are requested ahead if each entry's share is a request a second", () => {
     assert.equal(
       new Fleet(3, 2).other.tryPlanAhead(TARGET, SETTLED),
       undefined,
@@ -167,18 +170,18 @@
     assert.equal(ahead?.count, 4);
   });
 
-  it("let some through where the target takes none, so that its end is heard", () => {
+  it("are issued at a low rate for a limit of 0, so that its end is detected", () => {
     const given = countGiven(new Fleet(3, 0).first, 20_000);
     assert.ok(given >= 1 && given <= 3, `${given}`);
   });
 
-  it("are not given by an entry that has not heard of the limit", () => {
+  it("are not issued by an entry that does not know the limit", () => {
     const permits = new SendPermits("entry-0", combine(new TargetLimits()));
     permits.setEntries(["entry-0"], 0);
     assert.equal(permits.give(TARGET, 1, SETTLED).granted, 0);
   });
 
-  it("are not to be had before the other entries are known", () => {
+  it("are not available before the other entries are known", () => {
     const limits = new TargetLimits();
     limits.note({ target: TARGET, perSecond: 9, sentAt: 0, now: 0 });
     const permits = new SendPermits("entry-0", combine(limits));
--- a/src/policy/target_backoffs.ts
+++ b/src/policy/target_backoffs.ts
@@ -1,43 +1,43 @@
 /**
- * The backoffs that targets ask this entry for.
+ * Tracks the backoffs that targets request from this entry.
  *
- * The pattern: a target in trouble refuses a request and names a time in which it wants
- * nothing from whoever sent it. Others may go on sending to it, so each entry keeps the backoffs
- * that it was told itself, and nobody else's.
+ * An overloaded target refuses a request and names a time for which the sender should
+ * send no more. Other entries may go on sending to it, so each entry only applies the
+ * backoffs requested from itself.
  *
- * A backoff is kept by the target's name and not with what else is known of the target, which
- * goes when the target drops out of a list for a moment. It runs on the monotonic clock, from
- * when it was heard. A later word prolongs it and never shortens it: the time that was asked
- * for first holds on. An answer of the target within the backoff does not end it, either, since
- * its request was sent before.
+ * A backoff is kept by the target's name and separately from the target's other state,
+ * which is removed when the target is missing from a list for a moment. It is timed on
+ * the monotonic clock from when it was received. A later request extends it but never
+ * shortens it. An answer of the target within the backoff does not end it, as its request
+ * was sent before.
  *
- * Once it is over the load comes back over time: other entries were told of backoffs that end
- * at about the same moment, and so were the callers that were sent away meanwhile.
+ * After the backoff the load returns gradually: other entries received backoffs that end
+ * at about the same moment, and so did the callers that were refused meanwhile.
  *
  * @module
  */
 
 /**
- * Longest backoff that one word can bring about, in milliseconds. A target that is in need for
- * longer says so again, and a mistaken word costs no target more than an hour.
+ * Maximum backoff of one request, in milliseconds. A target that is overloaded for longer
+ * requests another one, and a wrong value costs a target at most an hour.
  */
 export const LONGEST_BACKOFF_MS = 3_600_000;
-/** Longest time over which the load comes back, in milliseconds. */
+/** Maximum time over which the load returns after a backoff, in milliseconds. */
 const LONGEST_RETURN_MS = 3000;
 
-/** A word of a target that it wants nothing for a time. */
+/** A target's request to be sent nothing for a time. */
 export interface BackoffRequest {
   readonly target: string;
-  /** How long it asks for, in milliseconds. */
+  /** Requested duration in milliseconds. */
   readonly askedMs: number;
-  /** When that was heard, in milliseconds. */
+  /** When the request was received, in milliseconds. */
   readonly now: number;
 }
 
 /** A backoff of a target. */
 export interface Backoff {
   readonly target: string;
-  /** How long the target asked for, in milliseconds, with the word that holds. */
+  /** Duration in milliseconds named by the request that set the current end. */
   readonly askedMs: number;
   /** When it began, in milliseconds. */
   readonly since: number;
@@ -45,35 +45,38 @@
   readonly until: number;
 }
 
-/** A backoff that has ended, and a target whose load comes back. */
+/** The interval over which a target's load returns after a backoff. */
 interface Return {
   readonly since: number;
   readonly until: number;
 }
 
-/** The backoffs that targets ask this entry for. */
+/** Tracks the backoffs that targets request from this entry. */
 export class TargetBackoffs {
   readonly #active = new Map<string, Backoff>();
   readonly #returning = new Map<string, Return>();
   #count = 0;
 
-  /** Targets that are to be sent nothing, as of the last {@link takeEnded}. */
+  /** Number of targets in a backoff, as of the last {@link takeEnded}. */
   get size(): number {
     return this.#active.size;
   }
 
-  /** Whether no target is in a backoff or returns from one, as of the last {@link takeEnded}. */
+  /**
+   * Whether no target is in a backoff or ramping up after one, as of the last {@link
+   * takeEnded}.
+   */
   get isIdle(): boolean {
     return this.#active.size + this.#returning.size === 0;
   }
 
-  /** Backoffs that have begun, over the life of the process. */
+  /** Number of backoffs that have begun since the process started. */
   get count(): number {
     return this.#count;
   }
 
   /**
-   * A target asked for a backoff; returns it where it ends later than was known.
+   * Records a requested backoff; returns it if it ends later than the known one.
    *
    * @example
    * ```ts
@@ -91,13 +94,16 @@
     return backoff;
   }
 
-  /** Milliseconds for which a target is to be sent nothing; 0: it may be sent requests. */
+  /**
+   * Returns the milliseconds for which a target must not be sent requests; 0 if it may
+   * be.
+   */
   getRemainingMs(target: string, now: number): number {
     const active = this.#tryActive(target, now);
     return active === undefined ? 0 : active.until - now;
   }
 
-  /** Fraction of requests for which a target is a candidate, from 0 to 1. */
+  /** Returns the fraction of requests for which a target is a candidate, from 0 to 1. */
   getShare(target: string, now: number): number {
     if (this.#tryActive(target, now) !== undefined) return 0;
     const ended = this.#active.get(target);
@@ -109,7 +115,10 @@
     return Math.min(1, Math.max(0, (now - since) / (until - since)));
   }
 
-  /** Milliseconds over which the load of a target comes back once its backoff has ended. */
+  /**
+   * Returns the milliseconds over which a target's load returns once its backoff has
+   * ended.
+   */
   getReturnMs(target: string): number {
     const active = this.#active.get(target);
     if (active === undefined) return 0;
@@ -117,7 +126,7 @@
     return until - since;
   }
 
-  /** Time passed; returns the backoffs that have ended since the last time. */
+  /** Returns the backoffs that have ended since the last call. */
   takeEnded(now: number): readonly Backoff[] {
     for (const [target, { until }] of this.#returning) {
       if (until <= now) this.#returning.delete(target);
@@ -138,7 +147,7 @@
   }
 }
 
-/** The load comes back over as long as the backoff was. */
+/** The load returns over as long as the backoff lasted, up to the maximum. */
 function createReturn({ since, until }: Backoff): Return {
   const forMs = Math.min(until - since, LONGEST_RETURN_MS);
   return { since: until, until: until + forMs };
--- a/src/policy/target_backoffs_test.ts
+++ b/src/policy/target_backoffs_test.ts
@@ -1,6 +1,7 @@
 /**
- * The pattern that these tests tell of: a target in trouble asks for backoffs again and again,
- * with answers that come late or name other times.
+ * Guards against sending to a target within a backoff that it requested: an overloaded
+ * target requests backoffs repeatedly, in answers that arrive late or name different
+ * times.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -8,7 +9,7 @@
 
 const TARGET = "i-1";
 
-/** Backoffs asked for at some times, each given as when and for how long. */
+/** Records backoffs, each given as the time of its arrival and its duration. */
 function createBackoffs(
   ...asked: readonly (readonly [now: number, askedMs: number])[]
 ): TargetBackoffs {
@@ -19,33 +20,33 @@
   return backoffs;
 }
 
-describe("the backoff that a target asks for", () => {
-  it("lasts as long as it asked for, and concerns that target alone", () => {
+describe("the backoff that a target requests", () => {
+  it("lasts as long as requested, and applies to that target only", () => {
     const backoffs = createBackoffs([100, 3000]);
     assert.equal(backoffs.getRemainingMs(TARGET, 3099), 1);
     assert.equal(backoffs.getRemainingMs(TARGET, 3100), 0);
     assert.equal(backoffs.getRemainingMs("i-2", 100), 0);
   });
 
-  it("is prolonged and never shortened by a later word", () => {
+  it("is extended and never shortened by a later request", () => {
     const shorter = createBackoffs([0, 3000], [1000, 500]);
     assert.equal(shorter.getRemainingMs(TARGET, 1000), 2000);
     const longer = createBackoffs([0, 3000], [1000, 3000]);
     assert.equal(longer.getRemainingMs(TARGET, 1000), 3000);
   });
 
-  it("is none where no time is asked for", () => {
+  it("does not begin for a duration of 0", () => {
     const backoffs = createBackoffs([0, 0]);
     assert.equal(backoffs.getRemainingMs(TARGET, 0), 0);
     assert.equal(backoffs.count, 0);
   });
 
-  it("is bounded whatever one word says", () => {
+  it("is bounded whatever duration is requested", () => {
     const backoffs = createBackoffs([0, 999_999_999_000]);
     assert.equal(backoffs.getRemainingMs(TARGET, 0), LONGEST_BACKOFF_MS);
   });
 
-  it("is told once as it ends, and gives the load back over time", () => {
+  it("is returned once when it ends, and then lets the load return gradually", () => {
     const backoffs = createBackoffs([0, 2000]);
     assert.equal(backoffs.getShare(TARGET, 1999), 0);
     assert.deepEqual(backoffs.takeEnded(1999), []);
@@ -57,7 +58,7 @@
     assert.equal(backoffs.getShare(TARGET, 4000), 1);
   });
 
-  it("counts as one while it is prolonged", () => {
+  it("counts once while it is extended", () => {
     const backoffs = createBackoffs([0, 1000], [500, 1000], [1400, 1000]);
     assert.equal(backoffs.count, 1);
     assert.equal(backoffs.size, 1);
--- a/src/policy/target_choice.ts
+++ b/src/policy/target_choice.ts
@@ -6,25 +6,25 @@
 import type { RandomSource } from "../core/random_source.ts";
 import type { TargetView } from "./target_view.ts";
 
-/** What a choice is made for. */
+/** The conditions of a choice. */
 export interface ChoiceContext {
   readonly now: number;
   readonly failureDomain: string;
-  /** Blocks of the prompt that each target is thought to have in its cache. */
+  /** Blocks of the prompt that each target is assumed to have in its cache. */
   readonly cachedBlocks?: ReadonlyMap<string, number>;
   readonly promptBlocks?: number;
 }
 
-/** A way to choose among the targets that may serve a request. */
+/** A strategy that chooses among the targets that may serve a request. */
 export abstract class TargetChoice {
-  /** One of the candidates; undefined only if there is none. */
+  /** Returns one of the candidates; undefined only if there are none. */
   abstract tryChoose(
     candidates: readonly TargetView[],
     context: ChoiceContext,
   ): TargetView | undefined;
 }
 
-/** Takes the targets in turn, whatever their load. */
+/** Chooses the targets in turn, regardless of their load. */
 export class RoundRobinChoice extends TargetChoice {
   #next = 0;
 
@@ -36,7 +36,7 @@
   }
 }
 
-/** Takes the target that last reported the least load. */
+/** Chooses the target that last reported the least load. */
 export class LeastReportedChoice extends TargetChoice {
   override tryChoose(
     candidates: readonly TargetView[],
@@ -48,11 +48,11 @@
   }
 }
 
-/** Takes the better of two targets drawn at random. */
+/** Chooses the less loaded of two targets sampled at random. */
 export class TwoRandomChoice extends TargetChoice {
   readonly #random: RandomSource;
 
-  /** Draws from `random`. */
+  /** Uses `random` as the source of random numbers. */
   constructor(random: RandomSource) {
     super();
     this.#random = random;
@@ -68,23 +68,27 @@
   }
 }
 
-/** Knobs of the {@link ScoredChoice}. */
+/** Options of a {@link ScoredChoice}. All penalties and weights are in units of load. */
 export interface ScoredChoiceOptions {
-  /** Targets that are scored for each request. */
+  /** Number of targets sampled for each request. */
   readonly drawn: number;
-  /** Load that a target of another failure domain is thought to have more. */
+  /** Penalty of a target in another failure domain. */
   readonly domainPenalty: number;
-  /** Load that a share of failures of 1 counts for. */
+  /**
+   * Penalty of a target whose attempts all fail; it is proportional to the failure share.
+   */
   readonly failurePenalty: number;
-  /** Load that a prompt counts for whose blocks are all to be computed. */
+  /**
+   * Penalty of a prompt without cached blocks; it is proportional to the missing share.
+   */
   readonly prefixWeight: number;
-  /** Load that a new connection counts for. */
+  /** Penalty of a target to which a new connection is needed. */
   readonly connectPenalty: number;
-  /** Milliseconds without a first byte after which a target looks stuck. */
+  /** Milliseconds without a first byte after which a target counts as stuck. */
   readonly stuckAfterMs: number;
 }
 
-/** docs/DESIGN.md shows what they trade against each other. */
+/** See docs/DESIGN.md for the trade-offs between these values. */
 export const SCORED_CHOICE_DEFAULTS: ScoredChoiceOptions = {
   drawn: 2,
   domainPenalty: 0.25,
@@ -95,15 +99,15 @@
 };
 
 /**
- * Scores a few targets drawn at random, and the one with most of the prompt in
- * its cache: load, failures, slowness, silence, distance, blocks to compute and whether
- * a connection has to be made.
+ * Scores a few targets sampled at random, and the one with most of the prompt in its
+ * cache. The score combines load, failures, slowness, silence, failure domain, missing
+ * blocks and the cost of a new connection.
  */
 export class ScoredChoice extends TargetChoice {
   readonly #random: RandomSource;
   readonly #options: ScoredChoiceOptions;
 
-  /** Draws from `random`. */
+  /** Uses `random` as the source of random numbers. */
   constructor(
     random: RandomSource,
     options: ScoredChoiceOptions = SCORED_CHOICE_DEFAULTS,
@@ -118,7 +122,8 @@
     context: ChoiceContext,
   ): TargetView | undefined {
     const drawn = this.#draw(candidates);
-    // Those with an idle connection are few in a large pool, and seldom drawn by chance.
+    // Targets with an idle connection are rare in a large pool, so they are sampled
+    // separately.
     const connected = this.#draw(
       candidates.filter((view) => view.idleConnectionUntil > context.now),
     );
@@ -176,8 +181,9 @@
 }
 
 /**
- * Requests for each place of the back end: what the target reported, less what
- * was ours then, plus what is ours now. Our own count has no lag.
+ * Returns the estimated requests per slot of the back end: the load that the target
+ * reported without this entry's requests at that time, plus this entry's current
+ * requests, which are known without delay.
  */
 export function estimateLoad(view: TargetView): number {
   const others = Math.max(0, view.reportedLoad - view.ownInReport);
--- a/src/policy/target_limits.ts
+++ b/src/policy/target_limits.ts
@@ -1,83 +1,90 @@
 /**
- * The limits that targets in need name: the requests a second that one takes from all
- * entries together, for as long as its answers say so.
+ * Tracks the limits that overloaded targets announce: the requests a second that a target
+ * accepts from all entries together, for as long as its answers say so.
  *
- * An answer reaches one entry, and the limit concerns all of them, so entries tell each other
- * what they remember. There is no clock in common and no order of answers over connections:
- * each change of a limit counts up a version, and of two changes of one version the lower
- * limit holds. So all entries come to the same memory, and one that is out of date costs the
- * target nothing, as its next answer says again what holds.
+ * An answer reaches one entry, but the limit applies to all of them, so entries replicate
+ * their limits. There is neither a common clock nor an order of answers across
+ * connections: each change of a limit increments its version, and of two changes with the
+ * same version the lower limit wins. So all entries converge, and an outdated entry does
+ * the target no harm, as the target's next answer repeats the current limit.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** Limits that entries tell each other, at most. */
+/** Maximum number of limits that entries replicate. */
 const MOST_TOLD = 1024;
-/** Milliseconds for which it is remembered that a limit has ended, or a target is not listed. */
+/**
+ * Milliseconds for which an ended limit or the limit of an unlisted target is remembered.
+ */
 const REMEMBERED_MS = 60_000;
-/** Milliseconds after a change in which a higher limit is no news; lower ones always are. */
+/**
+ * Milliseconds after a change in which a higher limit is ignored; lower ones apply at
+ * once.
+ */
 const RAISED_AFTER_MS = 1000;
-/** Digits of a limit that count, so that its last ones are no news each time. */
+/** Significant digits of a limit, so that small fluctuations do not count as changes. */
 const SIGNIFICANT_DIGITS = 2;
 
-/** What is remembered of a target's limit. */
+/** The known limit of a target. */
 export interface TargetLimit {
   readonly target: string;
-  /** Requests a second from all entries; undefined: the limit has ended. */
+  /** Requests a second from all entries; undefined if the limit has ended. */
   readonly perSecond: number | undefined;
-  /** Counts the changes of this target's limit. */
+  /** Number of changes of this target's limit. */
   readonly version: number;
-  /** When the target said so last, in milliseconds. */
+  /** When the target last announced the limit, in milliseconds. */
   readonly heardAt: number;
 }
 
-/** An answer in which a target names a limit, or none. */
+/** An answer of a target, with the limit that it announces, if any. */
 export interface LimitAnswer {
   readonly target: string;
-  /** Requests a second; undefined: it names none. */
+  /** Requests a second; undefined if the answer announces no limit. */
   readonly perSecond: number | undefined;
-  /** When its request was sent. */
+  /** When the request of the answer was sent. */
   readonly sentAt: number;
   readonly now: number;
 }
 
 interface KnownLimit extends TargetLimit {
-  /** When its version was first known here, in milliseconds. */
+  /** When this entry first learned of the version, in milliseconds. */
   readonly changedAt: number;
 }
 
-/** The limits that targets name. */
+/** Tracks the limits that targets announce. */
 export class TargetLimits {
   readonly #byTarget = new Map<string, KnownLimit>();
   #listed: ReadonlySet<string> = new Set();
   #content: string | undefined;
   #named = 0;
 
-  /** Whether no target has a limit now. */
+  /** Whether no target has a limit. */
   get isEmpty(): boolean {
     return this.#named === 0;
   }
 
-  /** In short: the same for the same limits. */
+  /** Digest of the limits, equal for equal limits. */
   get content(): string {
     return this.#content ??= describeAll(this.list());
   }
 
-  /** Everything that is told to other entries, ordered by target. */
+  /** Returns the limits that are replicated, ordered by target. */
   list(): readonly TargetLimit[] {
     return [...this.#byTarget.values()]
       .sort((left, right) => left.target < right.target ? -1 : 1)
       .slice(0, MOST_TOLD);
   }
 
-  /** Requests a second that a target takes; undefined: it has no limit. */
+  /**
+   * Returns the requests a second that a target accepts; undefined if it has no limit.
+   */
   tryGet(target: string): number | undefined {
     return this.#byTarget.get(target)?.perSecond;
   }
 
   /**
-   * Takes in an answer; returns the limit where it is another one than before.
+   * Records an answer; returns the limit if it has changed.
    *
    * @example
    * ```ts
@@ -89,7 +96,8 @@
     const known = this.#byTarget.get(target);
     const perSecond = answer.perSecond && roundDown(answer.perSecond);
     if (perSecond === undefined) {
-      // The head of an answer may be older than the need: only a later request tells its end.
+      // The target may have sent the headers of the answer before its limit began, so
+      // only the answer to a later request ends the limit.
       const isOver = known?.perSecond !== undefined &&
         answer.sentAt > known.heardAt;
       return isOver ? this.#change(answer, undefined) : undefined;
@@ -102,7 +110,7 @@
     return undefined;
   }
 
-  /** Takes in what another entry remembers; returns those that are news. */
+  /** Merges the limits received from another entry; returns the changed ones. */
   merge(told: readonly TargetLimit[], now: number): readonly TargetLimit[] {
     const news = told.filter((one) => this.#isNews(one, now));
     for (const one of news) this.#set({ ...one, changedAt: now });
@@ -110,7 +118,7 @@
     return news;
   }
 
-  /** These targets are listed now. */
+  /** Replaces the set of listed targets. */
   setListed(targets: ReadonlySet<string>, now: number): void {
     this.#listed = targets;
     this.#forgetOld(now);
@@ -163,7 +171,7 @@
   return perSecond ?? Number.POSITIVE_INFINITY;
 }
 
-/** Never more than was named. */
+/** Rounds down, so that the result does not exceed the announced limit. */
 function roundDown(perSecond: number): number {
   const rounded = Number(perSecond.toPrecision(SIGNIFICANT_DIGITS));
   if (rounded <= perSecond) return rounded;
--- a/src/policy/target_limits_test.ts
+++ b/src/policy/target_limits_test.ts
@@ -1,6 +1,7 @@
 /**
- * The pattern that these tests tell of: a server in need names a limit to whichever entry got
- * its answer, changes it, ends it, and its answers overtake each other.
+ * Guards against entries that disagree about the limit of an overloaded target: it
+ * announces a limit to whichever entry receives its answer, changes it, ends it, and its
+ * answers arrive out of order.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -18,13 +19,13 @@
   return limits;
 }
 
-/** Tells one memory to another, as entries do. */
+/** Replicates limits from one entry to another. */
 function tell(from: TargetLimits, to: TargetLimits, now = 0) {
   return to.merge(from.list(), now);
 }
 
-describe("the limit that a target names", () => {
-  it("holds until an answer to a later request names none", () => {
+describe("the limit that a target announces", () => {
+  it("applies until the answer to a later request announces none", () => {
     const limits = createLimits({ perSecond: 0.5, now: 100 });
     limits.note(answer({ perSecond: undefined, sentAt: 90, now: 2000 }));
     assert.equal(limits.tryGet("i-1"), 0.5);
@@ -33,7 +34,7 @@
     assert.ok(limits.isEmpty);
   });
 
-  it("is lowered at once, and raised once a second", () => {
+  it("is lowered immediately, and raised at most once a second", () => {
     const limits = createLimits({ perSecond: 5 }, { perSecond: 2, now: 10 });
     assert.equal(limits.tryGet("i-1"), 2);
     limits.note(answer({ perSecond: 8, now: 20 }));
@@ -42,7 +43,7 @@
     assert.equal(limits.tryGet("i-1"), 8);
   });
 
-  it("is no news where its last digits change, and never rounded up", () => {
+  it("ignores changes of insignificant digits, and is never rounded up", () => {
     const limits = createLimits({ perSecond: 3.49 });
     assert.equal(limits.tryGet("i-1"), 3.4);
     const changed = limits.note(answer({ perSecond: 3.41, now: 5000 }));
@@ -51,15 +52,15 @@
     assert.equal(createLimits({ perSecond: 0.2 }).tryGet("i-1"), 0.2);
   });
 
-  it("may be none at all, which is a limit", () => {
+  it("may be 0, which is different from no limit", () => {
     const limits = createLimits({ perSecond: 0 });
     assert.equal(limits.tryGet("i-1"), 0);
     assert.ok(!limits.isEmpty);
   });
 });
 
-describe("limits that entries tell each other", () => {
-  it("hold where no answer named them", () => {
+describe("limits that entries replicate", () => {
+  it("apply at entries that received no answer with a limit", () => {
     const other = createLimits();
     const news = tell(createLimits({}), other);
     assert.equal(news.length, 1);
@@ -67,7 +68,7 @@
     assert.equal(tell(createLimits({}), other).length, 0);
   });
 
-  it("end where they are told to have ended, whatever is told of before", () => {
+  it("end when another entry reports their end, and outdated updates do not restore them", () => {
     const before = createLimits({});
     const after = createLimits({});
     after.note(answer({ perSecond: undefined, sentAt: 1, now: 50 }));
@@ -76,14 +77,14 @@
     assert.equal(tell(createLimits({}), before).length, 0);
   });
 
-  it("are not lifted by an answer to a request that was sent before", () => {
+  it("are not ended by an answer to an earlier request", () => {
     const other = createLimits();
     tell(createLimits({ now: 1000 }), other, 1010);
     other.note(answer({ perSecond: undefined, sentAt: 900, now: 1500 }));
     assert.equal(other.tryGet("i-1"), 2);
   });
 
-  it("come to the same at all entries, in whichever order they are told", () => {
+  it("converge at all entries, in whichever order they are replicated", () => {
     const change = fc.record({
       entry: fc.integer({ min: 0, max: 2 }),
       target: fc.constantFrom("i-1", "i-2"),
@@ -114,18 +115,18 @@
     );
   });
 
-  it("are forgotten a minute after a target has left the list, everywhere", () => {
+  it("are forgotten at all entries a minute after the target has left the list", () => {
     const limits = createLimits({});
     limits.setListed(new Set(), 59_000);
     assert.equal(limits.tryGet("i-1"), 2);
     const told = limits.list();
     limits.setListed(new Set(), 60_000);
     assert.ok(limits.isEmpty);
-    // One that still remembers it does not bring it back.
+    // An entry that still knows the limit does not restore it.
     assert.equal(limits.merge(told, 60_000).length, 0);
   });
 
-  it("stay in force, however long no answer names them here", () => {
+  it("stay in force if no further answer announces them here", () => {
     const limits = createLimits({});
     limits.setListed(new Set(["i-1"]), 600_000);
     assert.equal(limits.tryGet("i-1"), 2);
--- a/src/policy/target_subset.ts
+++ b/src/policy/target_subset.ts
@@ -1,33 +1,33 @@
 /**
- * Which targets of a large pool an entry connects to: not all, so that neither
- * side holds more connections than it can speak on.
+ * Chooses the targets of a large pool that an entry connects to, so that neither side
+ * holds more connections than it needs.
  *
  * @module
  */
 import { getRendezvousRank } from "../core/rendezvous_hash.ts";
 
-/** What the choice looks at. */
+/** The properties of a target on which the choice depends. */
 export interface SubsetCandidate {
   readonly name: string;
   readonly pool: string;
   readonly failureDomain: string;
 }
 
-/** Who chooses, and how many at most. */
+/** Options of a choice. */
 export interface SubsetOptions {
   readonly entryName: string;
   readonly failureDomain: string;
-  /** Targets of one pool; smaller pools are taken whole. */
+  /** Maximum number of targets of one pool; smaller pools are chosen whole. */
   readonly limit: number;
 }
 
-/** Share of the limit that goes to the entry's own failure domain. */
+/** Share of the limit reserved for the entry's own failure domain. */
 const NEAR_SHARE = 0.75;
 
 /**
- * Chooses by the hash of entry and target together: entries choose differently,
- * targets are chosen about equally often, and a machine that comes or goes
- * changes the choice by itself and at most one other.
+ * Chooses by rendezvous hashing of entry and target: entries choose differently, targets
+ * are chosen about equally often, and a target that is added or removed changes the
+ * choice only by itself and at most one other.
  *
  * @example
  * ```ts
--- a/src/policy/target_subset_test.ts
+++ b/src/policy/target_subset_test.ts
@@ -28,17 +28,17 @@
 }
 
 describe("subset of a large pool", () => {
-  it("takes small pools whole", () => {
+  it("includes all targets of a small pool", () => {
     const machines = createMachines(LIMIT);
     assert.deepEqual(choose(0, machines), machines);
   });
 
-  it("keeps to its limit, mostly within the own failure domain", () => {
+  it("respects the limit, and prefers the entry's failure domain", () => {
     const chosen = choose(1, createMachines(TARGETS));
     assert.equal(chosen.length, LIMIT);
     const near = chosen.filter((machine) => machine.failureDomain === "1");
     assert.ok(near.length >= LIMIT * 0.75, String(near.length));
-    assert.ok(near.length < LIMIT, "Some way must lead to other domains");
+    assert.ok(near.length < LIMIT, "Some targets must be in other domains");
   });
 
   it("spreads entries evenly over the targets", () => {
@@ -49,11 +49,11 @@
       }
     }
     const mean = ENTRIES * LIMIT / TARGETS;
-    assert.equal(counts.size, TARGETS, "A target is not chosen by anyone");
+    assert.equal(counts.size, TARGETS, "A target is chosen by no entry");
     assert.ok(Math.max(...counts.values()) <= 2.5 * mean);
   });
 
-  it("hardly changes when a machine goes", () => {
+  it("changes by one target when a VM is removed", () => {
     const machines = createMachines(TARGETS);
     const before = choose(0, machines);
     const gone = before[0] as VirtualMachine;
--- a/src/policy/token_bucket.ts
+++ b/src/policy/token_bucket.ts
@@ -1,5 +1,5 @@
 /**
- * A rate with a burst, in virtual time.
+ * A token bucket: limits the rate and the burst of requests.
  *
  * @module
  */
@@ -10,7 +10,7 @@
   readonly burst: number;
 }
 
-/** Lets through so many a second, and a burst at once. */
+/** Allows `perSecond` requests a second, with bursts of up to `burst`. */
 export class TokenBucket {
   #options: TokenBucketOptions;
   #tokens: number;
@@ -23,7 +23,7 @@
     this.#updatedAt = now;
   }
 
-  /** Changes the rate; what is in the bucket stays, up to the new burst. */
+  /** Changes the rate; tokens in the bucket are kept up to the new burst. */
   setOptions(options: TokenBucketOptions, now: number): void {
     this.#refill(now);
     this.#options = options;
@@ -31,7 +31,7 @@
   }
 
   /**
-   * Takes one if there is one.
+   * Takes a token if there is one.
    *
    * @example
    * ```ts
@@ -45,7 +45,7 @@
     return true;
   }
 
-  /** Milliseconds until there is one; infinite without a rate. */
+  /** Returns the milliseconds until a token is available; infinite at a rate of 0. */
   getWaitMs(now: number): number {
     this.#refill(now);
     const missing = Math.max(0, 1 - this.#tokens);
--- a/src/policy/warm_up_limits.ts
+++ b/src/policy/warm_up_limits.ts
@@ -1,44 +1,46 @@
 /**
- * The limits of targets that warm up: which targets are cold now, by the last lists of them.
+ * Limits requests to targets that warm up, and determines from the lists of targets which
+ * ones are cold.
  *
- * A target is cold while its list entry says so. One whose entry does not say so or the
- * opposite is cold for the time that the settings give, from when it was first seen in a
- * list; those of the first list may have run for long and are not. Only pools whose settings
- * give a rate for cold targets have any.
+ * A target is cold while its list entry says so. If the list entry says neither cold nor
+ * warm, the target is cold for the time given by the settings from when it first appeared
+ * in a list. Targets of the first list may have been running for long and count as warm.
+ * Only pools whose settings give a rate for cold targets have cold targets.
  *
  * @module
  */
 import type { BackEndInstance } from "../messages/back_end_instance.ts";
 
 /**
- * Milliseconds for which a list's word that a target is cold holds without another list,
- * at least: lists are told once a second, and more seldom while the store is not reached.
+ * Minimum milliseconds for which a list's statement that a target is cold applies without
+ * another list. Lists arrive once a second, and less often while the store is
+ * unreachable.
  */
 const TOLD_LASTS_MS = 5000;
-/** Milliseconds for which an incarnation that left the list is remembered as seen. */
+/** Milliseconds for which an incarnation that left the list is remembered. */
 const REMEMBERED_MS = 60_000;
 const NEVER = Number.NEGATIVE_INFINITY;
 
-/** What the settings say of cold targets of a pool. */
+/** The settings of cold targets of a pool. */
 export interface ColdPool {
   readonly kind: "limited";
-  /** Requests a second that a cold target takes from all entries. */
+  /** Requests a second that a cold target accepts from all entries. */
   readonly perSecond: number;
-  /** Milliseconds for which a target is cold after a start. */
+  /** Milliseconds for which a target is cold after its start. */
   readonly startMs: number;
 }
 
-/** What the settings say of cold targets of a pool, where it cannot be read. */
+/** Settings of cold targets of a pool that are not valid. */
 export interface UnreadableColdPool {
   readonly kind: "unreadable";
-  /** What they say, shortened. */
+  /** The text of the settings, shortened. */
   readonly text: string;
 }
 
-/** What the settings say of cold targets, by pool; pools left out have none. */
+/** Settings of cold targets by pool; pools without them have no cold targets. */
 export type ColdPools = ReadonlyMap<string, ColdPool | UnreadableColdPool>;
 
-/** Why a target counts as cold. */
+/** What a target's coldness is derived from. */
 export type ColdnessSource = "list" | "first_seen";
 
 /** A target that has become cold or warm. */
@@ -46,7 +48,7 @@
   readonly target: string;
   readonly pool: string;
   readonly isCold: boolean;
-  /** What it was or is held to be cold by. */
+  /** What the target's coldness is or was derived from. */
   readonly source: ColdnessSource;
 }
 
@@ -54,7 +56,7 @@
   readonly pool: string;
   readonly source: ColdnessSource;
   readonly coldUntil: number;
-  /** Until when it is remembered, in milliseconds. */
+  /** Until when the target is remembered, in milliseconds. */
   readonly seenUntil: number;
 }
 
@@ -64,39 +66,42 @@
   readonly perSecond: number;
 }
 
-/** The limits of targets that warm up. */
+/** Limits requests to targets that warm up. */
 export class WarmUpLimits {
   #pools: ReadonlyMap<string, ColdPool> = new Map();
   #hasListed = false;
   #seen: ReadonlyMap<string, SeenTarget> = new Map();
   #cold: ReadonlyMap<string, ColdTarget> = new Map();
 
-  /** Whether no target is cold now. */
+  /** Whether no target is cold. */
   get isEmpty(): boolean {
     return this.#cold.size === 0;
   }
 
-  /** Targets that are cold now. */
+  /** Number of cold targets. */
   get coldCount(): number {
     return this.#cold.size;
   }
 
-  /** What the settings say of cold targets of a pool; undefined: it has none. */
+  /** Returns the settings of cold targets of a pool; undefined if there are none. */
   tryPool(pool: string): ColdPool | undefined {
     return this.#pools.get(pool);
   }
 
-  /** Cold targets of a pool. */
+  /** Returns the number of cold targets of a pool. */
   countOf(pool: string): number {
     return [...this.#cold.values()].filter((cold) => cold.pool === pool).length;
   }
 
-  /** Requests a second that a target takes; undefined: it is not cold. */
+  /** Returns the requests a second that a target accepts; undefined if it is not cold. */
   tryGet(target: string): number | undefined {
     return this.#cold.get(target)?.perSecond;
   }
 
-  /** Settings came in force. What cannot be read leaves a pool as it was. */
+  /**
+   * Applies new settings; returns the targets that have become cold or warm. A pool whose
+   * settings are not valid keeps its previous ones.
+   */
   setPools(pools: ColdPools, now: number): readonly ColdnessChange[] {
     const readable = new Map<string, ColdPool>();
     for (const [pool, said] of pools) {
@@ -108,7 +113,7 @@
   }
 
   /**
-   * Targets were listed; returns those that have become cold or warm.
+   * Updates the listed targets; returns those that have become cold or warm.
    *
    * @example
    * ```ts
@@ -130,7 +135,7 @@
     return this.advance(now);
   }
 
-  /** Time passed; returns the targets that have become warm by it. */
+  /** Returns the targets that have become cold or warm since the last update. */
   advance(now: number): readonly ColdnessChange[] {
     const before = this.#cold;
     if (before.size === 0 && this.#pools.size === 0) return [];
@@ -153,7 +158,7 @@
 
   #see(instance: BackEndInstance, now: number): SeenTarget {
     const { id, pool, startedAt } = instance;
-    // Without a start time another incarnation may come back under the same id.
+    // Without a start time another incarnation may return under the same id.
     const seenUntil = startedAt === undefined ? NEVER : now + REMEMBERED_MS;
     return {
       pool,
@@ -181,7 +186,7 @@
   }
 }
 
-/** Those of one that the other lacks. */
+/** Returns the changes for targets in `of` that are not in `other`. */
 function changesOf(
   of: ReadonlyMap<string, ColdTarget>,
   other: ReadonlyMap<string, ColdTarget>,
--- a/src/policy/warm_up_limits_test.ts
+++ b/src/policy/warm_up_limits_test.ts
@@ -1,5 +1,6 @@
 /**
- * Which targets count as cold, by lists that say so, say nothing, or stop.
+ * Guards against targets wrongly treated as cold or warm when lists report coldness, do
+ * not report it, or stop.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -20,7 +21,7 @@
   return limits;
 }
 
-/** Lists a target among others; returns what it takes then. */
+/** Lists a target among others; returns its limit. */
 function list(
   limits: WarmUpLimits,
   now: number,
@@ -34,8 +35,8 @@
 }
 
 describe("a target that warms up", () => {
-  // Guards against a target that is cold for good, or never, where no list says anything.
-  it("is cold for its time from when it was first seen, if no list says more", () => {
+  // Guards against a target that is always or never cold if no list reports coldness.
+  it("is cold for the configured time after it first appears, if no list reports coldness", () => {
     const limits = createLimits();
     assert.equal(limits.tryGet("i-0"), undefined);
     assert.equal(list(limits, 1000), 17);
@@ -47,8 +48,8 @@
     assert.ok(limits.isEmpty);
   });
 
-  // Guards against an incarnation that only was missing from some lists being taken for new.
-  it("is not new again after lists without it, if it says when it started", () => {
+  // Guards against treating an incarnation as new that was only missing from some lists.
+  it("is not new again after a gap in the lists, if it reports its start time", () => {
     for (const startedAt of [undefined, 5]) {
       const limits = createLimits();
       list(limits, 0, { startedAt, isCold: false });
@@ -58,8 +59,8 @@
     }
   });
 
-  // Guards against a word that goes missing ending what was said, and against its lasting on.
-  it("stays as a list said while lists say nothing, for a while", () => {
+  // Guards against coldness that ends with one missing report, or that never ends.
+  it("stays cold for a limited time while lists do not report coldness", () => {
     const limits = createLimits();
     list(limits, 0, { isCold: true });
     assert.equal(list(limits, 4000), 17);
@@ -68,8 +69,8 @@
     assert.equal(list(limits, 6100, { isCold: false }), undefined);
   });
 
-  // Guards against a setting that cannot be read starting or ending limits.
-  it("keeps its limit while a setting cannot be read, and loses it with the setting", () => {
+  // Guards against an invalid setting that starts or ends limits.
+  it("keeps its limit while a setting is invalid, and loses it when the setting is removed", () => {
     const unreadable: ColdPools = new Map([
       ["confirm", { kind: "unreadable", text: "-1" }],
     ]);
@@ -84,13 +85,13 @@
     limits.setPools(new Map(), 200);
     assert.equal(limits.tryGet("i-1"), undefined);
     list(limits, 250);
-    // Targets that were there before a pool could be cold are not new.
+    // Targets listed before the pool had settings for cold targets are not new.
     limits.setPools(LIMITED, 300);
     assert.equal(list(limits, 400), undefined);
   });
 
   // Guards against one source of limits hiding the other.
-  it("has the lower of its limit and one that it names", () => {
+  it("has the lower of its warm-up limit and the announced one", () => {
     const limits = createLimits();
     const named = new TargetLimits();
     const combined = new CombinedLimits(named, limits);
