--- a/src/policy/admission_order.ts
+++ b/src/policy/admission_order.ts
@@ -14,39 +14,39 @@
  * @module
  */
 import type { Priority } from "../messages/priority.ts";
-import { ArrivalMix, type MixArrival } from "./arrival_mix.ts";
+import { type Arrival, ArrivalMix } from "./arrival_mix.ts";
 import { divideByWeight } from "./fair_division.ts";
-import { getLatestReturnMs } from "./return_time.ts";
+import { getMaxRetryDelayMs } from "./return_time.ts";
 
 /**
  * Ratios of load to capacity: below the first no request is deferred, from the second on
  * every request that may be deferred is. Reports are some hundred milliseconds old, so
  * the load goes on rising for a while after deferral starts.
  */
-const HOLD_START_UTILIZATION = 0.7;
-const HOLD_ALL_UTILIZATION = 1;
+const DEFERRAL_START_UTILIZATION = 0.7;
+const FULL_DEFERRAL_UTILIZATION = 1;
 /** Fraction of each priority that is always admitted, so that none is starved. */
-const LEAST_ADMITTED = 0.25;
+const MIN_ADMITTED_FRACTION = 0.25;
 /**
  * Fraction of a priority's admission rate that each organisation gets however much it
  * sends. Without it an organisation that sends half of a priority would hardly be served.
  */
-const LEAST_ORGANISATION_FACTOR = 0.5;
+const MIN_ORGANISATION_FACTOR = 0.5;
 /** Lower bound of the retry delay, in milliseconds. */
-const LEAST_RETURN_MS = 1000;
+const MIN_RETRY_DELAY_MS = 1000;
 /** Fraction of the range of retry delays that is used however little is deferred. */
-const LEAST_SPREAD = 0.3;
+const MIN_SPREAD = 0.3;
 /** Milliseconds for which computed fractions are reused. */
-const PARTS_CACHE_MS = 100;
+const FRACTIONS_CACHE_MS = 100;
 
 /** The properties of a request that determine its deferral probability. */
-export type OrderedRequest = Pick<
-  MixArrival,
+export type AdmissionRequest = Pick<
+  Arrival,
   "priority" | "organisation" | "weight"
 >;
 
 /** The conditions under which a request is admitted or deferred. */
-export interface OrderFacts {
+export interface AdmissionContext {
   readonly now: number;
   /** Fraction of all arriving requests to defer, from 0 to 1. */
   readonly heldPart: number;
@@ -54,9 +54,9 @@
   readonly known: readonly Priority[];
 }
 
-interface Parts {
-  readonly at: number;
-  readonly heldPart: number;
+interface DeferralFractions {
+  readonly computedAt: number;
+  readonly deferredFraction: number;
   readonly byPriority: ReadonlyMap<Priority, number>;
   /** Deferred fraction of each organisation's requests, by priority. */
   readonly byOrganisation: Map<Priority, ReadonlyMap<string, number>>;
@@ -74,14 +74,16 @@
 export function getHeldPart(
   { load, capacity }: { readonly load: number; readonly capacity: number },
 ): number {
-  const used = capacity > 0 ? load / capacity : HOLD_ALL_UTILIZATION;
-  const part = (used - HOLD_START_UTILIZATION) /
-    (HOLD_ALL_UTILIZATION - HOLD_START_UTILIZATION);
-  return Math.min(1, Math.max(0, part));
+  const utilization = capacity > 0
+    ? load / capacity
+    : FULL_DEFERRAL_UTILIZATION;
+  const fraction = (utilization - DEFERRAL_START_UTILIZATION) /
+    (FULL_DEFERRAL_UTILIZATION - DEFERRAL_START_UTILIZATION);
+  return Math.min(1, Math.max(0, fraction));
 }
 
 /** The input of {@link getDeferralRetryDelayMs}. */
-export interface AdmissionReturnFacts {
+export interface RetryDelayInput {
   /** Milliseconds until the request's deadline. */
   readonly leftMs: number;
   /** Fraction of all arriving requests that is deferred. */
@@ -96,26 +98,26 @@
  *
  * @example
  * ```ts
- * getAdmissionReturnMs({ leftMs: 8000, heldPart: 1, drawn: 0.5 }); // 1803.3
+ * getAdmissionReturnMs({ leftMs: 8000, deferredFraction: 1, randomFraction: 0.5 }); // 1803.3
  * ```
  */
 export function getAdmissionReturnMs(
-  { leftMs, heldPart, drawn }: AdmissionReturnFacts,
+  { leftMs, heldPart, drawn }: RetryDelayInput,
 ): number {
-  const longest = getLatestReturnMs(leftMs);
-  const range = Math.max(0, longest - LEAST_RETURN_MS);
-  const part = LEAST_SPREAD + (1 - LEAST_SPREAD) * heldPart;
-  return Math.min(longest, LEAST_RETURN_MS + range * part * drawn);
+  const maxDelayMs = getMaxRetryDelayMs(leftMs);
+  const rangeMs = Math.max(0, maxDelayMs - MIN_RETRY_DELAY_MS);
+  const fraction = MIN_SPREAD + (1 - MIN_SPREAD) * heldPart;
+  return Math.min(maxDelayMs, MIN_RETRY_DELAY_MS + rangeMs * fraction * drawn);
 }
 
 /** Decides which requests of one pool are deferred. */
 export class AdmissionOrder {
   readonly #mix = new ArrivalMix();
-  #parts: Parts | undefined;
+  #fractions: DeferralFractions | undefined;
 
   /** Records an arriving request. */
-  noteArrival(arrival: MixArrival): void {
-    this.#mix.note(arrival);
+  noteArrival(arrival: Arrival): void {
+    this.#mix.record(arrival);
   }
 
   /**
@@ -127,44 +129,55 @@
    * ```ts
    * const order = new AdmissionOrder();
    * const request = { priority: 7, organisation: "andamaq", weight: 1 };
-   * const facts = { now: 0, heldPart: 0.1, known: [3, 5, 7] };
-   * order.getHeldPartOf(request, facts); // 0.1 / (1 / 3) = 0.3
+   * const context = { now: 0, deferredFraction: 0.1, knownPriorities: [3, 5, 7] };
+   * order.getHeldPartOf(request, context); // 0.1 / (1 / 3) = 0.3
    * ```
    */
-  getHeldPartOf(request: OrderedRequest, facts: OrderFacts): number {
-    if (facts.heldPart <= 0) return 0;
-    const parts = this.#partsAt(facts);
+  getHeldPartOf(request: AdmissionRequest, context: AdmissionContext): number {
+    if (context.heldPart <= 0) return 0;
+    const fractions = this.#getFractions(context);
     const { priority, organisation } = request;
-    const held = parts.byPriority.get(priority) ??
-      getPartOfUnseen(priority, parts.byPriority);
-    if (held <= 0) return 0;
-    let byOrganisation = parts.byOrganisation.get(priority);
+    const deferred = fractions.byPriority.get(priority) ??
+      getFractionOfUnknownPriority(priority, fractions.byPriority);
+    if (deferred <= 0) return 0;
+    let byOrganisation = fractions.byOrganisation.get(priority);
     if (byOrganisation === undefined) {
-      byOrganisation = this.#divide(priority, held);
-      parts.byOrganisation.set(priority, byOrganisation);
+      byOrganisation = this.#divideAmongOrganisations(priority, deferred);
+      fractions.byOrganisation.set(priority, byOrganisation);
     }
-    return byOrganisation.get(organisation) ?? held;
+    return byOrganisation.get(organisation) ?? deferred;
   }
 
-  #partsAt({ now, heldPart, known }: OrderFacts): Parts {
-    const { at, heldPart: before } = this.#parts ?? { at: 0, heldPart: -1 };
-    const isCurrent = before === heldPart && now - at < PARTS_CACHE_MS;
-    if (this.#parts !== undefined && isCurrent) return this.#parts;
-    this.#mix.forgetOld(now);
-    const byPriority = takeFromLeast(this.#mix.sharesWith(known), heldPart);
-    this.#parts = { at: now, heldPart, byPriority, byOrganisation: new Map() };
-    return this.#parts;
+  #getFractions({ now, heldPart, known }: AdmissionContext): DeferralFractions {
+    const { computedAt, deferredFraction: previousFraction } =
+      this.#fractions ??
+        { computedAt: 0, deferredFraction: -1 };
+    const isCurrent = previousFraction === heldPart &&
+      now - computedAt < FRACTIONS_CACHE_MS;
+    if (this.#fractions !== undefined && isCurrent) return this.#fractions;
+    this.#mix.evictExpired(now);
+    const byPriority = deferLeastUrgent(this.#mix.getShares(known), heldPart);
+    this.#fractions = {
+      computedAt: now,
+      deferredFraction: heldPart,
+      byPriority,
+      byOrganisation: new Map(),
+    };
+    return this.#fractions;
   }
 
-  #divide(priority: Priority, held: number): ReadonlyMap<string, number> {
-    const admitted = 1 - held;
-    const demands = this.#mix.demandsOf(priority);
-    const admittedParts = divideByWeight(demands, {
-      part: admitted,
-      leastPart: LEAST_ORGANISATION_FACTOR * admitted,
+  #divideAmongOrganisations(
+    priority: Priority,
+    deferred: number,
+  ): ReadonlyMap<string, number> {
+    const admitted = 1 - deferred;
+    const demands = this.#mix.getDemands(priority);
+    const admittedFractions = divideByWeight(demands, {
+      fraction: admitted,
+      minFraction: MIN_ORGANISATION_FACTOR * admitted,
     });
     return new Map(
-      [...admittedParts].map(([name, part]) => [name, 1 - part]),
+      [...admittedFractions].map(([name, fraction]) => [name, 1 - fraction]),
     );
   }
 }
@@ -173,31 +186,35 @@
  * Returns the deferred fraction of each priority. The least urgent priority is deferred
  * first, the most urgent one never.
  */
-function takeFromLeast(
+function deferLeastUrgent(
   shares: ReadonlyMap<Priority, number>,
-  heldPart: number,
+  deferredFraction: number,
 ): ReadonlyMap<Priority, number> {
-  const held = new Map<Priority, number>();
-  const order = [...shares.keys()].sort((left, right) => right - left);
-  let remaining = heldPart;
-  for (const [index, priority] of order.entries()) {
-    const isFirst = index === order.length - 1;
+  const deferred = new Map<Priority, number>();
+  const leastUrgentFirst = [...shares.keys()].sort((left, right) =>
+    right - left
+  );
+  let remaining = deferredFraction;
+  for (const [index, priority] of leastUrgentFirst.entries()) {
+    const isMostUrgent = index === leastUrgentFirst.length - 1;
     const share = shares.get(priority) as number;
-    const most = isFirst ? 0 : 1 - LEAST_ADMITTED;
-    const part = Math.min(most, remaining / share);
-    held.set(priority, part);
-    remaining -= part * share;
+    const maxFraction = isMostUrgent ? 0 : 1 - MIN_ADMITTED_FRACTION;
+    const fraction = Math.min(maxFraction, remaining / share);
+    deferred.set(priority, fraction);
+    remaining -= fraction * share;
   }
-  return held;
+  return deferred;
 }
 
 /**
  * Returns the fraction for a priority without arrivals: that of the next more urgent one.
  */
-function getPartOfUnseen(
+function getFractionOfUnknownPriority(
   priority: Priority,
-  held: ReadonlyMap<Priority, number>,
+  deferred: ReadonlyMap<Priority, number>,
 ): number {
-  const above = [...held.keys()].filter((other) => other < priority);
-  return above.length === 0 ? 0 : held.get(Math.max(...above)) as number;
+  const moreUrgent = [...deferred.keys()].filter((other) => other < priority);
+  return moreUrgent.length === 0
+    ? 0
+    : deferred.get(Math.max(...moreUrgent)) as number;
 }
--- a/src/policy/admission_order_test.ts
+++ b/src/policy/admission_order_test.ts
@@ -2,9 +2,10 @@
 import { describe, it } from "node:test";
 import {
   AdmissionOrder,
+  type AdmissionRequest,
   getAdmissionReturnMs,
   getHeldPart,
-  type OrderedRequest,
+  type RetryDelayInput,
 } from "./admission_order.ts";
 
 const KNOWN = [3, 5, 7] as const;
@@ -36,80 +37,89 @@
   })));
 }
 
-function heldOf(
+function getDeferral(
   order: AdmissionOrder,
-  request: Partial<OrderedRequest>,
-  facts: { readonly heldPart: number; readonly now?: number },
+  request: Partial<AdmissionRequest>,
+  context: { readonly heldPart: number; readonly now?: number },
 ): number {
   const held = order.getHeldPartOf(
     { priority: 7, organisation: "andamaq", weight: 1, ...request },
-    { now: facts.now ?? 0, heldPart: facts.heldPart, known: KNOWN },
+    { now: context.now ?? 0, heldPart: context.heldPart, known: KNOWN },
   );
   return Math.round(held * 100) / 100;
 }
 
-function heldByPriority(
+function getDeferralByPriority(
   order: AdmissionOrder,
   heldPart: number,
 ): readonly number[] {
-  return KNOWN.map((priority) => heldOf(order, { priority }, { heldPart }));
+  return KNOWN.map((priority) =>
+    getDeferral(order, { priority }, { heldPart })
+  );
 }
 
 describe("deferred fraction", () => {
   it("grows from 0 to 1 between 0.7 and 1 of the capacity", () => {
-    const partAt = (load: number) => getHeldPart({ load, capacity: 100 });
-    const parts = [60, 70, 85, 100, 200].map(partAt);
-    const rounded = parts.map((part) => Math.round(part * 100) / 100);
+    const getFractionAt = (load: number) =>
+      getHeldPart({ load, capacity: 100 });
+    const fractions = [60, 70, 85, 100, 200].map(getFractionAt);
+    const rounded = fractions.map((fraction) =>
+      Math.round(fraction * 100) / 100
+    );
     assert.deepEqual(rounded, [0, 0, 0.5, 1, 1]);
     assert.equal(getHeldPart({ load: 0, capacity: 0 }), 1);
   });
 });
 
 describe("retry delay of a deferred request", () => {
-  const timesAt = (heldPart: number) =>
+  const getDelaysAt = (heldPart: number) =>
     [0, 0.5, 0.999].map((drawn) =>
       Math.round(getAdmissionReturnMs({ leftMs: 8000, heldPart, drawn }))
     );
 
   it("ranges from a second to a third of the time left, more with a higher deferred fraction", () => {
-    assert.deepEqual(timesAt(0), [1000, 1241, 1482]);
-    assert.deepEqual(timesAt(1), [1000, 1803, 2605]);
+    assert.deepEqual(getDelaysAt(0), [1000, 1241, 1482]);
+    assert.deepEqual(getDelaysAt(1), [1000, 1803, 2605]);
   });
 
   it("stays below a third of a short remaining time", () => {
-    const facts = { leftMs: 1500, heldPart: 1, drawn: 0.5 };
-    assert.equal(getAdmissionReturnMs(facts), 440);
+    const context: RetryDelayInput = { leftMs: 1500, heldPart: 1, drawn: 0.5 };
+    assert.equal(getAdmissionReturnMs(context), 440);
   });
 });
 
 describe("order of admission", () => {
   it("defers the least urgent first in a burst", () => {
     const order = createEvenOrder();
-    assert.deepEqual(heldByPriority(order, 0), [0, 0, 0]);
-    assert.deepEqual(heldByPriority(order, 0.2), [0, 0, 0.6]);
-    assert.deepEqual(heldByPriority(order, 0.4), [0, 0.45, 0.75]);
+    assert.deepEqual(getDeferralByPriority(order, 0), [0, 0, 0]);
+    assert.deepEqual(getDeferralByPriority(order, 0.2), [0, 0, 0.6]);
+    assert.deepEqual(getDeferralByPriority(order, 0.4), [0, 0.45, 0.75]);
   });
 
   it("admits a quarter of the least urgent and all of the most urgent", () => {
-    assert.deepEqual(heldByPriority(createEvenOrder(), 1), [0, 0.75, 0.75]);
+    assert.deepEqual(getDeferralByPriority(createEvenOrder(), 1), [
+      0,
+      0.75,
+      0.75,
+    ]);
   });
 
   it("assumes equal shares of the priorities before the first arrival", () => {
     const order = new AdmissionOrder();
-    assert.deepEqual(heldByPriority(order, 0.2), [0, 0, 0.6]);
+    assert.deepEqual(getDeferralByPriority(order, 0.2), [0, 0, 0.6]);
   });
 
   it("does not treat the only priority that an entry received as the most urgent", () => {
     const sender = { priority: 7, organisation: "andamaq", requests: 1 };
     const order = createOrder([sender]);
-    assert.deepEqual(heldByPriority(order, 1), [0, 0.75, 0.75]);
+    assert.deepEqual(getDeferralByPriority(order, 1), [0, 0.75, 0.75]);
   });
 
   it("ignores arrivals outside its window", () => {
     const sender = { priority: 7, organisation: "andamaq", requests: 1000 };
     const order = createOrder([sender]);
-    assert.equal(heldOf(order, {}, { heldPart: 0.2 }), 0.2);
-    assert.equal(heldOf(order, {}, { heldPart: 0.2, now: 5000 }), 0.6);
+    assert.equal(getDeferral(order, {}, { heldPart: 0.2 }), 0.2);
+    assert.equal(getDeferral(order, {}, { heldPart: 0.2, now: 5000 }), 0.6);
   });
 
   it("defers a large organisation before many small ones", () => {
@@ -121,12 +131,14 @@
     const large = { priority: 7, organisation: "large", requests: 600 };
     const order = createOrder([...small, large]);
     const heldPart = 0.3;
-    const ofLarge = heldOf(order, { organisation: "large" }, { heldPart });
-    const ofSmall = heldOf(order, { organisation: "small-1" }, { heldPart });
+    const ofLarge = getDeferral(order, { organisation: "large" }, { heldPart });
+    const ofSmall = getDeferral(order, { organisation: "small-1" }, {
+      heldPart,
+    });
     assert.equal(ofSmall, 0);
     assert.ok(ofLarge > 0.4 && ofLarge < 0.6, `${ofLarge}`);
     // The large organisation keeps at least half of the usual fraction.
-    const ofLargeAtMost = heldOf(order, { organisation: "large" }, {
+    const ofLargeAtMost = getDeferral(order, { organisation: "large" }, {
       heldPart: 1,
     });
     assert.ok(ofLargeAtMost <= 0.88, `${ofLargeAtMost}`);
@@ -136,8 +148,11 @@
     const sender = { priority: 8, organisation: "andamaq", requests: 1000 };
     const order = createOrder([sender, { ...sender, priority: 7 }]);
     const heldPart = 0.3;
-    assert.equal(heldOf(order, { priority: 8 }, { heldPart }), 0.6);
-    assert.equal(heldOf(order, { priority: 7 }, { heldPart }), 0);
-    assert.equal(heldOf(createEvenOrder(), { priority: 4 }, { heldPart }), 0);
+    assert.equal(getDeferral(order, { priority: 8 }, { heldPart }), 0.6);
+    assert.equal(getDeferral(order, { priority: 7 }, { heldPart }), 0);
+    assert.equal(
+      getDeferral(createEvenOrder(), { priority: 4 }, { heldPart }),
+      0,
+    );
   });
 });
--- a/src/policy/arrival_mix.ts
+++ b/src/policy/arrival_mix.ts
@@ -7,7 +7,7 @@
 import type { OrganisationDemand } from "./fair_division.ts";
 
 /** An arriving request. */
-export interface MixArrival {
+export interface Arrival {
   readonly priority: Priority;
   readonly organisation: string;
   /** Weight of the organisation relative to others. */
@@ -19,7 +19,7 @@
  * Length of the window in milliseconds: long enough to average out random variation,
  * short enough to follow a burst of some seconds.
  */
-const MIX_MS = 5000;
+const WINDOW_MS = 5000;
 /**
  * Weight, in requests, of the prior: equal shares of the priorities in the settings. One
  * of 720 entries receives less than one request in 5 s, so its own counts are not enough.
@@ -28,28 +28,28 @@
 
 /** Counts the arrivals of the last seconds. */
 export class ArrivalMix {
-  #arrivals: MixArrival[] = [];
-  #firstKept = 0;
+  #arrivals: Arrival[] = [];
+  #firstIndex = 0;
   readonly #demands = new Map<Priority, Map<string, OrganisationDemand>>();
 
   /** Records an arriving request. */
-  note(arrival: MixArrival): void {
+  record(arrival: Arrival): void {
     this.#arrivals.push(arrival);
-    this.#change(arrival, 1);
-    this.forgetOld(arrival.now);
+    this.#adjustCount(arrival, 1);
+    this.evictExpired(arrival.now);
   }
 
   /** Removes arrivals that have left the window. */
-  forgetOld(now: number): void {
-    while (this.#firstKept < this.#arrivals.length) {
-      const oldest = this.#arrivals[this.#firstKept] as MixArrival;
-      if (now - oldest.now < MIX_MS) break;
-      this.#change(oldest, -1);
-      this.#firstKept++;
+  evictExpired(now: number): void {
+    while (this.#firstIndex < this.#arrivals.length) {
+      const oldest = this.#arrivals[this.#firstIndex] as Arrival;
+      if (now - oldest.now < WINDOW_MS) break;
+      this.#adjustCount(oldest, -1);
+      this.#firstIndex++;
     }
-    if (this.#firstKept * 2 <= this.#arrivals.length) return;
-    this.#arrivals = this.#arrivals.slice(this.#firstKept);
-    this.#firstKept = 0;
+    if (this.#firstIndex * 2 <= this.#arrivals.length) return;
+    this.#arrivals = this.#arrivals.slice(this.#firstIndex);
+    this.#firstIndex = 0;
   }
 
   /**
@@ -58,31 +58,36 @@
    *
    * @example
    * ```ts
-   * new ArrivalMix().sharesWith([3, 5]); // 3: 0.5, 5: 0.5
+   * new ArrivalMix().getShares([3, 5]); // 3: 0.5, 5: 0.5
    * ```
    */
-  sharesWith(known: readonly Priority[]): ReadonlyMap<Priority, number> {
+  getShares(known: readonly Priority[]): ReadonlyMap<Priority, number> {
     const counts = new Map<Priority, number>();
     const assumed = PRIOR_REQUESTS / Math.max(1, known.length);
     for (const priority of known) counts.set(priority, assumed);
     for (const [priority, demands] of this.#demands) {
-      const seen = [...demands.values()]
+      const observed = [...demands.values()]
         .reduce((sum, { requests }) => sum + requests, 0);
-      counts.set(priority, (counts.get(priority) ?? 0) + seen);
+      counts.set(priority, (counts.get(priority) ?? 0) + observed);
     }
-    const all = [...counts.values()].reduce((sum, count) => sum + count, 0);
-    return new Map([...counts].map(([priority, n]) => [priority, n / all]));
+    const total = [...counts.values()].reduce((sum, count) => sum + count, 0);
+    return new Map(
+      [...counts].map(([priority, count]) => [priority, count / total]),
+    );
   }
 
   /** Returns the requests of each organisation at a priority. */
-  demandsOf(priority: Priority): ReadonlyMap<string, OrganisationDemand> {
+  getDemands(priority: Priority): ReadonlyMap<string, OrganisationDemand> {
     return this.#demands.get(priority) ?? new Map();
   }
 
-  #change({ priority, organisation, weight }: MixArrival, by: number): void {
+  #adjustCount(
+    { priority, organisation, weight }: Arrival,
+    delta: number,
+  ): void {
     const demands = this.#demands.get(priority) ??
       new Map<string, OrganisationDemand>();
-    const requests = (demands.get(organisation)?.requests ?? 0) + by;
+    const requests = (demands.get(organisation)?.requests ?? 0) + delta;
     if (requests > 0) demands.set(organisation, { requests, weight });
     else demands.delete(organisation);
     if (demands.size > 0) this.#demands.set(priority, demands);
--- a/src/policy/blind_limit.ts
+++ b/src/policy/blind_limit.ts
@@ -14,13 +14,13 @@
 /**
  * Ratio of the requests that all entries together may send to the pool's concurrency.
  * Callers are spread unevenly over entries, so less than half of the allowance is used: a
- * factor of 0.75 filled 31 of 80 places and refused requests that could have run, and no
+ * factor of 0.75 filled 31 of 80 slots and refused requests that could have run, and no
  * limit sent 111.
  */
-const BLIND_PART = 1.25;
+const OVERCOMMIT_FACTOR = 1.25;
 
 /** A pool without a recent load report. */
-export interface BlindPool {
+export interface UnreportedPool {
   /** Requests that all targets of the pool run at once. */
   readonly places: number;
   /** Number of entries that send to the pool; undefined while it is unknown. */
@@ -32,10 +32,10 @@
  *
  * @example
  * ```ts
- * getBlindLimit({ places: 80, entries: 35 }); // 3
+ * getBlindLimit({ concurrency: 80, entries: 35 }); // 3
  * ```
  */
-export function getBlindLimit({ places, entries }: BlindPool): number {
+export function getBlindLimit({ places, entries }: UnreportedPool): number {
   if (entries === undefined || entries <= 0) return Number.POSITIVE_INFINITY;
-  return Math.max(1, Math.ceil(BLIND_PART * places / entries));
+  return Math.max(1, Math.ceil(OVERCOMMIT_FACTOR * places / entries));
 }
--- a/src/policy/crash_history.ts
+++ b/src/policy/crash_history.ts
@@ -21,22 +21,22 @@
  * been fixed, or the targets may have crashed for another reason.
  */
 const REFUSED_MS = 60_000;
-const LONGER_EACH_TIME = 4;
+const REFUSAL_GROWTH_FACTOR = 4;
 /** Number of crashes beyond which the refusal time stops growing. */
-const MOST_COUNTED = 6;
+const MAX_COUNTED_CRASHES = 6;
 /** Milliseconds for which the crashes of a refused request are kept. */
-const KEPT_MS = 3_600_000;
+const REFUSED_RETENTION_MS = 3_600_000;
 /**
  * The same for a request with a single crash, which every request that ran beside the
  * cause has.
  */
-const SUSPECTED_MS = 120_000;
+const SUSPECT_RETENTION_MS = 120_000;
 /**
  * Maximum number of requests kept: those that were running on targets as they crashed.
  */
-const MOST_REQUESTS = 256;
+const MAX_REQUESTS = 256;
 /** Maximum number of crashes kept for one request. */
-const MOST_CRASHES = 8;
+const MAX_CRASHES = 8;
 
 /**
  * A crash of a target that was running a request. Times are in milliseconds of the local
@@ -81,7 +81,7 @@
   get content(): string {
     return this.#content ??= this.isEmpty
       ? ""
-      : hash([...this.#byRequest].map(describe).sort().join(" "));
+      : computeDigest([...this.#byRequest].map(formatRecord).sort().join(" "));
   }
 
   /** Returns the history of all recorded requests. */
@@ -109,18 +109,20 @@
   getRefusedMs(request: string, now: number): number {
     const record = this.#byRequest.get(request);
     if (record === undefined) return 0;
-    const row = crashesInRow(record);
-    const last = row.at(-1);
-    if (last === undefined || row.length < CRASHES_TO_REFUSE) return 0;
-    const more = Math.min(row.length, MOST_COUNTED) - CRASHES_TO_REFUSE;
-    const until = last.endedAt + REFUSED_MS * LONGER_EACH_TIME ** more;
+    const streak = getConsecutiveCrashes(record);
+    const last = streak.at(-1);
+    if (last === undefined || streak.length < CRASHES_TO_REFUSE) return 0;
+    const extraCrashes = Math.min(streak.length, MAX_COUNTED_CRASHES) -
+      CRASHES_TO_REFUSE;
+    const until = last.endedAt +
+      REFUSED_MS * REFUSAL_GROWTH_FACTOR ** extraCrashes;
     return Math.max(0, until - now);
   }
 
   /** Records a crash; returns whether it is new. */
   note(request: string, crash: Crash, now: number): boolean {
     const isKnown = this.#has(request, crash);
-    this.#take([{ request, crashes: [crash] }], now);
+    this.#mergeAll([{ request, crashes: [crash] }], now);
     return !isKnown && this.#has(request, crash);
   }
 
@@ -134,20 +136,20 @@
   }
 
   /** Merges the history of another process; returns whether the local one changed. */
-  merge(told: readonly CrashedRequest[], now: number): boolean {
-    const before = this.content;
-    this.#take(told, now);
-    return this.content !== before;
+  merge(received: readonly CrashedRequest[], now: number): boolean {
+    const previous = this.content;
+    this.#mergeAll(received, now);
+    return this.content !== previous;
   }
 
   #has(request: string, { target }: Crash): boolean {
     return this.#byRequest.get(request)?.crashes.has(target) ?? false;
   }
 
-  #take(told: readonly CrashedRequest[], now: number): void {
-    for (const one of told) this.#mergeOne(one, now);
-    this.#forgetOld(now);
-    while (this.#byRequest.size > MOST_REQUESTS) this.#dropLeast();
+  #mergeAll(received: readonly CrashedRequest[], now: number): void {
+    for (const entry of received) this.#mergeOne(entry, now);
+    this.#evictExpired(now);
+    while (this.#byRequest.size > MAX_REQUESTS) this.#evictLeastSuspect();
     this.#content = undefined;
   }
 
@@ -160,20 +162,21 @@
       // kept.
       const known = record.crashes.get(crash.target);
       const isLater = known !== undefined && known.endedAt <= crash.endedAt;
-      if (isLater || now - crash.endedAt >= KEPT_MS) continue;
+      if (isLater || now - crash.endedAt >= REFUSED_RETENTION_MS) continue;
       record.crashes.set(crash.target, crash);
     }
     for (const { target, endedAt } of [...record.crashes.values()]) {
       if (endedAt <= record.servedAt) record.crashes.delete(target);
     }
-    while (record.crashes.size > MOST_CRASHES) dropOldest(record.crashes);
+    while (record.crashes.size > MAX_CRASHES) evictOldest(record.crashes);
   }
 
-  #forgetOld(now: number): void {
+  #evictExpired(now: number): void {
     for (const [request, record] of this.#byRequest) {
-      const isSuspected = crashesInRow(record).length < CRASHES_TO_REFUSE;
-      const keptMs = isSuspected ? SUSPECTED_MS : KEPT_MS;
-      if (now - newestOf(record) < keptMs) continue;
+      const isSuspect =
+        getConsecutiveCrashes(record).length < CRASHES_TO_REFUSE;
+      const keptMs = isSuspect ? SUSPECT_RETENTION_MS : REFUSED_RETENTION_MS;
+      if (now - getNewestTime(record) < keptMs) continue;
       this.#byRequest.delete(request);
       this.#content = undefined;
     }
@@ -184,17 +187,17 @@
    * the oldest. Ties are broken by digest, so that all entries evict the same request and
    * do not replicate evicted ones back and forth.
    */
-  #dropLeast(): void {
-    const rows = [...this.#byRequest].map(([request, record]) => ({
+  #evictLeastSuspect(): void {
+    const candidates = [...this.#byRequest].map(([request, record]) => ({
       request,
-      crashes: crashesInRow(record).length,
-      newestAt: newestOf(record),
+      crashes: getConsecutiveCrashes(record).length,
+      newestAt: getNewestTime(record),
     }));
-    const [least] = rows.sort((left, right) =>
+    const [evicted] = candidates.sort((left, right) =>
       left.crashes - right.crashes || left.newestAt - right.newestAt ||
       (left.request < right.request ? -1 : 1)
     );
-    if (least !== undefined) this.#byRequest.delete(least.request);
+    if (evicted !== undefined) this.#byRequest.delete(evicted.request);
   }
 }
 
@@ -206,35 +209,37 @@
  * Returns the consecutive crashes: each of these targets was alive after the crash before
  * it.
  */
-function crashesInRow({ crashes }: RequestRecord): readonly Crash[] {
-  const row: Crash[] = [];
-  for (const crash of byTimeOf(crashes)) {
-    const before = row.at(-1)?.endedAt ?? Number.NEGATIVE_INFINITY;
-    if (crash.aliveAt >= before) row.push(crash);
+function getConsecutiveCrashes({ crashes }: RequestRecord): readonly Crash[] {
+  const streak: Crash[] = [];
+  for (const crash of sortByTime(crashes)) {
+    const previous = streak.at(-1)?.endedAt ?? Number.NEGATIVE_INFINITY;
+    if (crash.aliveAt >= previous) streak.push(crash);
   }
-  return row;
+  return streak;
 }
 
-function newestOf({ crashes, servedAt }: RequestRecord): number {
+function getNewestTime({ crashes, servedAt }: RequestRecord): number {
   const ends = [...crashes.values()].map(({ endedAt }) => endedAt);
   return Math.max(servedAt, ...ends);
 }
 
-function dropOldest(crashes: Map<string, Crash>): void {
-  const [oldest] = byTimeOf(crashes);
+function evictOldest(crashes: Map<string, Crash>): void {
+  const [oldest] = sortByTime(crashes);
   if (oldest !== undefined) crashes.delete(oldest.target);
 }
 
-function byTimeOf(crashes: ReadonlyMap<string, Crash>): readonly Crash[] {
+function sortByTime(crashes: ReadonlyMap<string, Crash>): readonly Crash[] {
   return [...crashes.values()]
     .sort((left, right) => left.endedAt - right.endedAt);
 }
 
-function describe([request, { crashes, servedAt }]: [string, RequestRecord]) {
+function formatRecord(
+  [request, { crashes, servedAt }]: [string, RequestRecord],
+) {
   const targets = [...crashes.keys()].sort().join(",");
   return `${request}:${targets}${Number.isFinite(servedAt) ? "+" : ""}`;
 }
 
-function hash(text: string): string {
+function computeDigest(text: string): string {
   return createHash("sha256").update(text).digest("base64url");
 }
--- a/src/policy/crash_history_test.ts
+++ b/src/policy/crash_history_test.ts
@@ -63,12 +63,12 @@
   });
 });
 
-interface InnocentRow {
+interface UnaffectedCase {
   readonly name: string;
   readonly crashes: readonly CrashFixture[];
 }
 
-const INNOCENT: readonly InnocentRow[] = [
+const UNAFFECTED_CASES: readonly UnaffectedCase[] = [
   { name: "that was running during a single crash", crashes: [createCrash(1)] },
   {
     name: "that was running on several targets during a power failure",
@@ -89,7 +89,7 @@
 ];
 
 describe("a request is not refused", () => {
-  for (const { name, crashes } of INNOCENT) {
+  for (const { name, crashes } of UNAFFECTED_CASES) {
     it(name, () => {
       const history = createHistory(crashes);
       assert.equal(history.getRefusedMs("poison", 10_000), 0);
--- a/src/policy/deadline_memory.ts
+++ b/src/policy/deadline_memory.ts
@@ -16,23 +16,23 @@
  * Retries after a retry delay have at most two thirds left; first attempts have 0.85 to 1
  * of the longest deadline.
  */
-const FRESH_PART = 0.75;
+const FIRST_ATTEMPT_FRACTION = 0.75;
 /** Milliseconds for which deadlines are collected before older ones are discarded. */
 const WINDOW_MS = 10_000;
 /** Minimum number of deadlines in a window before it replaces the previous one. */
-const FEWEST_SEEN = 5;
+const MIN_DEADLINES = 5;
 
 /** Tracks the longest recent deadline of the requests of one service. */
 export class DeadlineMemory {
   #startedAt: number;
   /** Longest deadline of the previous window. */
-  #longestBefore: number;
+  #previousLongest: number;
   #longest = 0;
-  #seen = 0;
+  #count = 0;
 
   /** Starts with the longest deadline that the service's settings allow. */
   constructor(allowedMs: number, now: number) {
-    this.#longestBefore = allowedMs;
+    this.#previousLongest = allowedMs;
     this.#startedAt = now;
   }
 
@@ -48,19 +48,19 @@
    * ```
    */
   observe(deadlineMs: number, now: number): boolean {
-    this.#startAnew(now);
-    this.#seen++;
+    this.#rotateWindow(now);
+    this.#count++;
     this.#longest = Math.max(this.#longest, deadlineMs);
-    const longest = Math.max(this.#longest, this.#longestBefore);
-    return deadlineMs < FRESH_PART * longest;
+    const longest = Math.max(this.#longest, this.#previousLongest);
+    return deadlineMs < FIRST_ATTEMPT_FRACTION * longest;
   }
 
-  #startAnew(now: number): void {
-    const isOver = now - this.#startedAt >= WINDOW_MS;
-    if (!isOver || this.#seen < FEWEST_SEEN) return;
-    this.#longestBefore = this.#longest;
+  #rotateWindow(now: number): void {
+    const hasElapsed = now - this.#startedAt >= WINDOW_MS;
+    if (!hasElapsed || this.#count < MIN_DEADLINES) return;
+    this.#previousLongest = this.#longest;
     this.#longest = 0;
-    this.#seen = 0;
+    this.#count = 0;
     this.#startedAt = now;
   }
 }
--- a/src/policy/deadline_memory_test.ts
+++ b/src/policy/deadline_memory_test.ts
@@ -4,19 +4,19 @@
 import { DeadlineMemory } from "./deadline_memory.ts";
 
 /** Longest deadline that callers of the service use, in milliseconds. */
-const LONGEST_MS = 8000;
+const MAX_DEADLINE_MS = 8000;
 
 /** Returns the deadline of a first attempt, 0.85 to 1 of the longest. */
-function drawFreshMs(random: RandomSource): number {
-  return LONGEST_MS * (0.85 + 0.15 * random.nextBelow(1000) / 1000);
+function createFirstDeadlineMs(random: RandomSource): number {
+  return MAX_DEADLINE_MS * (0.85 + 0.15 * random.nextBelow(1000) / 1000);
 }
 
 describe("retried requests", () => {
   it("are distinguished from first attempts with varying deadlines", () => {
     const random = new RandomSource(7);
-    const deadlines = new DeadlineMemory(LONGEST_MS, 0);
+    const deadlines = new DeadlineMemory(MAX_DEADLINE_MS, 0);
     for (let now = 0; now < 60_000; now += 20) {
-      const freshMs = drawFreshMs(random);
+      const freshMs = createFirstDeadlineMs(random);
       assert.equal(deadlines.observe(freshMs, now), false);
       // The caller retried after a third of its time.
       assert.equal(deadlines.observe(freshMs * 2 / 3, now), true);
@@ -27,22 +27,22 @@
     for (const allowedMs of [2000, 30_000]) {
       const random = new RandomSource(7);
       const deadlines = new DeadlineMemory(allowedMs, 0);
-      let wrong = 0;
+      let misclassified = 0;
       for (let now = 0; now < 40_000; now += 20) {
-        const freshMs = drawFreshMs(random);
-        const isWrong = deadlines.observe(freshMs, now) ||
+        const freshMs = createFirstDeadlineMs(random);
+        const isMisclassified = deadlines.observe(freshMs, now) ||
           !deadlines.observe(freshMs * 0.6, now);
         // The allowed deadline has no effect after the first two windows.
-        if (now > 20_000 && isWrong) wrong++;
+        if (now > 20_000 && isMisclassified) misclassified++;
       }
-      assert.equal(wrong, 0, `${allowedMs} ms allowed`);
+      assert.equal(misclassified, 0, `${allowedMs} ms allowed`);
     }
   });
 
   it("are recognised again soon after callers switch to shorter deadlines", () => {
-    const deadlines = new DeadlineMemory(LONGEST_MS, 0);
+    const deadlines = new DeadlineMemory(MAX_DEADLINE_MS, 0);
     let now = 0;
-    for (; now < 12_000; now += 100) deadlines.observe(LONGEST_MS, now);
+    for (; now < 12_000; now += 100) deadlines.observe(MAX_DEADLINE_MS, now);
     for (; now < 40_000; now += 100) deadlines.observe(4000, now);
     assert.equal(deadlines.observe(3900, now), false);
     assert.equal(deadlines.observe(2600, now), true);
--- a/src/policy/domain_reachability.ts
+++ b/src/policy/domain_reachability.ts
@@ -18,19 +18,19 @@
  * Minimum number of targets to which connections have failed without an answer from the
  * domain in between. One or two targets may have crashed on their own.
  */
-const FEWEST_FAILED_TARGETS = 3;
+const MIN_FAILED_TARGETS = 3;
 /** Milliseconds after which a failed connection is ignored. */
-const FAILURE_MEMORY_MS = 1500;
+const FAILURE_WINDOW_MS = 1500;
 /**
  * Minimum milliseconds between the first and the last of these failures. Connections that
  * fail at the same moment may have timed out while this process was frozen.
  */
-const LEAST_SPAN_MS = 100;
+const MIN_FAILURE_SPAN_MS = 100;
 /**
  * Minimum milliseconds that a connection takes to fail if the host does not answer. A
  * connection that fails sooner was refused by its host, which is therefore reachable.
  */
-const LEAST_TIMEOUT_MS = 200;
+const MIN_TIMEOUT_MS = 200;
 /**
  * Milliseconds between two probes if no other target could serve the request. Each probe
  * costs one request the connection timeout, and the end of the outage is detected at most
@@ -41,10 +41,10 @@
  * The same while targets of other failure domains can serve, where detecting the end is
  * less urgent.
  */
-const PROBE_INTERVAL_BESIDE_OTHERS_MS = 2000;
+const RELAXED_PROBE_INTERVAL_MS = 2000;
 
 /** A target and the failure domain it is in. */
-export interface TargetPlace {
+export interface TargetLocation {
   readonly name: string;
   readonly pool: string;
   readonly failureDomain: string;
@@ -87,19 +87,19 @@
    * ```
    */
   noteFailed(
-    { name, failureDomain }: TargetPlace,
+    { name, failureDomain }: TargetLocation,
     { tookMs, now }: FailedConnection,
   ): boolean {
-    if (tookMs < LEAST_TIMEOUT_MS) return false;
+    if (tookMs < MIN_TIMEOUT_MS) return false;
     const state = this.#states.get(failureDomain) ?? createState();
     this.#states.set(failureDomain, state);
     state.failedAt.set(name, now);
     for (const [target, at] of state.failedAt) {
-      if (now - at > FAILURE_MEMORY_MS) state.failedAt.delete(target);
+      if (now - at > FAILURE_WINDOW_MS) state.failedAt.delete(target);
     }
     const becomesUnreachable = !state.isUnreachable &&
-      state.failedAt.size >= FEWEST_FAILED_TARGETS &&
-      now - Math.min(...state.failedAt.values()) >= LEAST_SPAN_MS;
+      state.failedAt.size >= MIN_FAILED_TARGETS &&
+      now - Math.min(...state.failedAt.values()) >= MIN_FAILURE_SPAN_MS;
     if (becomesUnreachable) state.isUnreachable = true;
     return becomesUnreachable;
   }
@@ -107,7 +107,7 @@
   /**
    * Records a message from a target; returns whether its failure domain was unreachable.
    */
-  noteReached({ failureDomain }: TargetPlace): boolean {
+  noteReached({ failureDomain }: TargetLocation): boolean {
     const wasUnreachable =
       this.#states.get(failureDomain)?.isUnreachable === true;
     this.#states.delete(failureDomain);
@@ -123,14 +123,14 @@
    * const candidates = reachability.filter(targets, now);
    * ```
    */
-  filter<Target extends TargetPlace>(
+  filter<Target extends TargetLocation>(
     targets: readonly Target[],
     now: number,
   ): readonly Target[] {
     if (this.#states.size === 0) return targets;
     const hasReachable = targets.some((target) => this.#isReachable(target));
     const intervalMs = hasReachable
-      ? PROBE_INTERVAL_BESIDE_OTHERS_MS
+      ? RELAXED_PROBE_INTERVAL_MS
       : PROBE_INTERVAL_MS;
     return targets.filter((target) =>
       this.#isReachable(target) || this.#isProbeDue(target, intervalMs, now)
@@ -138,16 +138,16 @@
   }
 
   /** Records that a request is sent to a target. */
-  noteSent({ pool, failureDomain }: TargetPlace, now: number): void {
+  noteSent({ pool, failureDomain }: TargetLocation, now: number): void {
     this.#states.get(failureDomain)?.probedAt.set(pool, now);
   }
 
-  #isReachable({ failureDomain }: TargetPlace): boolean {
+  #isReachable({ failureDomain }: TargetLocation): boolean {
     return this.#states.get(failureDomain)?.isUnreachable !== true;
   }
 
   #isProbeDue(
-    { pool, failureDomain }: TargetPlace,
+    { pool, failureDomain }: TargetLocation,
     intervalMs: number,
     now: number,
   ): boolean {
--- a/src/policy/domain_reachability_test.ts
+++ b/src/policy/domain_reachability_test.ts
@@ -5,12 +5,15 @@
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { DomainReachability, type TargetPlace } from "./domain_reachability.ts";
+import {
+  DomainReachability,
+  type TargetLocation,
+} from "./domain_reachability.ts";
 
 function createTargets(
   failureDomain: string,
   count: number,
-): readonly TargetPlace[] {
+): readonly TargetLocation[] {
   return Array.from({ length: count }, (_, number) => ({
     name: `${failureDomain}-${number}`,
     pool: "drafts",
@@ -22,7 +25,7 @@
 const NEAR = createTargets("near", 2);
 
 /** Fails connections to some targets of the far domain, 100 ms apart. */
-function createCutOff(failures: number): DomainReachability {
+function createPartition(failures: number): DomainReachability {
   const reachability = new DomainReachability();
   FAR.slice(0, failures).forEach((target, number) =>
     reachability.noteFailed(target, { tookMs: 400, now: number * 100 })
@@ -32,17 +35,17 @@
 
 describe("a failure domain whose targets cannot be connected to", () => {
   it("is sent only probes, so that callers do not wait for connections in vain", () => {
-    const reachability = createCutOff(3);
+    const reachability = createPartition(3);
     assert.deepEqual(reachability.unreachable, ["far"]);
     assert.equal(reachability.filter(FAR, 300).length, 4);
-    reachability.noteSent(FAR[0] as TargetPlace, 300);
+    reachability.noteSent(FAR[0] as TargetLocation, 300);
     assert.equal(reachability.filter(FAR, 310).length, 0);
     assert.equal(reachability.filter(FAR, 600).length, 4);
   });
 
   it("is probed less often while targets of other domains serve", () => {
-    const reachability = createCutOff(3);
-    reachability.noteSent(FAR[0] as TargetPlace, 300);
+    const reachability = createPartition(3);
+    reachability.noteSent(FAR[0] as TargetLocation, 300);
     const targets = [...FAR, ...NEAR];
     assert.deepEqual(reachability.filter(targets, 1000), NEAR);
     assert.equal(reachability.filter(targets, 2400).length, 6);
@@ -50,31 +53,34 @@
 
   // Guards against probes of one pool suppressing those of another.
   it("is probed for each pool separately", () => {
-    const reachability = createCutOff(3);
+    const reachability = createPartition(3);
     const others = FAR.map((target) => ({ ...target, pool: "orders" }));
-    reachability.noteSent(FAR[0] as TargetPlace, 300);
+    reachability.noteSent(FAR[0] as TargetLocation, 300);
     assert.equal(reachability.filter(FAR, 310).length, 0);
     assert.equal(reachability.filter(others, 310).length, 4);
   });
 
   it("is used again once one of its targets answers", () => {
-    const reachability = createCutOff(3);
-    reachability.noteSent(FAR[0] as TargetPlace, 300);
-    assert.equal(reachability.noteReached(FAR[1] as TargetPlace), true);
+    const reachability = createPartition(3);
+    reachability.noteSent(FAR[0] as TargetLocation, 300);
+    assert.equal(reachability.noteReached(FAR[1] as TargetLocation), true);
     assert.equal(reachability.filter(FAR, 310).length, 4);
   });
 });
 
 describe("a failure domain with some crashed targets", () => {
   it("stays reachable with two failed targets", () => {
-    const reachability = createCutOff(2);
+    const reachability = createPartition(2);
     assert.deepEqual(reachability.unreachable, []);
   });
 
   it("stays reachable when one target fails repeatedly", () => {
     const reachability = new DomainReachability();
     for (let at = 0; at < 1000; at += 100) {
-      reachability.noteFailed(FAR[0] as TargetPlace, { tookMs: 400, now: at });
+      reachability.noteFailed(FAR[0] as TargetLocation, {
+        tookMs: 400,
+        now: at,
+      });
     }
     assert.deepEqual(reachability.unreachable, []);
   });
@@ -97,13 +103,13 @@
   });
 
   it("reports once that it became unreachable", () => {
-    const reachability = createCutOff(2);
-    const [, , third, fourth] = FAR as readonly TargetPlace[];
+    const reachability = createPartition(2);
+    const [, , third, fourth] = FAR as readonly TargetLocation[];
     assert.ok(third !== undefined && fourth !== undefined);
-    const failAt = (target: TargetPlace, now: number) =>
+    const recordFailureAt = (target: TargetLocation, now: number) =>
       reachability.noteFailed(target, { tookMs: 400, now });
-    assert.equal(failAt(third, 200), true);
-    assert.equal(failAt(fourth, 300), false);
+    assert.equal(recordFailureAt(third, 200), true);
+    assert.equal(recordFailureAt(fourth, 300), false);
   });
 
   // Guards against a crashed service making its failure domain unreachable for others.
--- a/src/policy/fair_division.ts
+++ b/src/policy/fair_division.ts
@@ -14,15 +14,15 @@
 }
 
 /** Bounds of a division. */
-export interface DivisionFacts {
+export interface DivisionBounds {
   /** Fraction of all requests that is admitted, from 0 to 1. */
-  readonly part: number;
+  readonly fraction: number;
   /** Minimum admitted fraction of each organisation's requests. */
-  readonly leastPart: number;
+  readonly minFraction: number;
 }
 
 /** Bisection steps, enough for a precision of a thousandth of a request. */
-const HALVINGS = 24;
+const BISECTION_STEPS = 24;
 
 /**
  * Returns the admitted fraction of each organisation's requests, by name.
@@ -38,34 +38,37 @@
  */
 export function divideByWeight(
   demands: ReadonlyMap<string, OrganisationDemand>,
-  facts: DivisionFacts,
+  bounds: DivisionBounds,
 ): ReadonlyMap<string, number> {
-  const rows = [...demands.values()];
-  const all = rows.reduce((sum, { requests }) => sum + requests, 0);
-  const wanted = facts.part * all;
+  const demandList = [...demands.values()];
+  const total = demandList.reduce((sum, { requests }) => sum + requests, 0);
+  const target = bounds.fraction * total;
   let low = 0;
   let high = Math.max(
     0,
-    ...rows.map(({ requests, weight }) => requests / weight),
+    ...demandList.map(({ requests, weight }) => requests / weight),
   );
-  for (let halving = 0; halving < HALVINGS; halving++) {
+  for (let step = 0; step < BISECTION_STEPS; step++) {
     const level = (low + high) / 2;
-    const admitted = rows.reduce(
-      (sum, row) => sum + row.requests * getPart(row, level, facts),
+    const admitted = demandList.reduce(
+      (sum, demand) =>
+        sum + demand.requests * getAdmittedFraction(demand, level, bounds),
       0,
     );
-    if (admitted < wanted) low = level;
+    if (admitted < target) low = level;
     else high = level;
   }
   return new Map(
-    [...demands].map(([name, row]) => [name, getPart(row, high, facts)]),
+    [...demands].map((
+      [name, demand],
+    ) => [name, getAdmittedFraction(demand, high, bounds)]),
   );
 }
 
-function getPart(
+function getAdmittedFraction(
   { requests, weight }: OrganisationDemand,
   level: number,
-  { leastPart }: DivisionFacts,
+  { minFraction }: DivisionBounds,
 ): number {
-  return Math.max(leastPart, Math.min(1, level * weight / requests));
+  return Math.max(minFraction, Math.min(1, level * weight / requests));
 }
--- a/src/policy/fair_queue.ts
+++ b/src/policy/fair_queue.ts
@@ -27,7 +27,7 @@
  * moment mostly ends too late and delays other work, and the caller of a dropped request
  * should learn of it in time to retry.
  */
-const LONGEST_WAIT_SHARE = 0.5;
+const MAX_WAIT_FRACTION = 0.5;
 
 /**
  * Returns the latest time at which work must start.
@@ -38,23 +38,23 @@
  * ```
  */
 export function latestStart(now: number, remainingMs: number): number {
-  return now + LONGEST_WAIT_SHARE * remainingMs;
+  return now + MAX_WAIT_FRACTION * remainingMs;
 }
 
 /**
  * Maximum number of idle organisation queues that an empty fair queue keeps. Their
  * virtual times matter little then, and there may be some ten thousand organisations.
  */
-const MOST_IDLE_LINES = 1000;
+const MAX_IDLE_QUEUES = 1000;
 
-interface OrganisationLine<T> {
+interface OrganisationQueue<T> {
   readonly items: T[];
   /** Virtual time at which the organisation's next item is due. */
   dueAt: number;
 }
 
 interface Lane<T> {
-  readonly lines: Map<string, OrganisationLine<T>>;
+  readonly queues: Map<string, OrganisationQueue<T>>;
   virtualNow: number;
 }
 
@@ -68,7 +68,7 @@
   constructor(limit: number) {
     this.#limit = limit;
     for (const priority of PRIORITIES) {
-      this.#lanes.set(priority, { lines: new Map(), virtualNow: 0 });
+      this.#lanes.set(priority, { queues: new Map(), virtualNow: 0 });
     }
   }
 
@@ -93,13 +93,13 @@
   add(item: T): T | undefined {
     this.#push(item);
     if (this.#length <= this.#limit) return undefined;
-    return this.#dropFromLongestLine();
+    return this.#dropFromLongestQueue();
   }
 
   /** Removes and returns the next item, or undefined if the queue is empty. */
   tryTake(): T | undefined {
     for (const priority of PRIORITIES) {
-      const item = this.#tryTakeFrom(this.#laneOf(priority));
+      const item = this.#tryTakeFrom(this.#getLane(priority));
       if (item !== undefined) return item;
     }
     return undefined;
@@ -110,19 +110,21 @@
    * to start yet.
    */
   inOrder(): readonly T[] {
-    return PRIORITIES.flatMap((priority) => orderOf(this.#laneOf(priority)));
+    return PRIORITIES.flatMap((priority) =>
+      getSchedulingOrder(this.#getLane(priority))
+    );
   }
 
   /** Removes an item regardless of its position and charges its organisation for it. */
   take(item: T): void {
-    const lane = this.#laneOf(item.priority);
-    const line = lane.lines.get(item.organisation);
-    const place = line?.items.indexOf(item) ?? -1;
-    if (line === undefined || place < 0) return;
-    line.items.splice(place, 1);
-    this.#charge(lane, line, item);
-    if (this.#length === 0 && lane.lines.size > MOST_IDLE_LINES) {
-      lane.lines.clear();
+    const lane = this.#getLane(item.priority);
+    const queue = lane.queues.get(item.organisation);
+    const index = queue?.items.indexOf(item) ?? -1;
+    if (queue === undefined || index < 0) return;
+    queue.items.splice(index, 1);
+    this.#charge(lane, queue, item);
+    if (this.#length === 0 && lane.queues.size > MAX_IDLE_QUEUES) {
+      lane.queues.clear();
     }
   }
 
@@ -131,17 +133,17 @@
    * priority.
    */
   tryDrop(): T | undefined {
-    return this.#dropFromLongestLine();
+    return this.#dropFromLongestQueue();
   }
 
   /** Removes and returns every item for which `isUnwanted` holds. */
   removeWhere(isUnwanted: (item: T) => boolean): readonly T[] {
     const removed: T[] = [];
     for (const lane of this.#lanes.values()) {
-      for (const line of lane.lines.values()) {
-        const kept = line.items.filter((item) => !isUnwanted(item));
-        removed.push(...line.items.filter(isUnwanted));
-        line.items.splice(0, line.items.length, ...kept);
+      for (const queue of lane.queues.values()) {
+        const kept = queue.items.filter((item) => !isUnwanted(item));
+        removed.push(...queue.items.filter(isUnwanted));
+        queue.items.splice(0, queue.items.length, ...kept);
       }
     }
     this.#length -= removed.length;
@@ -149,25 +151,25 @@
   }
 
   #push(item: T): void {
-    const lane = this.#laneOf(item.priority);
-    let line = lane.lines.get(item.organisation);
-    if (line === undefined) {
-      line = { items: [], dueAt: lane.virtualNow };
-      lane.lines.set(item.organisation, line);
+    const lane = this.#getLane(item.priority);
+    let queue = lane.queues.get(item.organisation);
+    if (queue === undefined) {
+      queue = { items: [], dueAt: lane.virtualNow };
+      lane.queues.set(item.organisation, queue);
     }
     // An idle organisation gains no credit over the others.
-    if (line.items.length === 0) {
-      line.dueAt = Math.max(line.dueAt, lane.virtualNow);
+    if (queue.items.length === 0) {
+      queue.dueAt = Math.max(queue.dueAt, lane.virtualNow);
     }
-    line.items.push(item);
+    queue.items.push(item);
     this.#length++;
   }
 
   #tryTakeFrom(lane: Lane<T>): T | undefined {
-    let first: OrganisationLine<T> | undefined;
-    for (const [name, line] of lane.lines) {
-      if (line.items.length === 0) forgetIfCaughtUp(lane, name);
-      else if (first === undefined || line.dueAt < first.dueAt) first = line;
+    let first: OrganisationQueue<T> | undefined;
+    for (const [name, queue] of lane.queues) {
+      if (queue.items.length === 0) removeIfCaughtUp(lane, name);
+      else if (first === undefined || queue.dueAt < first.dueAt) first = queue;
     }
     const item = first?.items.shift();
     if (first === undefined || item === undefined) return undefined;
@@ -175,16 +177,16 @@
     return item;
   }
 
-  #charge(lane: Lane<T>, line: OrganisationLine<T>, { weight }: T): void {
-    lane.virtualNow = Math.max(lane.virtualNow, line.dueAt);
-    line.dueAt += 1 / weight;
+  #charge(lane: Lane<T>, queue: OrganisationQueue<T>, { weight }: T): void {
+    lane.virtualNow = Math.max(lane.virtualNow, queue.dueAt);
+    queue.dueAt += 1 / weight;
     this.#length--;
   }
 
-  #dropFromLongestLine(): T | undefined {
+  #dropFromLongestQueue(): T | undefined {
     for (const priority of PRIORITIES.toReversed()) {
-      const lane = this.#laneOf(priority);
-      const longest = longestLine(lane);
+      const lane = this.#getLane(priority);
+      const longest = findLongestQueue(lane);
       if (longest === undefined) continue;
       this.#length--;
       return longest.items.pop();
@@ -192,22 +194,22 @@
     return undefined;
   }
 
-  #laneOf(priority: Priority): Lane<T> {
+  #getLane(priority: Priority): Lane<T> {
     return this.#lanes.get(priority) as Lane<T>;
   }
 }
 
 /** Returns the items of a lane in scheduling order. */
-function orderOf<T extends QueuedItem>(lane: Lane<T>): readonly T[] {
-  const lines = [...lane.lines.values()]
+function getSchedulingOrder<T extends QueuedItem>(lane: Lane<T>): readonly T[] {
+  const queues = [...lane.queues.values()]
     .filter(({ items }) => items.length > 0)
     .map(({ items, dueAt }) => ({ items, dueAt, next: 0 }));
   const ordered: T[] = [];
   while (true) {
-    let first: (typeof lines)[number] | undefined;
-    for (const line of lines) {
-      if (line.next >= line.items.length) continue;
-      if (first === undefined || line.dueAt < first.dueAt) first = line;
+    let first: (typeof queues)[number] | undefined;
+    for (const queue of queues) {
+      if (queue.next >= queue.items.length) continue;
+      if (first === undefined || queue.dueAt < first.dueAt) first = queue;
     }
     const item = first?.items[first.next];
     if (first === undefined || item === undefined) return ordered;
@@ -222,22 +224,22 @@
  * time. If it were removed earlier, an organisation that sends one item at a time would
  * get ahead of the others.
  */
-function forgetIfCaughtUp<T>(lane: Lane<T>, name: string): void {
-  const line = lane.lines.get(name);
-  if (line !== undefined && line.dueAt <= lane.virtualNow) {
-    lane.lines.delete(name);
+function removeIfCaughtUp<T>(lane: Lane<T>, name: string): void {
+  const queue = lane.queues.get(name);
+  if (queue !== undefined && queue.dueAt <= lane.virtualNow) {
+    lane.queues.delete(name);
   }
 }
 
-function longestLine<T extends QueuedItem>(
+function findLongestQueue<T extends QueuedItem>(
   lane: Lane<T>,
-): OrganisationLine<T> | undefined {
-  let longest: OrganisationLine<T> | undefined;
+): OrganisationQueue<T> | undefined {
+  let longest: OrganisationQueue<T> | undefined;
   let longestShare = 0;
-  for (const line of lane.lines.values()) {
-    const share = line.items.length / (line.items[0]?.weight ?? 1);
+  for (const queue of lane.queues.values()) {
+    const share = queue.items.length / (queue.items[0]?.weight ?? 1);
     if (share <= longestShare) continue;
-    longest = line;
+    longest = queue;
     longestShare = share;
   }
   return longest;
--- a/src/policy/fair_queue_test.ts
+++ b/src/policy/fair_queue_test.ts
@@ -38,8 +38,8 @@
       queue.add(createItem(`b${index}`, { organisation: "b", weight: 1 }));
     }
     const first = drain(queue).slice(0, 90);
-    const ofA = first.filter((item) => item.organisation === "a").length;
-    assert.ok(Math.abs(ofA - 60) <= 1, `${ofA} of 90`);
+    const fromA = first.filter((item) => item.organisation === "a").length;
+    assert.ok(Math.abs(fromA - 60) <= 1, `${fromA} of 90`);
   });
 
   it("gives no advantage to an organisation that sends one item at a time", () => {
@@ -47,14 +47,14 @@
     for (let index = 0; index < 100; index++) {
       queue.add(createItem(`busy${index}`, { organisation: "busy" }));
     }
-    let ofSingle = 0;
+    let fromSingle = 0;
     for (let turn = 0; turn < 60; turn++) {
       if (turn % 2 === 0) {
         queue.add(createItem(`single${turn}`, { organisation: "single" }));
       }
-      if (queue.tryTake()?.organisation === "single") ofSingle++;
+      if (queue.tryTake()?.organisation === "single") fromSingle++;
     }
-    assert.ok(ofSingle <= 31, `${ofSingle} of 60`);
+    assert.ok(fromSingle <= 31, `${fromSingle} of 60`);
   });
 
   it("lists the items in scheduling order without removing them", () => {
--- a/src/policy/group_capacity.ts
+++ b/src/policy/group_capacity.ts
@@ -53,22 +53,22 @@
 /**
  * Fraction of the pause that a pass may take; the rest covers variation between passes.
  */
-const PASS_PART = 0.9;
+const PASS_FRACTION = 0.9;
 /**
  * Milliseconds for which a cost is used; the popularity of experts changes every 2.5 to 4
  * s.
  */
-const COST_MEMORY_MS = 6000;
+const COST_WINDOW_MS = 6000;
 /** Milliseconds after which a report is ignored, as the decider has probably failed. */
-const REPORT_LIMIT_MS = 1500;
+const MAX_REPORT_AGE_MS = 1500;
 /**
  * Samples with a load below this fraction of the slots are ignored: the variation of idle
  * passes, divided by few requests, would look like a high cost.
  */
-const LEAST_SAMPLED_PART = 0.1;
+const MIN_SAMPLED_FRACTION = 0.1;
 /** Upper bounds of plausible reports. */
-const LONGEST_PASS_MS = 60_000;
-const LARGEST_LOAD = 1_000_000;
+const MAX_PASS_MS = 60_000;
+const MAX_LOAD = 1_000_000;
 
 /** Computes the capacity of one rank group from the reports of its decider. */
 export class GroupCapacity {
@@ -81,8 +81,8 @@
    * @example
    * ```ts
    * const capacity = new GroupCapacity();
-   * capacity.note({ at: 0, passMs: 90, load: 100 }); // true
-   * capacity.note({ at: 200, passMs: -1, load: 100 }); // false
+   * capacity.record({ at: 0, passMs: 90, load: 100 }); // true
+   * capacity.record({ at: 200, passMs: -1, load: 100 }); // false
    * ```
    */
   note(report: CapacityReport): boolean {
@@ -91,7 +91,7 @@
     if (epoch !== this.#last?.epoch) this.#samples = [];
     this.#last = report;
     this.#samples = this.#samples.filter((sample) =>
-      at - sample.at < COST_MEMORY_MS
+      at - sample.at < COST_WINDOW_MS
     );
     if (passMs !== undefined) this.#samples.push({ at, passMs, load });
     return true;
@@ -104,18 +104,18 @@
    *
    * @example
    * ```ts
-   * const facts = { now: 100, pauseMs: 150, idlePassMs: 35, slots: 224 };
-   * capacity.tryGet(facts)?.capacity; // (0.9 * 150 - 35) / 0.55 = 181.8
+   * const context = { now: 100, pauseMs: 150, idlePassMs: 35, slots: 224 };
+   * capacity.tryGet(context)?.capacity; // (0.9 * 150 - 35) / 0.55 = 181.8
    * ```
    */
-  tryGet(facts: CapacityFacts): GroupUtilization | undefined {
-    const { now, pauseMs, idlePassMs, slots } = facts;
+  tryGet(context: CapacityFacts): GroupUtilization | undefined {
+    const { now, pauseMs, idlePassMs, slots } = context;
     const last = this.#last;
     if (last === undefined) return undefined;
     const ageMs = now - last.at;
-    const workMs = PASS_PART * pauseMs - idlePassMs;
-    if (ageMs > REPORT_LIMIT_MS || workMs <= 0) return undefined;
-    const costMs = this.#highestCost(facts);
+    const workMs = PASS_FRACTION * pauseMs - idlePassMs;
+    if (ageMs > MAX_REPORT_AGE_MS || workMs <= 0) return undefined;
+    const costMs = this.#getHighestCostMs(context);
     const capacity = costMs > 0 ? Math.min(slots, workMs / costMs) : slots;
     return { load: last.load, capacity, ageMs };
   }
@@ -124,11 +124,11 @@
    * Returns the highest recent cost: the milliseconds by which one request lengthens a
    * pass.
    */
-  #highestCost({ now, idlePassMs, slots }: CapacityFacts): number {
+  #getHighestCostMs({ now, idlePassMs, slots }: CapacityFacts): number {
     let highest = 0;
     for (const { at, passMs, load } of this.#samples) {
-      const isOld = now - at >= COST_MEMORY_MS;
-      if (isOld || load < LEAST_SAMPLED_PART * slots) continue;
+      const isExpired = now - at >= COST_WINDOW_MS;
+      if (isExpired || load < MIN_SAMPLED_FRACTION * slots) continue;
       highest = Math.max(highest, (passMs - idlePassMs) / load);
     }
     return highest;
@@ -136,7 +136,7 @@
 }
 
 function isPlausible({ passMs, load }: CapacityReport): boolean {
-  const isPass = passMs === undefined ||
-    (passMs > 0 && passMs <= LONGEST_PASS_MS);
-  return isPass && load >= 0 && load <= LARGEST_LOAD;
+  const isPassTimePlausible = passMs === undefined ||
+    (passMs > 0 && passMs <= MAX_PASS_MS);
+  return isPassTimePlausible && load >= 0 && load <= MAX_LOAD;
 }
--- a/src/policy/group_capacity_test.ts
+++ b/src/policy/group_capacity_test.ts
@@ -8,7 +8,7 @@
 
 const IDLE_PASS_MS = 35;
 
-function createFacts(changes: Partial<CapacityFacts> = {}): CapacityFacts {
+function createContext(changes: Partial<CapacityFacts> = {}): CapacityFacts {
   return {
     now: 0,
     pauseMs: 150,
@@ -27,16 +27,19 @@
   return { at: 0, passMs: IDLE_PASS_MS + costMs * load, load, ...changes };
 }
 
-function capacityAt(capacity: GroupCapacity, now: number): number | undefined {
-  const room = capacity.tryGet(createFacts({ now }));
-  return room && Math.round(room.capacity);
+function getCapacityAt(
+  capacity: GroupCapacity,
+  now: number,
+): number | undefined {
+  const utilization = capacity.tryGet(createContext({ now }));
+  return utilization && Math.round(utilization.capacity);
 }
 
 describe("capacity of a rank group", () => {
   it("is the number of requests whose passes fit within the pause", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(0.5));
-    assert.equal(capacityAt(capacity, 0), 200);
+    assert.equal(getCapacityAt(capacity, 0), 200);
   });
 
   it("keeps a short peak of the cost for the duration of an answer", () => {
@@ -45,58 +48,58 @@
     for (let at = 200; at <= 5800; at += 200) {
       capacity.note(createReport(0.5, { at }));
     }
-    assert.equal(capacityAt(capacity, 5800), 100);
+    assert.equal(getCapacityAt(capacity, 5800), 100);
     capacity.note(createReport(0.5, { at: 6000 }));
-    assert.equal(capacityAt(capacity, 6000), 200);
+    assert.equal(getCapacityAt(capacity, 6000), 200);
   });
 
   it("does not exceed the slots", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(0.1));
-    assert.equal(capacityAt(capacity, 0), 224);
+    assert.equal(getCapacityAt(capacity, 0), 224);
   });
 
   it("ignores costs measured with few requests in a nearly idle group", () => {
     const capacity = new GroupCapacity();
     capacity.note({ at: 0, passMs: 45, load: 2 });
-    assert.equal(capacityAt(capacity, 0), 224);
+    assert.equal(getCapacityAt(capacity, 0), 224);
   });
 
   it("is unknown once the decider stops reporting", () => {
     const capacity = new GroupCapacity();
-    assert.equal(capacityAt(capacity, 0), undefined);
+    assert.equal(getCapacityAt(capacity, 0), undefined);
     capacity.note(createReport(0.5));
-    assert.equal(capacityAt(capacity, 1500), 200);
-    assert.equal(capacityAt(capacity, 1501), undefined);
+    assert.equal(getCapacityAt(capacity, 1500), 200);
+    assert.equal(getCapacityAt(capacity, 1501), undefined);
   });
 
   it("discards the costs of an earlier epoch", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(1, { epoch: 1 }));
     capacity.note(createReport(0.5, { epoch: 2, at: 200 }));
-    assert.equal(capacityAt(capacity, 200), 200);
+    assert.equal(getCapacityAt(capacity, 200), 200);
   });
 
   it("drops implausible reports", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(0.5));
-    const absurd: readonly Partial<CapacityReport>[] = [
+    const implausible: readonly Partial<CapacityReport>[] = [
       { passMs: Number.NaN },
       { passMs: -1 },
       { passMs: 1e9 },
       { load: -1 },
       { load: Number.POSITIVE_INFINITY },
     ];
-    for (const changes of absurd) {
+    for (const changes of implausible) {
       assert.equal(capacity.note(createReport(0.5, changes)), false);
     }
-    assert.equal(capacityAt(capacity, 0), 200);
+    assert.equal(getCapacityAt(capacity, 0), 200);
   });
 
   it("is unknown if even an idle pass takes too long", () => {
     const capacity = new GroupCapacity();
     capacity.note(createReport(0.5));
-    const facts = createFacts({ idlePassMs: 140 });
-    assert.equal(capacity.tryGet(facts), undefined);
+    const context = createContext({ idlePassMs: 140 });
+    assert.equal(capacity.tryGet(context), undefined);
   });
 });
--- a/src/policy/idle_lifetime.ts
+++ b/src/policy/idle_lifetime.ts
@@ -11,14 +11,14 @@
  */
 
 /** Maximum idle time in milliseconds, whatever a server announces. */
-const LONGEST_MS = 60_000;
+const MAX_LIMIT_MS = 60_000;
 /** Minimum idle time in milliseconds; connections are reused sooner than this. */
-const SHORTEST_MS = 50;
+const MIN_LIMIT_MS = 50;
 /**
  * Fraction of a dead connection's idle time up to which others are reused, as it may have
  * been dropped at any time since its last answer.
  */
-const SAFE_PART = 0.5;
+const SAFE_FRACTION = 0.5;
 /**
  * Milliseconds after which the limit is doubled. Each doubling risks one request, so it
  * happens no more often than callers would notice.
@@ -27,7 +27,7 @@
 
 /** Tracks for how long idle connections to the servers of one pool can be reused. */
 export class IdleLifetime {
-  #limitMs = LONGEST_MS;
+  #limitMs = MAX_LIMIT_MS;
   #changedAt = Number.NEGATIVE_INFINITY;
 
   /**
@@ -41,16 +41,16 @@
    * ```
    */
   getLimitMs(now: number): number {
-    while (this.#limitMs < LONGEST_MS && this.#isDoubledAt(now)) {
-      this.#limitMs = Math.min(LONGEST_MS, this.#limitMs * 2);
+    while (this.#limitMs < MAX_LIMIT_MS && this.#isDoubledAt(now)) {
+      this.#limitMs = Math.min(MAX_LIMIT_MS, this.#limitMs * 2);
       this.#changedAt += DOUBLE_AFTER_MS;
     }
     return this.#limitMs;
   }
 
-  /** Records that a connection was found dead after `restedMs` of idle time. */
-  noteDead(restedMs: number, now: number): void {
-    const limitMs = Math.max(SHORTEST_MS, restedMs * SAFE_PART);
+  /** Records that a connection was found dead after `idleMs` of idle time. */
+  noteDead(idleMs: number, now: number): void {
+    const limitMs = Math.max(MIN_LIMIT_MS, idleMs * SAFE_FRACTION);
     this.#limitMs = Math.min(this.getLimitMs(now), limitMs);
     this.#changedAt = now;
   }
--- a/src/policy/idle_lifetime_test.ts
+++ b/src/policy/idle_lifetime_test.ts
@@ -4,18 +4,18 @@
 
 /**
  * Counts the requests that an entry sends on dropped connections. It sends one request
- * every `gapMs`, and servers drop idle connections after `forgottenAfterMs`.
+ * every `gapMs`, and servers drop idle connections after `droppedAfterMs`.
  */
-function countLost(gapMs: number, forgottenAfterMs: number): number {
+function countLost(gapMs: number, droppedAfterMs: number): number {
   const lifetime = new IdleLifetime();
-  let lost = 0;
+  let lostCount = 0;
   for (let now = gapMs; now < 40_000; now += gapMs) {
     const isUsed = gapMs < lifetime.getLimitMs(now);
-    if (!isUsed || gapMs < forgottenAfterMs) continue;
-    lost++;
+    if (!isUsed || gapMs < droppedAfterMs) continue;
+    lostCount++;
     lifetime.noteDead(gapMs, now);
   }
-  return lost;
+  return lostCount;
 }
 
 describe("the lifetime of idle connections", () => {
--- a/src/policy/late_admission.ts
+++ b/src/policy/late_admission.ts
@@ -22,7 +22,7 @@
  */
 
 /** A decider's report of the pass time of its group. */
-export interface PassWord {
+export interface PassReport {
   /** Mean time of a pass, in milliseconds; undefined if there was no recent pass. */
   readonly passMs: number | undefined;
   readonly at: number;
@@ -41,33 +41,33 @@
  * Fraction of the tolerated pause up to which passes count as short. A usual pass takes
  * less than half of the pause, a pass with all slots in use more than all of it.
  */
-const SHORT_PASS_PART = 0.6;
+const SHORT_PASS_FRACTION = 0.6;
 /**
  * Maximum number of late requests that an entry sends between two reports of short
  * passes.
  */
-const MOST_PER_WORD = 2;
+const MAX_PER_REPORT = 2;
 /** The same while the pass time is unknown, in a group that has just opened. */
-const MOST_PER_FIRST_WORD = 1;
+const MAX_PER_UNKNOWN_REPORT = 1;
 /**
  * Milliseconds after which a late request is no longer deferred: its caller gives up two
  * seconds after arrival, and the first piece of an answer takes some passes.
  */
-const LONGEST_HELD_MS = 1300;
+const MAX_DEFERRAL_MS = 1300;
 /** Milliseconds after which a report is ignored, as the decider is unavailable. */
-const WORD_LIMIT_MS = 1500;
+const REPORT_TTL_MS = 1500;
 
 /** Limits the late requests that are admitted to one rank group. */
 export class LateAdmission {
-  #word: PassWord | undefined;
-  #let = 0;
+  #report: PassReport | undefined;
+  #admittedCount = 0;
 
   /**
    * Records a report of the group's decider; they arrive every few hundred milliseconds.
    */
-  note(word: PassWord): void {
-    this.#word = word;
-    this.#let = 0;
+  note(report: PassReport): void {
+    this.#report = report;
+    this.#admittedCount = 0;
   }
 
   /**
@@ -76,22 +76,22 @@
    * @example
    * ```ts
    * const admission = new LateAdmission();
-   * admission.note({ passMs: 50, at: 0 });
-   * admission.isOpen(120, { now: 10, waitedMs: 0, hasFreePlace: true }); // true
+   * admission.recordReport({ passMs: 50, at: 0 });
+   * admission.mayAdmit(120, { now: 10, waitedMs: 0, hasFreeSlot: true }); // true
    * ```
    */
-  isOpen(pauseObjectiveMs: number | undefined, late: LateRequest): boolean {
-    const { now } = late;
-    const word = this.#word;
-    if (word === undefined || now - word.at > WORD_LIMIT_MS) return true;
+  isOpen(pauseObjectiveMs: number | undefined, request: LateRequest): boolean {
+    const { now } = request;
+    const report = this.#report;
+    if (report === undefined || now - report.at > REPORT_TTL_MS) return true;
     if (pauseObjectiveMs === undefined) return true;
-    if (isLastChance(late, word, pauseObjectiveMs)) return true;
-    return this.#let < mostPerWord(word, pauseObjectiveMs);
+    if (isLastChance(request, report, pauseObjectiveMs)) return true;
+    return this.#admittedCount < getMaxPerReport(report, pauseObjectiveMs);
   }
 
   /** Records that a late request was sent to the group. */
   count(): void {
-    this.#let++;
+    this.#admittedCount++;
   }
 }
 
@@ -102,14 +102,17 @@
  */
 function isLastChance(
   { waitedMs, hasFreePlace }: LateRequest,
-  { passMs = 0 }: PassWord,
+  { passMs = 0 }: PassReport,
   pauseObjectiveMs: number,
 ): boolean {
-  return waitedMs >= LONGEST_HELD_MS && hasFreePlace &&
+  return waitedMs >= MAX_DEFERRAL_MS && hasFreePlace &&
     passMs <= pauseObjectiveMs;
 }
 
-function mostPerWord({ passMs }: PassWord, pauseObjectiveMs: number): number {
-  if (passMs === undefined) return MOST_PER_FIRST_WORD;
-  return passMs <= SHORT_PASS_PART * pauseObjectiveMs ? MOST_PER_WORD : 0;
+function getMaxPerReport(
+  { passMs }: PassReport,
+  pauseObjectiveMs: number,
+): number {
+  if (passMs === undefined) return MAX_PER_UNKNOWN_REPORT;
+  return passMs <= SHORT_PASS_FRACTION * pauseObjectiveMs ? MAX_PER_REPORT : 0;
 }
--- a/src/policy/late_admission_test.ts
+++ b/src/policy/late_admission_test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { LateAdmission } from "./late_admission.ts";
+import { LateAdmission, type LateRequest } from "./late_admission.ts";
 
 const PAUSE_OBJECTIVE_MS = 120;
 const ENTRIES = 9;
 /** Milliseconds between two reports of the decider. */
-const WORD_MS = 200;
+const REPORT_INTERVAL_MS = 200;
 /** Late requests that wait as the group opens, over all entries. */
 const WAITING = 250;
 /** New requests a second, over all entries. */
@@ -17,7 +17,7 @@
 const PASS_MS_PER_REQUEST = 0.35;
 
 /** Whether a request that has just arrived may be sent. */
-function isOpenAt(admission: LateAdmission, now: number): boolean {
+function mayAdmitAt(admission: LateAdmission, now: number): boolean {
   return admission.isOpen(PAUSE_OBJECTIVE_MS, {
     now,
     waitedMs: 0,
@@ -26,22 +26,22 @@
 }
 
 /** Returns the longest pass within three seconds after a lost group opens. */
-function playOpening(isLimited: boolean): number {
+function simulateOpening(isLimited: boolean): number {
   const admissions = Array.from({ length: ENTRIES }, () => new LateAdmission());
   let waiting = WAITING;
   let longestPassMs = 0;
-  let nextWordAt = 0;
+  let nextReportAt = 0;
   let passMs: number | undefined;
   let running: number[] = [];
   let fresh = 0;
   for (let now = 0; now < 3000;) {
-    if (now >= nextWordAt) {
+    if (now >= nextReportAt) {
       for (const admission of admissions) admission.note({ passMs, at: now });
-      nextWordAt += WORD_MS;
+      nextReportAt += REPORT_INTERVAL_MS;
     }
     for (const admission of admissions) {
       while (waiting > 0) {
-        if (isLimited && !isOpenAt(admission, now)) break;
+        if (isLimited && !mayAdmitAt(admission, now)) break;
         admission.count();
         waiting--;
         running.push(PIECES);
@@ -60,27 +60,27 @@
 
 describe("late requests at a group that opens", () => {
   it("make passes too long when all are sent at once", () => {
-    assert.ok(playOpening(false) > PAUSE_OBJECTIVE_MS);
+    assert.ok(simulateOpening(false) > PAUSE_OBJECTIVE_MS);
   });
 
   it("keep passes short when limited by the reported pass time", () => {
-    assert.ok(playOpening(true) <= PAUSE_OBJECTIVE_MS);
+    assert.ok(simulateOpening(true) <= PAUSE_OBJECTIVE_MS);
   });
 
   it("are admitted one at a time while the pass time is unknown", () => {
     const admission = new LateAdmission();
     admission.note({ passMs: undefined, at: 0 });
-    assert.equal(isOpenAt(admission, 0), true);
+    assert.equal(mayAdmitAt(admission, 0), true);
     admission.count();
-    assert.equal(isOpenAt(admission, 0), false);
+    assert.equal(mayAdmitAt(admission, 0), false);
   });
 
   it("are not limited when the decider stops reporting", () => {
     const admission = new LateAdmission();
-    assert.equal(isOpenAt(admission, 0), true);
+    assert.equal(mayAdmitAt(admission, 0), true);
     admission.note({ passMs: 200, at: 0 });
-    assert.equal(isOpenAt(admission, 100), false);
-    assert.equal(isOpenAt(admission, 2000), true);
+    assert.equal(mayAdmitAt(admission, 100), false);
+    assert.equal(mayAdmitAt(admission, 2000), true);
   });
 
   /**
@@ -90,16 +90,16 @@
   it("are admitted before their callers give up, even if passes are long", () => {
     const admission = new LateAdmission();
     admission.note({ passMs: 100, at: 0 });
-    const isOpenAfter = (waitedMs: number, hasFreePlace: boolean) =>
+    const mayAdmitAfter = (waitedMs: number, hasFreePlace: boolean) =>
       admission.isOpen(PAUSE_OBJECTIVE_MS, {
         now: 100,
         waitedMs,
         hasFreePlace,
       });
-    assert.equal(isOpenAfter(1000, true), false);
-    assert.equal(isOpenAfter(1400, true), true);
+    assert.equal(mayAdmitAfter(1000, true), false);
+    assert.equal(mayAdmitAfter(1400, true), true);
     // The caller would give up before a slot becomes free.
-    assert.equal(isOpenAfter(1400, false), false);
+    assert.equal(mayAdmitAfter(1400, false), false);
   });
 
   /**
@@ -109,7 +109,11 @@
   it("are not admitted as a last chance if passes exceed the tolerated pause", () => {
     const admission = new LateAdmission();
     admission.note({ passMs: 150, at: 0 });
-    const late = { now: 100, waitedMs: 1400, hasFreePlace: true };
-    assert.equal(admission.isOpen(PAUSE_OBJECTIVE_MS, late), false);
+    const request: LateRequest = {
+      now: 100,
+      waitedMs: 1400,
+      hasFreePlace: true,
+    };
+    assert.equal(admission.isOpen(PAUSE_OBJECTIVE_MS, request), false);
   });
 });
--- a/src/policy/leaving_targets.ts
+++ b/src/policy/leaving_targets.ts
@@ -12,12 +12,12 @@
 import { createHash } from "node:crypto";
 
 /** Maximum number of targets that entries replicate. */
-const MOST_TOLD = 1024;
+const MAX_REPLICATED = 1024;
 /**
  * Milliseconds for which a target that is no longer listed is remembered. A list may lack
  * a target while the platform's store is unavailable or restored from an older copy.
  */
-const REMEMBERED_MS = 600_000;
+const RETENTION_MS = 600_000;
 
 /** A target that has announced that it is leaving. */
 export interface LeavingTarget {
@@ -40,7 +40,7 @@
 
   /** Digest of the leaving targets, equal for equal sets of targets. */
   get content(): string {
-    return this.#content ??= describeAll(this.list());
+    return this.#content ??= computeDigest(this.list());
   }
 
   /** Returns the leaving targets that are replicated, ordered by name. */
@@ -48,7 +48,7 @@
     return [...this.#knownAt]
       .map(([target, knownAt]) => ({ target, knownAt }))
       .sort((left, right) => left.target < right.target ? -1 : 1)
-      .slice(0, MOST_TOLD);
+      .slice(0, MAX_REPLICATED);
   }
 
   /** Whether a target has announced that it is leaving. */
@@ -58,18 +58,21 @@
 
   /** Records a target's announcement; returns whether it is new. */
   note(target: string, now: number): boolean {
-    const isNews = !this.#knownAt.has(target);
+    const isNew = !this.#knownAt.has(target);
     this.#set(target, now);
-    return isNews;
+    return isNew;
   }
 
   /** Merges the targets received from another entry; returns the new ones. */
-  merge(told: readonly LeavingTarget[], now: number): readonly LeavingTarget[] {
-    const news = told.filter((one) =>
-      !this.#knownAt.has(one.target) && !this.#isOld(one, now)
+  merge(
+    received: readonly LeavingTarget[],
+    now: number,
+  ): readonly LeavingTarget[] {
+    const added = received.filter((leaving) =>
+      !this.#knownAt.has(leaving.target) && !this.#isOld(leaving, now)
     );
-    for (const { target, knownAt } of news) this.#set(target, knownAt);
-    return news;
+    for (const { target, knownAt } of added) this.#set(target, knownAt);
+    return added;
   }
 
   /** Replaces the set of listed targets. */
@@ -82,7 +85,7 @@
   }
 
   #isOld({ target, knownAt }: LeavingTarget, now: number): boolean {
-    return !this.#listed.has(target) && now - knownAt >= REMEMBERED_MS;
+    return !this.#listed.has(target) && now - knownAt >= RETENTION_MS;
   }
 
   #set(target: string, knownAt: number): void {
@@ -96,7 +99,7 @@
   }
 }
 
-function describeAll(targets: readonly LeavingTarget[]): string {
+function computeDigest(targets: readonly LeavingTarget[]): string {
   if (targets.length === 0) return "";
   const text = targets.map(({ target }) => target).join(" ");
   return createHash("sha256").update(text).digest("base64url");
--- a/src/policy/link_pacer.ts
+++ b/src/policy/link_pacer.ts
@@ -17,7 +17,7 @@
 /** Limits traffic to a fraction of a link. */
 export class LinkPacer {
   readonly #options: LinkPacerOptions;
-  #isFreeAt = Number.NEGATIVE_INFINITY;
+  #freeAt = Number.NEGATIVE_INFINITY;
 
   /** Starts with the whole allowance available. */
   constructor(options: LinkPacerOptions) {
@@ -33,9 +33,9 @@
    * ```
    */
   tryTake(bytes: number, now: number): boolean {
-    if (now < this.#isFreeAt) return false;
+    if (now < this.#freeAt) return false;
     const { bytesPerSecond, part } = this.#options;
-    this.#isFreeAt = now + bytes / (part * bytesPerSecond) * MS_PER_SECOND;
+    this.#freeAt = now + bytes / (part * bytesPerSecond) * MS_PER_SECOND;
     return true;
   }
 }
--- a/src/policy/permit_bounds.ts
+++ b/src/policy/permit_bounds.ts
@@ -12,22 +12,22 @@
 import type { TokenBucketOptions } from "./token_bucket.ts";
 
 /** Milliseconds for which a permit is valid, counted from the request for it. */
-export const PERMIT_MS = 1000;
+export const PERMIT_LIFETIME_MS = 1000;
 /** Size of a burst in seconds of the limit; a burst is at least one request. */
 const BURST_SECONDS = 0.25;
 /**
  * Minimum rate in requests a second. At a rate of 0 the target would get no request, and
  * the end of its limit would go unnoticed.
  */
-const LEAST_PER_SECOND = 0.1;
+const MIN_PER_SECOND = 0.1;
 /** Maximum burst of the issuer that issues the whole of a warm-up limit. */
-const WARM_UP_BURST = 2;
+const MAX_WARM_UP_BURST = 2;
 /** Maximum burst of an issuer that issues a share of a warm-up limit. */
-const WARM_UP_PART_BURST = 1;
+const MAX_SHARED_WARM_UP_BURST = 1;
 /** Minimum lifetime in milliseconds of a permit for a target that warms up. */
-const WARM_UP_PERMIT_MS = 200;
+const MIN_WARM_UP_LIFETIME_MS = 200;
 /** Added to that lifetime, in permit intervals at the limit's rate. */
-const WARM_UP_PERMITS_KEPT = 1.5;
+const WARM_UP_LIFETIME_INTERVALS = 1.5;
 
 /**
  * Returns the options of the bucket from which an entry issues a share of a limit.
@@ -39,13 +39,14 @@
  */
 export function getBucketOptions(
   limit: SendLimit | undefined,
-  part: number,
+  share: number,
 ): TokenBucketOptions {
-  const given = Math.max(LEAST_PER_SECOND, limit?.perSecond ?? 0) * part;
-  const burst = Math.max(1, given * BURST_SECONDS);
-  if (limit?.isWarmUp !== true) return { perSecond: given, burst };
-  const most = part === 1 ? WARM_UP_BURST : WARM_UP_PART_BURST;
-  return { perSecond: given, burst: Math.min(burst, most) };
+  const issuedPerSecond = Math.max(MIN_PER_SECOND, limit?.perSecond ?? 0) *
+    share;
+  const burst = Math.max(1, issuedPerSecond * BURST_SECONDS);
+  if (limit?.isWarmUp !== true) return { perSecond: issuedPerSecond, burst };
+  const maxBurst = share === 1 ? MAX_WARM_UP_BURST : MAX_SHARED_WARM_UP_BURST;
+  return { perSecond: issuedPerSecond, burst: Math.min(burst, maxBurst) };
 }
 
 /**
@@ -53,14 +54,14 @@
  *
  * @example
  * ```ts
- * const until = askedAt + getPermitMs(limits.tryGet(target));
+ * const expiresAt = requestedAt + getPermitLifetimeMs(limits.tryGet(target));
  * ```
  */
-export function getPermitMs(limit: SendLimit | undefined): number {
-  if (limit?.isWarmUp !== true) return PERMIT_MS;
-  const perSecond = Math.max(LEAST_PER_SECOND, limit.perSecond);
+export function getPermitLifetimeMs(limit: SendLimit | undefined): number {
+  if (limit?.isWarmUp !== true) return PERMIT_LIFETIME_MS;
+  const perSecond = Math.max(MIN_PER_SECOND, limit.perSecond);
   return Math.min(
-    PERMIT_MS,
-    WARM_UP_PERMIT_MS + WARM_UP_PERMITS_KEPT * 1000 / perSecond,
+    PERMIT_LIFETIME_MS,
+    MIN_WARM_UP_LIFETIME_MS + WARM_UP_LIFETIME_INTERVALS * 1000 / perSecond,
   );
 }
--- a/src/policy/permit_bounds_test.ts
+++ b/src/policy/permit_bounds_test.ts
@@ -5,7 +5,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createInstance } from "../testing/fixtures.ts";
-import { getPermitMs } from "./permit_bounds.ts";
+import { getPermitLifetimeMs } from "./permit_bounds.ts";
 import { CombinedLimits, type SendLimits } from "./send_limits.ts";
 import { SendPermits } from "./send_permits.ts";
 import { TargetLimits } from "./target_limits.ts";
@@ -38,12 +38,12 @@
 }
 
 /** Returns the entries that issue permits for the target, the primary issuer first. */
-function listGivers(names: readonly string[]): readonly string[] {
+function listIssuers(names: readonly string[]): readonly string[] {
   const limits = createLimits(1);
-  const find = (left: readonly string[]) =>
-    left.find((name) => {
+  const find = (remaining: readonly string[]) =>
+    remaining.find((name) => {
       const permits = new SendPermits(name, limits);
-      permits.setEntries(left, 0);
+      permits.setEntries(remaining, 0);
       return permits.isFirstOf(TARGET);
     }) as string;
   const first = find(names);
@@ -52,19 +52,19 @@
 
 /** Returns the times at which an entry issues permits under continuous demand. */
 function drain(permits: SendPermits): readonly number[] {
-  const given: number[] = [];
+  const issued: number[] = [];
   permits.give(TARGET, 0, SETTLED_MS - RUN_MS);
   for (let now = SETTLED_MS; now < SETTLED_MS + RUN_MS; now += 5) {
     const { granted } = permits.give(TARGET, 8, now);
-    for (let permit = 0; permit < granted; permit++) given.push(now);
+    for (let permit = 0; permit < granted; permit++) issued.push(now);
   }
-  return given;
+  return issued;
 }
 
 /** Returns the maximum number of permits issued in any span of `spanMs`. */
-function mostIn(spanMs: number, given: readonly number[]): number {
-  const spans = given.map((from) =>
-    given.filter((at) => at >= from && at < from + spanMs).length
+function getMaxIn(spanMs: number, issued: readonly number[]): number {
+  const spans = issued.map((from) =>
+    issued.filter((at) => at >= from && at < from + spanMs).length
   );
   return Math.max(...spans);
 }
@@ -77,14 +77,17 @@
     it(`stay within the bound at ${perSecond} a second`, (test) => {
       const limits = createLimits(perSecond);
       const names = createNames(41);
-      const given = listGivers(names).flatMap((name) => {
+      const issued = listIssuers(names).flatMap((name) => {
         const permits = new SendPermits(name, limits);
         permits.setEntries(names, 0);
         return drain(permits);
       });
-      const most = mostIn(1000 + getPermitMs(limits.tryGet(TARGET)), given);
-      test.diagnostic(`${most} of ${bound}`);
-      assert.ok(most <= bound, `${most}`);
+      const maxIssued = getMaxIn(
+        1000 + getPermitLifetimeMs(limits.tryGet(TARGET)),
+        issued,
+      );
+      test.diagnostic(`${maxIssued} of ${bound}`);
+      assert.ok(maxIssued <= bound, `${maxIssued}`);
     });
 
     // Guards against an entry that joins as the primary issuer and issues permits beside
@@ -92,26 +95,26 @@
     it(`stay within the bound when an entry joins, at ${perSecond} a second`, (test) => {
       const limits = createLimits(perSecond);
       const names = createNames(41);
-      const [joins] = listGivers(names) as [string];
-      const before = names.filter((name) => name !== joins);
-      const [first, second] = listGivers(before) as [string, string];
+      const [joining] = listIssuers(names) as [string];
+      const before = names.filter((name) => name !== joining);
+      const [first, second] = listIssuers(before) as [string, string];
       const settled = [first, second].map((name) => {
         const permits = new SendPermits(name, limits);
         permits.setEntries(before, 0);
         return drain(permits);
       });
-      const permits = new SendPermits(joins, limits);
+      const permits = new SendPermits(joining, limits);
       permits.setEntries(names, SETTLED_MS);
       const joined = drain(permits)
         .filter((at) => at < SETTLED_MS + 5000);
       const [ofFirst] = settled as [readonly number[]];
-      const withJoined = mostIn(
-        1000 + getPermitMs(limits.tryGet(TARGET)),
+      const withJoined = getMaxIn(
+        1000 + getPermitLifetimeMs(limits.tryGet(TARGET)),
         [...ofFirst, ...joined],
       );
       // Three entries issue permits only if one of them is also cut off, and then permits
       // are used immediately.
-      const three = mostIn(1000, [...settled.flat(), ...joined]);
+      const three = getMaxIn(1000, [...settled.flat(), ...joined]);
       test.diagnostic(`${withJoined} and ${three} of ${bound}`);
       assert.ok(withJoined <= bound && three <= bound);
     });
--- a/src/policy/placement/greedy_packer.ts
+++ b/src/policy/placement/greedy_packer.ts
@@ -39,7 +39,7 @@
   slots: readonly number[],
 ): LayerPlacement {
   const total = slots.reduce((sum, count) => sum + count, 0);
-  const replicas = splitHottest(load.tokens, total);
+  const replicas = createReplicas(load.tokens, total);
   const experts = slots.map((): number[] => []);
   const tokens = slots.map(() => 0);
   for (const replica of replicas) {
@@ -54,7 +54,7 @@
  * Assigns one replica to each expert, and each remaining one to the expert with the
  * highest load per replica.
  */
-function splitHottest(
+function createReplicas(
   tokens: readonly number[],
   total: number,
 ): readonly Replica[] {
@@ -62,7 +62,10 @@
   for (let spare = total - tokens.length; spare > 0; spare--) {
     let hottest = 0;
     for (let expert = 1; expert < tokens.length; expert++) {
-      if (share(tokens, counts, expert) > share(tokens, counts, hottest)) {
+      if (
+        getReplicaTokens(tokens, counts, expert) >
+          getReplicaTokens(tokens, counts, hottest)
+      ) {
         hottest = expert;
       }
     }
@@ -72,13 +75,13 @@
     .flatMap((count, expert) =>
       Array.from({ length: count }, (): Replica => ({
         expert,
-        tokens: share(tokens, counts, expert),
+        tokens: getReplicaTokens(tokens, counts, expert),
       }))
     )
     .sort((left, right) => right.tokens - left.tokens);
 }
 
-function share(
+function getReplicaTokens(
   tokens: readonly number[],
   counts: readonly number[],
   expert: number,
--- a/src/policy/placement/incremental_planner.ts
+++ b/src/policy/placement/incremental_planner.ts
@@ -58,7 +58,7 @@
  * pass that it saves to the fraction of all experts that it moves. The minimum falls as
  * the pass time approaches the pause that callers tolerate.
  */
-const EASY_GAIN = 10;
+const SHORT_PASS_COPY_GAIN = 10;
 /**
  * Milliseconds for which a switch delays the group, as its pass is held until all ranks
  * are armed. The plan must save at least as much within {@link USEFUL_MS}.
@@ -69,25 +69,25 @@
  * don't notice what it saves, but each switch may hold the group for a moment that all of
  * them notice.
  */
-const EASY_PLAN_GAIN = 0.08;
+const SHORT_PASS_PLAN_GAIN = 0.08;
 /**
  * Ratio of the pass time to that pause from which on every copy is made that saves more
  * than it costs.
  */
-const PRESSING_PASS_PART = 0.8;
+const LONG_PASS_FRACTION = 0.8;
 /**
  * Fraction of a layer's cost that dropping a replica must save; dropping needs no copy.
  */
-const SMALLEST_DROP_GAIN = 0.001;
+const MIN_DROP_GAIN = 0.001;
 /** Number of most loaded ranks of a layer whose experts may get more replicas. */
-const RANKS_CONSIDERED = 2;
+const MAX_HOT_RANKS = 2;
 /**
  * Number of least loaded ranks of a layer that are considered as destinations. The best
  * one is among them, and plans for large groups take a third of the time.
  */
-const RECEIVERS_CONSIDERED = 16;
+const MAX_RECEIVERS = 16;
 /** Number of replicas at a full rank that are considered for removal. */
-const DROPS_CONSIDERED = 2;
+const MAX_DROP_CANDIDATES = 2;
 
 interface ScoredChange {
   readonly layer: number;
@@ -113,7 +113,7 @@
 class IncrementSearch {
   readonly #limits: PlanLimits;
   /** Minimum fraction of a pass that one copy must save. */
-  readonly #smallestGain: number;
+  readonly #minCopyGain: number;
   readonly #drafts: readonly PlacementDraft[];
   /** Number of copies by rank, and by layer and rank. */
   readonly #copies: number[];
@@ -121,7 +121,7 @@
   /**
    * Best change of each layer: undefined if there is none, absent if not yet searched.
    */
-  readonly #bestOf = new Map<number, ScoredChange | undefined>();
+  readonly #bestByLayer = new Map<number, ScoredChange | undefined>();
 
   constructor(input: PlanInput, limits: PlanLimits) {
     const { current, tokens, paces } = input;
@@ -130,13 +130,13 @@
     this.#drafts = current.layers.map((placement, layer) =>
       new PlacementDraft({
         placement,
-        tokens: normalized(tokens[layer] as readonly number[]),
+        tokens: normalize(tokens[layer] as readonly number[]),
         paces,
         slotsPerRank,
       })
     );
     const experts = tokens.reduce((sum, layer) => sum + layer.length, 0);
-    this.#smallestGain = smallestGainOf(limits, 1 / experts);
+    this.#minCopyGain = getMinCopyGain(limits, 1 / experts);
     const ranks = current.layers[0]?.experts.length ?? 0;
     this.#copies = new Array<number>(ranks).fill(0);
     this.#copiesByLayer = current.layers.map(() =>
@@ -145,37 +145,37 @@
   }
 
   tryPlan(): IncrementalPlan | undefined {
-    const costBefore = this.#cost();
+    const costBefore = this.#getCost();
     const droppedBefore = this.#dropReplicas();
-    const made = this.#addReplicas();
+    const added = this.#addReplicas();
     const dropped = droppedBefore + this.#dropReplicas();
-    if (dropped + made === 0) return undefined;
-    const costAfter = this.#cost();
+    if (dropped + added === 0) return undefined;
+    const costAfter = this.#getCost();
     const gain = (costBefore - costAfter) / costBefore;
-    if (gain < smallestPlanGainOf(this.#limits)) return undefined;
+    if (gain < getMinPlanGain(this.#limits)) return undefined;
     const layers = this.#drafts.map((draft): LayerPlacement =>
       draft.toPlacement()
     );
     return {
       map: { layers },
-      copies: made,
+      copies: added,
       costBefore,
       costAfter,
     };
   }
 
   #addReplicas(): number {
-    let made = 0;
-    for (let best = this.#tryBest(); best; best = this.#tryBest()) {
+    let added = 0;
+    for (let best = this.#tryFindBest(); best; best = this.#tryFindBest()) {
       const { layer, change } = best;
       this.#drafts[layer]?.make(change);
       const counts = this.#copiesByLayer[layer] as number[];
       counts[change.rank] = (counts[change.rank] as number) + 1;
       this.#copies[change.rank] = (this.#copies[change.rank] as number) + 1;
-      this.#forgetBest(layer, change.rank);
-      made++;
+      this.#invalidateBest(layer, change.rank);
+      added++;
     }
-    return made;
+    return added;
   }
 
   /** Drops replicas at the most loaded ranks where that lowers the cost. */
@@ -189,21 +189,21 @@
 
   #tryDrop(draft: PlacementDraft): boolean {
     const rank = draft.ranksByLoad()[0] as number;
-    const limit = draft.cost * (1 - SMALLEST_DROP_GAIN);
+    const limit = draft.cost * (1 - MIN_DROP_GAIN);
     const expert = draft.droppableAt(rank)
-      .find((one) => draft.costWithout(rank, one) < limit);
+      .find((candidate) => draft.costWithout(rank, candidate) < limit);
     if (expert === undefined) return false;
     draft.drop(rank, expert);
     return true;
   }
 
-  #tryBest(): ScoredChange | undefined {
+  #tryFindBest(): ScoredChange | undefined {
     let best: ScoredChange | undefined;
-    const smallest = this.#smallestGain * this.#highestLoads();
+    const minGain = this.#minCopyGain * this.#sumHighestLoads();
     for (const layer of this.#drafts.keys()) {
-      const candidate = this.#knownBestOf(layer);
-      const least = best?.gain ?? smallest;
-      if (candidate !== undefined && candidate.gain > least) best = candidate;
+      const candidate = this.#getCachedBestOf(layer);
+      const bound = best?.gain ?? minGain;
+      if (candidate !== undefined && candidate.gain > bound) best = candidate;
     }
     return best;
   }
@@ -212,49 +212,49 @@
    * Returns the best change of a layer. It is cached until a change affects the layer,
    * which makes planning 16 layers ten times as fast.
    */
-  #knownBestOf(layer: number): ScoredChange | undefined {
-    if (!this.#bestOf.has(layer)) {
-      this.#bestOf.set(layer, this.#tryBestOf(layer));
+  #getCachedBestOf(layer: number): ScoredChange | undefined {
+    if (!this.#bestByLayer.has(layer)) {
+      this.#bestByLayer.set(layer, this.#tryFindBestOf(layer));
     }
-    return this.#bestOf.get(layer);
+    return this.#bestByLayer.get(layer);
   }
 
   /**
    * Invalidates the best changes affected by a change in a layer for which a rank loads
    * an expert.
    */
-  #forgetBest(changed: number, rank: number): void {
-    this.#bestOf.delete(changed);
-    for (const [layer, best] of this.#bestOf) {
+  #invalidateBest(changed: number, rank: number): void {
+    this.#bestByLayer.delete(changed);
+    for (const [layer, best] of this.#bestByLayer) {
       const isOver = best?.change.rank === rank && !this.#mayLoad(layer, rank);
-      if (isOver) this.#bestOf.delete(layer);
+      if (isOver) this.#bestByLayer.delete(layer);
     }
   }
 
-  #tryBestOf(layer: number): ScoredChange | undefined {
+  #tryFindBestOf(layer: number): ScoredChange | undefined {
     const draft = this.#drafts[layer] as PlacementDraft;
     const cost = draft.cost;
     let best: ScoredChange | undefined;
-    for (const change of this.#changesOf(layer)) {
+    for (const change of this.#listChanges(layer)) {
       const gain = cost - draft.costAfter(change);
       if (gain > (best?.gain ?? 0)) best = { layer, change, gain };
     }
     return best;
   }
 
-  *#changesOf(layer: number): Iterable<ReplicaChange> {
+  *#listChanges(layer: number): Iterable<ReplicaChange> {
     const draft = this.#drafts[layer] as PlacementDraft;
     const ranks = draft.ranksByLoad();
-    const room = ranks.filter((rank) => this.#mayLoad(layer, rank))
-      .slice(-RECEIVERS_CONSIDERED);
+    const receivers = ranks.filter((rank) => this.#mayLoad(layer, rank))
+      .slice(-MAX_RECEIVERS);
     const droppable = new Map(
-      room.map((rank) => [rank, droppableAt(draft, rank)]),
+      receivers.map((rank) => [rank, listDroppable(draft, rank)]),
     );
-    for (const hot of ranks.slice(0, RANKS_CONSIDERED)) {
-      for (const expert of draft.expertsOf(hot)) {
+    for (const hotRank of ranks.slice(0, MAX_HOT_RANKS)) {
+      for (const expert of draft.expertsOf(hotRank)) {
         for (const [rank, dropped] of droppable) {
           if (draft.holds(rank, expert)) continue;
-          yield* changesOf({ expert, rank, movedFrom: hot }, dropped);
+          yield* listVariants({ expert, rank, movedFrom: hotRank }, dropped);
         }
       }
     }
@@ -271,12 +271,12 @@
    * Returns the sum over the layers of the most loaded rank's load, which determines the
    * pass time.
    */
-  #highestLoads(): number {
+  #sumHighestLoads(): number {
     return this.#drafts.reduce((sum, draft) => sum + draft.highestLoad, 0);
   }
 
-  #cost(): number {
-    return this.#highestLoads() * (this.#drafts[0]?.ranks ?? 0);
+  #getCost(): number {
+    return this.#sumHighestLoads() * (this.#drafts[0]?.ranks ?? 0);
   }
 }
 
@@ -285,28 +285,31 @@
  * the passes that it slows down (0.008 for a copy of 400 ms), and more while passes are
  * short.
  */
-function smallestGainOf(
+function getMinCopyGain(
   { loadMs, passPart }: PlanLimits,
-  movedPart: number,
+  movedFraction: number,
 ): number {
   const forSlowdown = COPY_SLOWDOWN * loadMs / USEFUL_MS;
-  return Math.max(forSlowdown, EASY_GAIN * movedPart * easeOf(passPart));
+  return Math.max(
+    forSlowdown,
+    SHORT_PASS_COPY_GAIN * movedFraction * getPassSlack(passPart),
+  );
 }
 
 /**
  * Returns the fraction of a pass that all copies of a plan must save together to justify
  * the switch.
  */
-function smallestPlanGainOf({ passPart }: PlanLimits): number {
-  return SWITCH_MS / USEFUL_MS + EASY_PLAN_GAIN * easeOf(passPart);
+function getMinPlanGain({ passPart }: PlanLimits): number {
+  return SWITCH_MS / USEFUL_MS + SHORT_PASS_PLAN_GAIN * getPassSlack(passPart);
 }
 
 /**
  * Returns 1 for a pass time of 0, falling to 0 as it approaches the pause that callers
  * tolerate.
  */
-function easeOf(passPart: number | undefined): number {
-  return 1 - clampToUnit((passPart ?? 1) / PRESSING_PASS_PART);
+function getPassSlack(passPart: number | undefined): number {
+  return 1 - clampToUnit((passPart ?? 1) / LONG_PASS_FRACTION);
 }
 
 function clampToUnit(value: number): number {
@@ -317,16 +320,16 @@
  * Returns the experts that a rank may drop for a new one; undefined if it has a free
  * slot.
  */
-function droppableAt(
+function listDroppable(
   draft: PlacementDraft,
   rank: number,
 ): readonly number[] | undefined {
   if (draft.hasRoom(rank)) return undefined;
-  return draft.droppableAt(rank).slice(0, DROPS_CONSIDERED);
+  return draft.droppableAt(rank).slice(0, MAX_DROP_CANDIDATES);
 }
 
 /** Returns the ways to bring an expert to a rank: as an additional replica, or moved. */
-function changesOf(
+function listVariants(
   move: Required<Pick<ReplicaChange, "expert" | "rank" | "movedFrom">>,
   droppable: readonly number[] | undefined,
 ): readonly ReplicaChange[] {
@@ -340,7 +343,7 @@
  * Normalizes counts to fractions of their sum; the fractions are equal if nothing was
  * counted.
  */
-function normalized(tokens: readonly number[]): readonly number[] {
+function normalize(tokens: readonly number[]): readonly number[] {
   const total = tokens.reduce((sum, count) => sum + count, 0);
   if (total === 0) return tokens.map(() => 1 / tokens.length);
   return tokens.map((count) => count / total);
--- a/src/policy/placement/incremental_planner_test.ts
+++ b/src/policy/placement/incremental_planner_test.ts
@@ -2,12 +2,12 @@
 import { describe, it } from "node:test";
 import fc from "fast-check";
 import type { ExpertMap } from "../../messages/group_types.ts";
-import { tryPlanIncrement } from "./incremental_planner.ts";
+import { type PlanLimits, tryPlanIncrement } from "./incremental_planner.ts";
 
 const SEED = 20261202;
 const RANKS = 4;
 const EXPERTS = 12;
-const LIMITS = {
+const LIMITS: PlanLimits = {
   slotsPerRank: 5,
   mostNewPerRank: 1,
   mostNewPerLayer: 4,
@@ -29,7 +29,7 @@
 
 const EVEN_PACES = new Array<number>(RANKS).fill(1);
 
-function newExpertsOf(before: ExpertMap, after: ExpertMap, rank: number) {
+function getNewExperts(before: ExpertMap, after: ExpertMap, rank: number) {
   return after.layers.flatMap((layer, index) => {
     const held = before.layers[index]?.experts[rank] ?? [];
     return (layer.experts[rank] ?? []).filter((one) => !held.includes(one));
@@ -89,7 +89,7 @@
     assert.ok(plan !== undefined);
     assert.ok(plan.costAfter < 0.6 * plan.costBefore);
     for (let rank = 0; rank < RANKS; rank++) {
-      assert.ok(newExpertsOf(current, plan.map, rank).length <= 1);
+      assert.ok(getNewExperts(current, plan.map, rank).length <= 1);
     }
   });
 
@@ -180,7 +180,7 @@
               }
             }
             for (let rank = 0; rank < RANKS; rank++) {
-              const added = newExpertsOf(current, plan.map, rank);
+              const added = getNewExperts(current, plan.map, rank);
               assert.ok(added.length <= LIMITS.mostNewPerRank);
             }
             current = plan.map;
--- a/src/policy/placement/layer_state.ts
+++ b/src/policy/placement/layer_state.ts
@@ -24,7 +24,7 @@
   readonly #times: Float64Array;
   /** Pending changes of the time of each rank. */
   readonly #deltas: Float64Array;
-  readonly #touched: number[] = [];
+  readonly #stagedRanks: number[] = [];
   readonly #mean: number;
   #potential = 0;
 
@@ -42,7 +42,7 @@
     this.#times = new Float64Array(this.#experts.length);
     this.#deltas = new Float64Array(this.#experts.length);
     for (let expert = 0; expert < load.tokens.length; expert++) {
-      this.#addHolders(expert, this.#holdersOf(expert), 1);
+      this.#stageHolders(expert, this.#holdersOf(expert), 1);
     }
     this.#commit();
     this.#potential = this.#sumPowers();
@@ -102,8 +102,8 @@
 
   /** Returns the potential after replacing the expert in a slot, without replacing it. */
   potentialAfterReplace(place: SlotPlace, expert: number): number {
-    this.#considerReplace(place, expert);
-    return this.#considered();
+    this.#stageReplace(place, expert);
+    return this.#takeStagedPotential();
   }
 
   /**
@@ -111,14 +111,14 @@
    * them.
    */
   potentialAfterSwap(left: SlotPlace, right: SlotPlace): number {
-    this.#considerSwap(left, right);
-    return this.#considered();
+    this.#stageSwap(left, right);
+    return this.#takeStagedPotential();
   }
 
   /** Replaces the expert in a slot. */
   replace(place: SlotPlace, expert: number): void {
     const removed = this.expertAt(place);
-    this.#considerReplace(place, expert);
+    this.#stageReplace(place, expert);
     this.#commit();
     this.#setExpert(place, expert);
     this.#removeHolder(removed, place.rank);
@@ -130,7 +130,7 @@
   swap(left: SlotPlace, right: SlotPlace): void {
     const leftExpert = this.expertAt(left);
     const rightExpert = this.expertAt(right);
-    this.#considerSwap(left, right);
+    this.#stageSwap(left, right);
     this.#commit();
     this.#setExpert(left, rightExpert);
     this.#setExpert(right, leftExpert);
@@ -146,21 +146,21 @@
     return { experts: this.#experts.map((experts) => [...experts]) };
   }
 
-  #considerReplace(place: SlotPlace, expert: number): void {
+  #stageReplace(place: SlotPlace, expert: number): void {
     const removed = this.expertAt(place);
     const before = this.#holdersOf(removed);
-    this.#addHolders(removed, before, -1);
+    this.#stageHolders(removed, before, -1);
     const share = this.#shareOf(removed, before.length - 1);
-    for (const rank of before) this.#add(rank, share);
-    this.#add(place.rank, -share);
+    for (const rank of before) this.#stage(rank, share);
+    this.#stage(place.rank, -share);
     const holders = this.#holdersOf(expert);
-    this.#addHolders(expert, holders, -1);
+    this.#stageHolders(expert, holders, -1);
     const newShare = this.#shareOf(expert, holders.length + 1);
-    for (const rank of holders) this.#add(rank, newShare);
-    this.#add(place.rank, newShare);
+    for (const rank of holders) this.#stage(rank, newShare);
+    this.#stage(place.rank, newShare);
   }
 
-  #considerSwap(left: SlotPlace, right: SlotPlace): void {
+  #stageSwap(left: SlotPlace, right: SlotPlace): void {
     const leftExpert = this.expertAt(left);
     const rightExpert = this.expertAt(right);
     const leftShare = this.#shareOf(
@@ -171,39 +171,43 @@
       rightExpert,
       this.#holdersOf(rightExpert).length,
     );
-    this.#add(left.rank, rightShare - leftShare);
-    this.#add(right.rank, leftShare - rightShare);
+    this.#stage(left.rank, rightShare - leftShare);
+    this.#stage(right.rank, leftShare - rightShare);
   }
 
-  #considered(): number {
+  #takeStagedPotential(): number {
     let potential = this.#potential;
-    for (const rank of this.#touched) {
+    for (const rank of this.#stagedRanks) {
       const delta = this.#deltas[rank] as number;
       if (delta === 0) continue;
       const time = this.timeOf(rank);
       potential += power(time + delta) - power(time);
       this.#deltas[rank] = 0;
     }
-    this.#touched.length = 0;
+    this.#stagedRanks.length = 0;
     return potential;
   }
 
   #commit(): void {
-    for (const rank of this.#touched) {
+    for (const rank of this.#stagedRanks) {
       this.#times[rank] = this.timeOf(rank) + (this.#deltas[rank] as number);
       this.#deltas[rank] = 0;
     }
-    this.#touched.length = 0;
+    this.#stagedRanks.length = 0;
   }
 
-  #addHolders(expert: number, holders: readonly number[], sign: 1 | -1): void {
+  #stageHolders(
+    expert: number,
+    holders: readonly number[],
+    sign: 1 | -1,
+  ): void {
     const share = this.#shareOf(expert, holders.length);
-    for (const rank of holders) this.#add(rank, sign * share);
+    for (const rank of holders) this.#stage(rank, sign * share);
   }
 
   /** Adds tokens, as a share of an even distribution, to the pending change of a rank. */
-  #add(rank: number, share: number): void {
-    this.#touched.push(rank);
+  #stage(rank: number, share: number): void {
+    this.#stagedRanks.push(rank);
     this.#deltas[rank] = (this.#deltas[rank] as number) +
       share / (this.#load.speeds[rank] as number);
   }
@@ -235,7 +239,7 @@
 
 /** The eighth power, so that the slowest ranks dominate the sum. */
 function power(time: number): number {
-  const square = time * time;
-  const fourth = square * square;
+  const second = time * time;
+  const fourth = second * second;
   return fourth * fourth;
 }
--- a/src/policy/placement/load_estimator.ts
+++ b/src/policy/placement/load_estimator.ts
@@ -21,7 +21,7 @@
  * Relative change of the whole layer after which older intervals are discarded, so that a
  * sudden shift is not averaged over several intervals.
  */
-const SHIFT_SHARE = 0.25;
+const SHIFT_THRESHOLD = 0.25;
 
 /** Estimates the load of one layer. */
 export class LoadEstimator {
@@ -50,26 +50,28 @@
    */
   observe(report: LayerReport): void {
     const weight = this.#isShift(report) ? 1 : TOKEN_SMOOTHING;
-    this.#tokens = this.#tokens.map((old, expert) => {
-      const seen = report.tokens[expert];
-      return seen === undefined ? old : old + weight * (seen - old);
+    this.#tokens = this.#tokens.map((previous, expert) => {
+      const observed = report.tokens[expert];
+      return observed === undefined
+        ? previous
+        : previous + weight * (observed - previous);
     });
     for (const [rank, slowdown] of report.slowdowns.entries()) {
       if (slowdown === undefined || slowdown <= 0) continue;
-      const old = this.#speeds[rank] as number;
-      const seen = 1 / slowdown;
-      this.#speeds[rank] = old + SPEED_SMOOTHING * (seen - old);
+      const previous = this.#speeds[rank] as number;
+      const observed = 1 / slowdown;
+      this.#speeds[rank] = previous + SPEED_SMOOTHING * (observed - previous);
     }
   }
 
   #isShift(report: LayerReport): boolean {
     let change = 0;
     let total = 0;
-    for (const [expert, seen] of report.tokens.entries()) {
-      if (seen === undefined) continue;
-      change += Math.abs(seen - (this.#tokens[expert] as number));
-      total += seen;
+    for (const [expert, observed] of report.tokens.entries()) {
+      if (observed === undefined) continue;
+      change += Math.abs(observed - (this.#tokens[expert] as number));
+      total += observed;
     }
-    return change > SHIFT_SHARE * total;
+    return change > SHIFT_THRESHOLD * total;
   }
 }
--- a/src/policy/placement/placement_draft.ts
+++ b/src/policy/placement/placement_draft.ts
@@ -60,7 +60,7 @@
     }
     this.#loads = new Float64Array(this.#experts.length);
     this.#added = new Float64Array(this.#experts.length);
-    this.#recount();
+    this.#recomputeLoads();
   }
 
   /** Number of ranks of the group. */
@@ -119,12 +119,14 @@
   droppableAt(rank: number): readonly number[] {
     return this.expertsOf(rank)
       .filter((expert) => this.replicasOf(expert) > 1)
-      .sort((left, right) => this.#burdenOf(left) - this.#burdenOf(right));
+      .sort((left, right) =>
+        this.#addedShareOf(left) - this.#addedShareOf(right)
+      );
   }
 
   /** Returns the {@link cost} after a change without making it. */
   costAfter(change: ReplicaChange): number {
-    this.#consider(change);
+    this.#stage(change);
     let powers = this.#powers;
     for (let rank = 0; rank < this.ranks; rank++) {
       const added = this.#added[rank] as number;
@@ -158,13 +160,13 @@
     if (movedFrom !== undefined) this.#remove(movedFrom, expert);
     this.#holdersOf(expert).push(rank);
     (this.#experts[rank] as number[]).push(expert);
-    this.#recount();
+    this.#recomputeLoads();
   }
 
   /** Drops a replica of an expert that other ranks also hold. */
   drop(rank: number, expert: number): void {
     this.#remove(rank, expert);
-    this.#recount();
+    this.#recomputeLoads();
   }
 
   /** Returns the current placement, with the experts of each rank in ascending order. */
@@ -176,7 +178,7 @@
   }
 
   /** Computes what a change adds to the load of each rank. */
-  #consider(change: ReplicaChange): void {
+  #stage(change: ReplicaChange): void {
     const { expert, rank, dropped, movedFrom } = change;
     const before = this.shareOf(expert);
     if (movedFrom === undefined) {
@@ -192,7 +194,7 @@
     }
     if (dropped === undefined) return;
     const share = this.shareOf(dropped);
-    const burden = this.#burdenOf(dropped);
+    const burden = this.#addedShareOf(dropped);
     for (const holder of this.#holdersOf(dropped)) {
       this.#add(holder, holder === rank ? -share : burden);
     }
@@ -202,7 +204,7 @@
    * Returns the tokens that each other holder gets in addition when one replica is
    * dropped.
    */
-  #burdenOf(expert: number): number {
+  #addedShareOf(expert: number): number {
     const replicas = this.replicasOf(expert);
     return this.shareOf(expert) / (replicas - 1);
   }
@@ -219,7 +221,7 @@
     experts.splice(experts.indexOf(expert), 1);
   }
 
-  #recount(): void {
+  #recomputeLoads(): void {
     this.#loads.fill(0);
     for (const [expert, holders] of this.#holders.entries()) {
       const share = (this.#tokens[expert] as number) / holders.length;
@@ -228,8 +230,8 @@
       }
     }
     this.#powers = this.#loads.reduce((sum, load) => sum + power(load), 0);
-    this.#highestLoad = this.#loads.reduce((most, load) =>
-      Math.max(most, load)
+    this.#highestLoad = this.#loads.reduce((highest, load) =>
+      Math.max(highest, load)
     );
   }
 
--- a/src/policy/placement/rebalancer.ts
+++ b/src/policy/placement/rebalancer.ts
@@ -21,21 +21,21 @@
    */
   readonly pricePerMove: number;
   /** Minimum fraction of the mean step time that a plan must save. */
-  readonly smallestGain: number;
+  readonly minGain: number;
   /** Maximum number of changes in one plan. */
-  readonly longestPlan: number;
+  readonly maxChanges: number;
 }
 
 /** Presets for groups that suffer from skew, and for groups whose moves are expensive. */
 export const REBALANCE_PRESETS = {
-  skew: { pricePerMove: 0.003, smallestGain: 0.02, longestPlan: 24 },
-  cost: { pricePerMove: 0.012, smallestGain: 0.03, longestPlan: 24 },
+  skew: { pricePerMove: 0.003, minGain: 0.02, maxChanges: 24 },
+  cost: { pricePerMove: 0.012, minGain: 0.03, maxChanges: 24 },
 } as const satisfies Readonly<Record<string, RebalanceWeights>>;
 
 /** Number of ranks, fastest first, that may receive experts of the slowest rank. */
-const RANKS_CONSIDERED = 8;
+const MAX_RECEIVERS = 8;
 /** Minimum relative decrease of the potential by one change. */
-const SMALLEST_FALL = 1e-4;
+const MIN_RELATIVE_DROP = 1e-4;
 
 interface Replacement {
   readonly kind: "replace";
@@ -65,7 +65,8 @@
   }
 
   override plan(current: LayerPlacement, load: LayerLoad): PlannedLayer {
-    const { longestPlan, smallestGain, pricePerMove } = this.#weights;
+    const { maxChanges: longestPlan, minGain: smallestGain, pricePerMove } =
+      this.#weights;
     const state = new LayerState(current, load);
     const before = state.slowest;
     let best: PlannedLayer = { placement: current, moves: 0 };
@@ -103,18 +104,18 @@
 class ChangeSearch {
   readonly #state: LayerState;
   #best: Change | undefined;
-  #bestFall: number;
+  #bestDrop: number;
 
   constructor(state: LayerState) {
     this.#state = state;
-    this.#bestFall = state.potential * SMALLEST_FALL;
+    this.#bestDrop = state.potential * MIN_RELATIVE_DROP;
   }
 
   tryBest(): Change | undefined {
     const slowest = this.#state.slowestRank();
     const others = this.#fastestRanks(slowest);
     for (const [slot] of this.#state.expertsOf(slowest).entries()) {
-      for (const rank of others) this.#lookAt({ rank: slowest, slot }, rank);
+      for (const rank of others) this.#search({ rank: slowest, slot }, rank);
     }
     return this.#best;
   }
@@ -125,43 +126,43 @@
       .sort((left, right) =>
         this.#state.timeOf(left) - this.#state.timeOf(right)
       )
-      .slice(0, RANKS_CONSIDERED);
+      .slice(0, MAX_RECEIVERS);
   }
 
-  #lookAt(hot: SlotPlace, rank: number): void {
+  #search(source: SlotPlace, rank: number): void {
     const state = this.#state;
-    const expert = state.expertAt(hot);
+    const expert = state.expertAt(source);
     const isHeldThere = state.holds(rank, expert);
     for (const [slot, other] of state.expertsOf(rank).entries()) {
       if (other === expert) continue;
       const place: SlotPlace = { rank, slot };
-      const isHeldHere = state.holds(hot.rank, other);
+      const isHeldHere = state.holds(source.rank, other);
       if (!isHeldThere && state.isReplicated(other)) {
         this.#considerReplace(place, expert);
       }
       if (!isHeldHere && state.isReplicated(expert)) {
-        this.#considerReplace(hot, other);
+        this.#considerReplace(source, other);
       }
-      if (!isHeldThere && !isHeldHere) this.#considerSwap(hot, place);
+      if (!isHeldThere && !isHeldHere) this.#considerSwap(source, place);
     }
   }
 
   #considerReplace(place: SlotPlace, expert: number): void {
     const after = this.#state.potentialAfterReplace(place, expert);
-    const fall = this.#state.potential - after;
-    this.#keepIfBetter({ kind: "replace", place, expert }, fall);
+    const drop = this.#state.potential - after;
+    this.#keepIfBetter({ kind: "replace", place, expert }, drop);
   }
 
   #considerSwap(left: SlotPlace, right: SlotPlace): void {
     const after = this.#state.potentialAfterSwap(left, right);
-    const fall = this.#state.potential - after;
-    this.#keepIfBetter({ kind: "swap", left, right }, fall);
+    const drop = this.#state.potential - after;
+    this.#keepIfBetter({ kind: "swap", left, right }, drop);
   }
 
-  #keepIfBetter(change: Change, fall: number): void {
-    const fallPerMove = change.kind === "replace" ? fall : fall / 2;
-    if (fallPerMove <= this.#bestFall) return;
+  #keepIfBetter(change: Change, drop: number): void {
+    const dropPerMove = change.kind === "replace" ? drop : drop / 2;
+    if (dropPerMove <= this.#bestDrop) return;
     this.#best = change;
-    this.#bestFall = fallPerMove;
+    this.#bestDrop = dropPerMove;
   }
 }
--- a/src/policy/pool_choice.ts
+++ b/src/policy/pool_choice.ts
@@ -7,7 +7,7 @@
 import type { ServiceDocument } from "../messages/settings_documents.ts";
 
 /** Number of steps into which the range of random numbers is divided. */
-const DRAW_STEPS = 1_000_000;
+const RANDOM_STEPS = 1_000_000;
 
 /** Chooses pools at random by their weights. */
 export class PoolChoice {
@@ -30,10 +30,10 @@
     const { split, pool } = service;
     if (split === undefined) return pool;
     const total = split.reduce((sum, share) => sum + share.weight, 0);
-    let left = this.#random.nextBelow(DRAW_STEPS) / DRAW_STEPS * total;
+    let remaining = this.#random.nextBelow(RANDOM_STEPS) / RANDOM_STEPS * total;
     for (const share of split) {
-      left -= share.weight;
-      if (left < 0) return share.pool;
+      remaining -= share.weight;
+      if (remaining < 0) return share.pool;
     }
     return pool;
   }
--- a/src/policy/pool_retry_budgets.ts
+++ b/src/policy/pool_retry_budgets.ts
@@ -20,12 +20,12 @@
  * Number of entries assumed until the actual number is known. If a deployment is larger,
  * its slack grows accordingly; a smaller one only loses some retries.
  */
-const ASSUMED_PROCESSES = 16;
+const ASSUMED_ENTRIES = 16;
 /**
  * Fraction of the slack that is used. An entry that restarts forgets which retries it has
  * made, so the rest covers the restart of every second entry in one window.
  */
-const USED_SLACK = 0.65;
+const USED_SLACK_FRACTION = 0.65;
 
 interface PoolCounts {
   /** Times of first attempts within the window, oldest first. */
@@ -38,7 +38,7 @@
 export class PoolRetryBudgets {
   #limits: PoolRetryLimits | undefined;
   readonly #counts = new Map<string, PoolCounts>();
-  #processes = ASSUMED_PROCESSES;
+  #entryCount = ASSUMED_ENTRIES;
 
   /** Without limits every retry is allowed. */
   constructor(limits?: PoolRetryLimits) {
@@ -52,13 +52,13 @@
 
   /** Sets the number of entries that share the slack. */
   setProcesses(processes: number): void {
-    this.#processes = Math.max(1, processes);
+    this.#entryCount = Math.max(1, processes);
   }
 
   /** Records a first attempt. */
   countRequest(pool: string, now: number): void {
     if (this.#limits === undefined) return;
-    this.#countsOf(pool, now).requests.push(now);
+    this.#getCounts(pool, now).requests.push(now);
   }
 
   /**
@@ -72,28 +72,28 @@
   tryTake(pool: string, now: number): boolean {
     if (this.#limits === undefined) return true;
     const { share, slack } = this.#limits;
-    const { requests, retries } = this.#countsOf(pool, now);
+    const { requests, retries } = this.#getCounts(pool, now);
     const allowed = share * requests.length +
-      USED_SLACK * slack / this.#processes;
+      USED_SLACK_FRACTION * slack / this.#entryCount;
     if (retries.length + 1 > allowed) return false;
     retries.push(now);
     return true;
   }
 
-  #countsOf(pool: string, now: number): PoolCounts {
+  #getCounts(pool: string, now: number): PoolCounts {
     let counts = this.#counts.get(pool);
     if (counts === undefined) {
       counts = { requests: [], retries: [] };
       this.#counts.set(pool, counts);
     }
     const start = now - (this.#limits?.windowMs ?? 0);
-    dropBefore(counts.requests, start);
-    dropBefore(counts.retries, start);
+    removeUntil(counts.requests, start);
+    removeUntil(counts.retries, start);
     return counts;
   }
 }
 
-function dropBefore(times: number[], start: number): void {
+function removeUntil(times: number[], start: number): void {
   const kept = times.findIndex((time) => time > start);
   times.splice(0, kept === -1 ? times.length : kept);
 }
--- a/src/policy/prefix_index.ts
+++ b/src/policy/prefix_index.ts
@@ -11,7 +11,7 @@
 /** Maximum number of blocks of one prompt that are hashed. */
 const MAX_BLOCKS = 64;
 /** Maximum number of blocks in the index; the least recently used ones are evicted. */
-const MAX_ENTRIES = 20_000;
+const MAX_INDEXED_BLOCKS = 20_000;
 const HASH_CHARACTERS = 16;
 
 /** Tracks which target last received which prompt prefix. */
@@ -21,7 +21,7 @@
   readonly #targetByBlock = new Map<string, string>();
 
   /** Holds up to `limit` blocks. */
-  constructor(limit: number = MAX_ENTRIES) {
+  constructor(limit: number = MAX_INDEXED_BLOCKS) {
     this.#limit = limit;
   }
 
@@ -31,7 +31,7 @@
       this.#targetByBlock.delete(block);
       this.#targetByBlock.set(block, targetName);
     }
-    while (this.#targetByBlock.size > this.#limit) this.#forgetOldest();
+    while (this.#targetByBlock.size > this.#limit) this.#evictOldest();
   }
 
   /**
@@ -55,7 +55,7 @@
     }
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     const oldest = this.#targetByBlock.keys().next();
     if (!oldest.done) this.#targetByBlock.delete(oldest.value);
   }
--- a/src/policy/retry_budget.ts
+++ b/src/policy/retry_budget.ts
@@ -6,14 +6,14 @@
  */
 
 /** Retries that are allowed regardless of traffic. */
-const SPARE_RETRIES = 2;
+const BASE_RETRIES = 2;
 /** Number of requests over which the share is computed; older ones have no effect. */
 const WINDOW_REQUESTS = 1000;
 
 /** Counts requests and allows a share of them to be retried. */
 export class RetryBudget {
   #share: number;
-  #credit = SPARE_RETRIES;
+  #credit = BASE_RETRIES;
 
   /** `share` is the ratio of retries to requests, from 0 to 1. */
   constructor(share: number) {
@@ -27,7 +27,7 @@
 
   /** Records a first attempt. */
   countRequest(): void {
-    const limit = SPARE_RETRIES + WINDOW_REQUESTS * this.#share;
+    const limit = BASE_RETRIES + WINDOW_REQUESTS * this.#share;
     this.#credit = Math.min(limit, this.#credit + this.#share);
   }
 
--- a/src/policy/return_time.ts
+++ b/src/policy/return_time.ts
@@ -59,21 +59,21 @@
  * Fraction of the objective for which a first attempt waits for a free slot. A caller
  * that is refused early enough can still be served in time elsewhere.
  */
-const FIRST_WAIT_PART = 0.2;
+const FIRST_WAIT_FRACTION = 0.2;
 /**
  * Milliseconds for which a request waits silently. Callers give up on a silent connection
  * after two seconds, and the first piece of an answer takes up to 0.3 s.
  */
-const SILENT_WAIT_MS = 1700;
+const MAX_SILENT_WAIT_MS = 1700;
 /** Fraction of the remaining time up to which callers honour a retry delay. */
-const HONOURED_PART = 1 / 3;
+const HONOURED_FRACTION = 1 / 3;
 /**
  * Milliseconds subtracted from that fraction: the caller measures the remaining time from
  * when it sent the request, including the round trip.
  */
 const HONOURED_MARGIN_MS = 60;
 /** Milliseconds after which one of many slots is free again, as work ends. */
-const OVERLOAD_RETURN_MS = 1000;
+const OVERLOAD_RETRY_DELAY_MS = 1000;
 
 /**
  * Returns the milliseconds for which the request may wait here for a target; 0 if it is
@@ -81,27 +81,27 @@
  *
  * @example
  * ```ts
- * const facts = {
- *   obstacle: "outage",
+ * const input = {
+ *   cause: "outage",
  *   isRepeated: false,
  *   leftMs: 8000,
  *   objectiveMs: 400,
  * } as const;
- * getLongestWaitMs(facts); // 0
+ * getLongestWaitMs(input); // 0
  * ```
  */
-export function getLongestWaitMs(facts: ReturnFacts): number {
-  const isFutile = facts.obstacle === "owner_away" ||
-    facts.obstacle === "drain";
+export function getLongestWaitMs(input: ReturnFacts): number {
+  const isFutile = input.obstacle === "owner_away" ||
+    input.obstacle === "drain";
   if (isFutile) return 0;
   // The request waits for another entry's response to a permit request, not for a target.
-  if (facts.obstacle === "limit") return Math.min(facts.leftMs, ASK_LIMIT_MS);
-  const mayBeServedSoon = facts.isRepeated || facts.obstacle === "stall";
-  if (mayBeServedSoon) return Math.min(facts.leftMs, SILENT_WAIT_MS);
+  if (input.obstacle === "limit") return Math.min(input.leftMs, ASK_LIMIT_MS);
+  const mayBeServedSoon = input.isRepeated || input.obstacle === "stall";
+  if (mayBeServedSoon) return Math.min(input.leftMs, MAX_SILENT_WAIT_MS);
   // A first attempt that waits for the end of an outage takes the slots of later ones and
   // leaves its caller less time for a retry.
-  if (facts.obstacle === "outage") return 0;
-  return Math.min(facts.leftMs, FIRST_WAIT_PART * facts.objectiveMs);
+  if (input.obstacle === "outage") return 0;
+  return Math.min(input.leftMs, FIRST_WAIT_FRACTION * input.objectiveMs);
 }
 
 /**
@@ -109,11 +109,11 @@
  *
  * @example
  * ```ts
- * getLatestReturnMs(8000); // 2606.7
+ * getMaxRetryDelayMs(8000); // 2606.7
  * ```
  */
-export function getLatestReturnMs(leftMs: number): number {
-  return Math.max(0, leftMs * HONOURED_PART - HONOURED_MARGIN_MS);
+export function getMaxRetryDelayMs(leftMs: number): number {
+  return Math.max(0, leftMs * HONOURED_FRACTION - HONOURED_MARGIN_MS);
 }
 
 /**
@@ -121,23 +121,23 @@
  *
  * @example
  * ```ts
- * const facts = {
- *   obstacle: "outage",
+ * const input = {
+ *   cause: "outage",
  *   isRepeated: false,
  *   leftMs: 8000,
  *   objectiveMs: 400,
  * } as const;
- * getReturnMs(facts); // 2606.7
+ * getReturnMs(input); // 2606.7
  * ```
  */
-export function getReturnMs(facts: ReturnFacts): number {
+export function getReturnMs(input: ReturnFacts): number {
   // The end is known, so an earlier retry has no benefit, however long the backoff is.
-  if (facts.obstacle === "backoff" && facts.freeInMs !== undefined) {
-    return facts.freeInMs;
+  if (input.obstacle === "backoff" && input.freeInMs !== undefined) {
+    return input.freeInMs;
   }
-  const longest = getLatestReturnMs(facts.leftMs);
-  if (facts.obstacle === "overload" || facts.obstacle === "limit") {
-    return Math.min(longest, facts.freeInMs ?? OVERLOAD_RETURN_MS);
+  const longest = getMaxRetryDelayMs(input.leftMs);
+  if (input.obstacle === "overload" || input.obstacle === "limit") {
+    return Math.min(longest, input.freeInMs ?? OVERLOAD_RETRY_DELAY_MS);
   }
   return longest;
 }
--- a/src/policy/return_time_test.ts
+++ b/src/policy/return_time_test.ts
@@ -11,11 +11,11 @@
 /** Milliseconds from when all lost targets are listed again to the end of the outage. */
 const FORMING_MS = 600;
 /** Milliseconds after which a silent VM is known to be lost. */
-const KNOWN_AFTER_MS = 3600;
+const DETECTED_AFTER_MS = 3600;
 /** Milliseconds between two requests of the load. */
-const BETWEEN_MS = 20;
+const ARRIVAL_INTERVAL_MS = 20;
 
-function createFacts(changes: Partial<ReturnFacts> = {}): ReturnFacts {
+function createInput(changes: Partial<ReturnFacts> = {}): ReturnFacts {
   return {
     obstacle: "outage",
     isRepeated: false,
@@ -32,7 +32,7 @@
   /** End of the outage that begins at 0. */
   readonly endsAt: number;
   /** When the loss is detected. */
-  readonly knownAt: number;
+  readonly detectedAt: number;
   /** Time of the last arrival; requests arrive from 0 on. */
   readonly untilMs: number;
   readonly callers: CallerKind;
@@ -47,7 +47,7 @@
   return {
     endsAt,
     untilMs: endsAt,
-    knownAt: KNOWN_AFTER_MS,
+    detectedAt: DETECTED_AFTER_MS,
     callers: "honours",
     ...changes,
   };
@@ -57,10 +57,14 @@
  * Returns the fraction of the requests that find the pool available at the first attempt,
  * at the retry, or while they wait.
  */
-function playOutage(load: OutageLoad): number {
+function simulateOutage(load: OutageLoad): number {
   let asked = 0;
   let served = 0;
-  for (let arrival = 0; arrival < load.untilMs; arrival += BETWEEN_MS) {
+  for (
+    let arrival = 0;
+    arrival < load.untilMs;
+    arrival += ARRIVAL_INTERVAL_MS
+  ) {
     asked++;
     if (isServed(load, arrival)) served++;
   }
@@ -69,23 +73,28 @@
 
 function isServed(load: OutageLoad, arrival: number): boolean {
   // Both the loss and the recovery of targets are detected with a delay.
-  const isKnown = arrival >= load.knownAt && arrival < load.endsAt - FORMING_MS;
-  const first = createFacts({ obstacle: isKnown ? "outage" : "stall" });
+  const isKnown = arrival >= load.detectedAt &&
+    arrival < load.endsAt - FORMING_MS;
+  const first = createInput({ obstacle: isKnown ? "outage" : "stall" });
   const firstWait = getLongestWaitMs(first);
-  if (opensWithin(load, arrival, firstWait)) return true;
+  if (isAvailableWithin(load, arrival, firstWait)) return true;
   const refusedAt = arrival + firstWait;
   const returnMs = load.callers === "honours"
-    ? getReturnMs(createFacts({ leftMs: DEADLINE_MS - firstWait }))
+    ? getReturnMs(createInput({ leftMs: DEADLINE_MS - firstWait }))
     : 0;
   const returnsAt = refusedAt + returnMs;
-  const again = createFacts({
+  const again = createInput({
     isRepeated: true,
     leftMs: DEADLINE_MS - (returnsAt - arrival),
   });
-  return opensWithin(load, returnsAt, getLongestWaitMs(again));
+  return isAvailableWithin(load, returnsAt, getLongestWaitMs(again));
 }
 
-function opensWithin(load: OutageLoad, from: number, forMs: number): boolean {
+function isAvailableWithin(
+  load: OutageLoad,
+  from: number,
+  forMs: number,
+): boolean {
   for (let at = from; at <= from + forMs; at += 10) {
     if (!isDown(load, at)) return true;
   }
@@ -101,34 +110,34 @@
   it("of six seconds are served except in its first part", () => {
     const load = createLoad(6000);
     // Up to 5.4 s before the end no caller that honours the delay can be served.
-    assert.ok(playOutage(load) >= 0.9);
+    assert.ok(simulateOutage(load) >= 0.9);
   });
 
   it("are lost in a longer first part if the loss is detected immediately", () => {
-    const load = createLoad(6000, { knownAt: 0 });
+    const load = createLoad(6000, { detectedAt: 0 });
     // Up to 4.3 s before the end.
-    assert.ok(playOutage(load) >= 0.71);
+    assert.ok(simulateOutage(load) >= 0.71);
   });
 
   it("of any length are served if they arrive in its last five seconds", () => {
     for (const endsAt of [500, 2000, 3500, 5000]) {
-      assert.equal(playOutage(createLoad(endsAt)), 1);
+      assert.equal(simulateOutage(createLoad(endsAt)), 1);
     }
   });
 
   it("are partly served if callers retry immediately", () => {
     const load = createLoad(6000, { callers: "ignores" });
-    assert.ok(playOutage(load) >= 0.28);
+    assert.ok(simulateOutage(load) >= 0.28);
   });
 
   it("are served through a second outage that is shorter than a wait", () => {
     const load = createLoad(3000, { second: [3500, 5000] });
-    assert.equal(playOutage(load), 1);
+    assert.equal(simulateOutage(load), 1);
   });
 
   it("are retried at the rate of their arrival", () => {
     const returns = [0, 1000, 2000].map((arrival) =>
-      arrival + getReturnMs(createFacts())
+      arrival + getReturnMs(createInput())
     );
     assert.deepEqual(
       returns.slice(1).map((at, index) =>
@@ -143,26 +152,26 @@
   it("get no longer retry delay than callers honour", () => {
     for (const leftMs of [50, 400, 3000, DEADLINE_MS]) {
       for (const obstacle of ["outage", "absence", "overload"] as const) {
-        const returnMs = getReturnMs(createFacts({ leftMs, obstacle }));
+        const returnMs = getReturnMs(createInput({ leftMs, obstacle }));
         assert.ok(returnMs >= 0 && returnMs <= leftMs / 3);
       }
     }
   });
 
   it("wait no longer than their deadline", () => {
-    const facts = createFacts({ isRepeated: true, leftMs: 300 });
-    assert.equal(getLongestWaitMs(facts), 300);
+    const input = createInput({ isRepeated: true, leftMs: 300 });
+    assert.equal(getLongestWaitMs(input), 300);
   });
 
   it("wait for a fifth of their objective on the first attempt at a full pool", () => {
-    const facts = createFacts({ obstacle: "overload" });
-    assert.equal(getLongestWaitMs(facts), 80);
+    const input = createInput({ obstacle: "overload" });
+    assert.equal(getLongestWaitMs(input), 80);
   });
 
   it("are refused immediately if only one target may run them", () => {
     for (const isRepeated of [true, false]) {
-      const facts = createFacts({ obstacle: "owner_away", isRepeated });
-      assert.equal(getLongestWaitMs(facts), 0);
+      const input = createInput({ obstacle: "owner_away", isRepeated });
+      assert.equal(getLongestWaitMs(input), 0);
     }
   });
 });
--- a/src/policy/send_permits.ts
+++ b/src/policy/send_permits.ts
@@ -20,7 +20,7 @@
  * @module
  */
 import { getRendezvousRank } from "../core/rendezvous_hash.ts";
-import { getBucketOptions, getPermitMs } from "./permit_bounds.ts";
+import { getBucketOptions, getPermitLifetimeMs } from "./permit_bounds.ts";
 import type { SendLimits } from "./send_limits.ts";
 import { TokenBucket } from "./token_bucket.ts";
 
@@ -31,27 +31,27 @@
 /** Milliseconds until all entries know that an entry has joined or left. */
 const SETTLED_AFTER_MS = 5000;
 /** Share of the limit issued in addition by a secondary or a new primary issuer. */
-const DEPUTY_PART = 0.25;
+const SECONDARY_SHARE = 0.25;
 /**
  * Milliseconds after its last request to a target from which on the primary issuer
  * prefers that target for the next one.
  */
-const PROBE_AFTER_MS = 1000;
+const PROBE_INTERVAL_MS = 1000;
 /** Milliseconds between two permit requests ahead of need. */
-const AHEAD_MS = 200;
+const PREFETCH_INTERVAL_MS = 200;
 /**
  * Maximum number of entries ranked at one moment for targets that warm up; one target is
  * always ranked. Ranking an entry takes about 3 us, and the targets of a failure domain
  * may all come back together.
  */
-const MOST_RANKED = 1024;
+const MAX_RANKED = 1024;
 /** Maximum number of permits in one request. */
-const MOST_ASKED = 8;
+const MAX_REQUESTED = 8;
 /** Milliseconds for which a denied request counts as waiting for a permit. */
-const QUEUE_MS = 1000;
+const DENIED_WINDOW_MS = 1000;
 /** Bounds, in milliseconds, of the delay after which a denied entry may request again. */
-const SHORTEST_WAIT_MS = 20;
-const LONGEST_WAIT_MS = 10_000;
+const MIN_WAIT_MS = 20;
+const MAX_WAIT_MS = 10_000;
 
 /** A request to another entry for permits. */
 export interface PermitQuestion {
@@ -87,25 +87,25 @@
   | { readonly kind: "none"; readonly freeInMs: number };
 
 /** The entries that issue permits for a target. */
-interface Givers {
-  readonly first: string | undefined;
-  readonly second: string | undefined;
+interface Issuers {
+  readonly primary: string | undefined;
+  readonly secondary: string | undefined;
 }
 
 interface TargetState {
-  givers: Givers;
+  issuers: Issuers;
   /** Since when this entry is the primary issuer, in milliseconds. */
-  firstSince: number;
+  primarySince: number;
   readonly bucket: TokenBucket;
   /** Expiry times of the permits that this entry holds. */
-  permits: number[];
-  isAsking: boolean;
-  askedAt: number;
+  permitExpiries: number[];
+  isPending: boolean;
+  requestedAt: number;
   /** Time before which permits are not requested, in milliseconds. */
   deniedUntil: number;
   sentAt: number;
   /** Times at which requests of others were recently denied. */
-  sentAway: number[];
+  deniedAt: number[];
 }
 
 /** Decides which entry may send to targets that have limits. */
@@ -136,9 +136,9 @@
     this.#entries = entries;
     this.#listedAt = now;
     for (const [target, state] of this.#states) {
-      const wasFirst = state.givers.first === this.#self;
-      state.givers = findGivers(target, entries);
-      if (!wasFirst) state.firstSince = now;
+      const wasPrimary = state.issuers.primary === this.#self;
+      state.issuers = findIssuers(target, entries);
+      if (!wasPrimary) state.primarySince = now;
     }
   }
 
@@ -153,19 +153,21 @@
   maySend(target: string, now: number): boolean {
     const limit = this.#limits.tryGet(target);
     if (limit === undefined) return true;
-    if (limit.isWarmUp && !this.#mayRank(target, now)) return false;
-    const state = this.#stateOf(target, now);
-    if (state.permits.some((until) => until > now)) return true;
+    if (limit.isWarmUp && !this.#mayComputeIssuers(target, now)) return false;
+    const state = this.#getState(target, now);
+    if (state.permitExpiries.some((expiresAt) => expiresAt > now)) return true;
     return this.#mayUseBucket(state, now) && state.bucket.getWaitMs(now) === 0;
   }
 
   /** Records that a request is sent to a target that {@link maySend} allowed. */
   noteSent(target: string, now: number): void {
     if (this.#limits.tryGet(target) === undefined) return;
-    const state = this.#stateOf(target, now);
+    const state = this.#getState(target, now);
     state.sentAt = now;
-    state.permits = state.permits.filter((until) => until > now);
-    if (state.permits.length > 0) state.permits.shift();
+    state.permitExpiries = state.permitExpiries.filter((expiresAt) =>
+      expiresAt > now
+    );
+    if (state.permitExpiries.length > 0) state.permitExpiries.shift();
     else state.bucket.tryTake(now);
   }
 
@@ -177,28 +179,27 @@
     const limit = this.#limits.tryGet(target);
     // Lists report when a target has warmed up; only announced limits end by an answer.
     if (limit === undefined || limit.isWarmUp) return false;
-    const state = this.#stateOf(target, now);
-    return state.givers.first === this.#self &&
-      now - state.sentAt >= PROBE_AFTER_MS && this.maySend(target, now);
+    const state = this.#getState(target, now);
+    return state.issuers.primary === this.#self &&
+      now - state.sentAt >= PROBE_INTERVAL_MS && this.maySend(target, now);
   }
 
   /** Whether this entry is the primary issuer for a target. */
   isFirstOf(target: string): boolean {
-    return findGivers(target, this.#entries).first === this.#self;
+    return findIssuers(target, this.#entries).primary === this.#self;
   }
 
   /** Issues permits that another entry requests. */
   give(target: string, count: number, now: number): PermitAnswer {
-    const wait = { granted: 0, waitMs: SHORTEST_WAIT_MS };
-    // The other entry's state differs from this one's for a short time, so it may retry
-    // soon.
-    if (this.#limits.tryGet(target) === undefined) return wait;
-    const state = this.#stateOf(target, now);
-    if (!this.#isGiver(state)) return wait;
+    const denial = { granted: 0, waitMs: MIN_WAIT_MS };
+    // Both entries will soon agree on whether there is a limit, so the other may retry soon.
+    if (this.#limits.tryGet(target) === undefined) return denial;
+    const state = this.#getState(target, now);
+    if (!this.#isIssuer(state)) return denial;
     let granted = 0;
     while (granted < count && state.bucket.tryTake(now)) granted++;
     if (granted > 0) return { granted, waitMs: 0 };
-    return { granted, waitMs: this.#sendAway(state, now) };
+    return { granted, waitMs: this.#deny(state, now) };
   }
 
   /**
@@ -212,13 +213,15 @@
     now: number,
   ): PermitPlan {
     for (const target of targets) {
-      const question = this.#tryAsk(target, count, now);
+      const question = this.#tryCreateRequest(target, count, now);
       if (question !== undefined) return { kind: "ask", question };
     }
-    const states = targets.map((target) => this.#stateOf(target, now));
-    if (states.some(({ isAsking }) => isAsking)) return { kind: "pending" };
-    const freeAt = Math.min(...states.map(({ deniedUntil }) => deniedUntil));
-    return { kind: "none", freeInMs: Math.max(SHORTEST_WAIT_MS, freeAt - now) };
+    const states = targets.map((target) => this.#getState(target, now));
+    if (states.some(({ isPending }) => isPending)) return { kind: "pending" };
+    const availableAt = Math.min(
+      ...states.map(({ deniedUntil }) => deniedUntil),
+    );
+    return { kind: "none", freeInMs: Math.max(MIN_WAIT_MS, availableAt - now) };
   }
 
   /**
@@ -231,11 +234,15 @@
     const share = (limit?.perSecond ?? 0) / Math.max(1, this.#entries.length);
     // If the share is less than one request per permit lifetime, a prefetched permit
     // would expire unused.
-    if (share * getPermitMs(limit) < 1000) return undefined;
+    if (share * getPermitLifetimeMs(limit) < 1000) return undefined;
     if (this.maySend(target, now)) return undefined;
-    const state = this.#stateOf(target, now);
-    if (now - state.askedAt < AHEAD_MS) return undefined;
-    return this.#tryAsk(target, Math.ceil(share * AHEAD_MS / 1000), now);
+    const state = this.#getState(target, now);
+    if (now - state.requestedAt < PREFETCH_INTERVAL_MS) return undefined;
+    return this.#tryCreateRequest(
+      target,
+      Math.ceil(share * PREFETCH_INTERVAL_MS / 1000),
+      now,
+    );
   }
 
   /** Records the outcome of a permit request. */
@@ -245,15 +252,16 @@
   ): void {
     const state = this.#states.get(target);
     if (state === undefined) return;
-    state.isAsking = false;
+    state.isPending = false;
     if (answer === undefined) {
       this.#unreachableUntil.set(entry, now + UNREACHABLE_MS);
       return;
     }
     this.#unreachableUntil.delete(entry);
-    const until = askedAt + getPermitMs(this.#limits.tryGet(target));
+    const expiresAt = askedAt +
+      getPermitLifetimeMs(this.#limits.tryGet(target));
     for (let permit = 0; permit < answer.granted; permit++) {
-      state.permits.push(until);
+      state.permitExpiries.push(expiresAt);
     }
     if (answer.granted === 0) state.deniedUntil = now + answer.waitMs;
   }
@@ -267,82 +275,88 @@
     }
   }
 
-  #stateOf(target: string, now: number): TargetState {
+  #getState(target: string, now: number): TargetState {
     const state = this.#states.get(target) ?? this.#createState(target, now);
     this.#states.set(target, state);
     const limit = this.#limits.tryGet(target);
-    const part = this.#partOf(state, now);
-    state.bucket.setOptions(getBucketOptions(limit, part), now);
+    const share = this.#getShare(state, now);
+    state.bucket.setOptions(getBucketOptions(limit, share), now);
     return state;
   }
 
   /** Whether the issuers for a target are known, or may be computed now. */
-  #mayRank(target: string, now: number): boolean {
+  #mayComputeIssuers(target: string, now: number): boolean {
     if (this.#states.has(target)) return true;
     if (now > this.#rankedAt) this.#ranked = 0;
     this.#rankedAt = now;
     const entries = this.#entries.length;
-    if (this.#ranked > 0 && this.#ranked + entries > MOST_RANKED) return false;
+    if (this.#ranked > 0 && this.#ranked + entries > MAX_RANKED) return false;
     this.#ranked += entries;
     return true;
   }
 
   #createState(target: string, now: number): TargetState {
     return {
-      givers: findGivers(target, this.#entries),
-      firstSince: this.#listedAt,
+      issuers: findIssuers(target, this.#entries),
+      primarySince: this.#listedAt,
       bucket: new TokenBucket({ perSecond: 0, burst: 1 }, now),
-      permits: [],
-      isAsking: false,
-      askedAt: Number.NEGATIVE_INFINITY,
+      permitExpiries: [],
+      isPending: false,
+      requestedAt: Number.NEGATIVE_INFINITY,
       deniedUntil: Number.NEGATIVE_INFINITY,
       sentAt: Number.NEGATIVE_INFINITY,
-      sentAway: [],
+      deniedAt: [],
     };
   }
 
   /** Returns the share of a target's limit that this entry issues. */
-  #partOf({ givers, firstSince }: TargetState, now: number): number {
-    const isSettled = now - firstSince >= SETTLED_AFTER_MS;
-    if (givers.first === this.#self) return isSettled ? 1 : DEPUTY_PART;
-    return givers.second === this.#self ? DEPUTY_PART : 0;
+  #getShare(
+    { issuers, primarySince }: TargetState,
+    now: number,
+  ): number {
+    const isSettled = now - primarySince >= SETTLED_AFTER_MS;
+    if (issuers.primary === this.#self) return isSettled ? 1 : SECONDARY_SHARE;
+    return issuers.secondary === this.#self ? SECONDARY_SHARE : 0;
   }
 
-  #isGiver({ givers }: TargetState): boolean {
-    return givers.first === this.#self || givers.second === this.#self;
+  #isIssuer({ issuers }: TargetState): boolean {
+    return issuers.primary === this.#self || issuers.secondary === this.#self;
   }
 
   /** Whether this entry may take from its own bucket. */
   #mayUseBucket(state: TargetState, now: number): boolean {
-    return this.#giverOf(state, now) === this.#self;
+    return this.#tryFindIssuer(state, now) === this.#self;
   }
 
   /** Returns the issuer to use; undefined if none is reachable. */
-  #giverOf({ givers }: TargetState, now: number): string | undefined {
-    return [givers.first, givers.second].find((entry) =>
+  #tryFindIssuer(
+    { issuers }: TargetState,
+    now: number,
+  ): string | undefined {
+    return [issuers.primary, issuers.secondary].find((entry) =>
       entry !== undefined &&
       (this.#unreachableUntil.get(entry) ?? now) <= now
     );
   }
 
-  #tryAsk(
+  #tryCreateRequest(
     target: string,
     count: number,
     now: number,
   ): PermitQuestion | undefined {
-    const state = this.#stateOf(target, now);
-    if (state.isAsking || state.deniedUntil > now) return undefined;
-    const entry = this.#giverOf(state, now);
+    const state = this.#getState(target, now);
+    if (state.isPending || state.deniedUntil > now) return undefined;
+    const entry = this.#tryFindIssuer(state, now);
     if (entry === undefined || entry === this.#self) {
-      state.deniedUntil = now + this.#ownWaitMs(state, entry, now);
+      state.deniedUntil = now + this.#getOwnWaitMs(state, entry, now);
       return undefined;
     }
-    state.isAsking = true;
-    state.askedAt = now;
-    return { target, entry, count: Math.min(count, MOST_ASKED) };
+    state.isPending = true;
+    state.requestedAt = now;
+    return { target, entry, count: Math.min(count, MAX_REQUESTED) };
   }
 
-  #ownWaitMs(
+  #getOwnWaitMs(
     { bucket }: TargetState,
     entry: string | undefined,
     now: number,
@@ -355,22 +369,22 @@
    * Records a denied request; returns the milliseconds until one may succeed after those
    * denied before it.
    */
-  #sendAway(state: TargetState, now: number): number {
-    state.sentAway = state.sentAway.filter((at) => now - at < QUEUE_MS);
-    const waitMs = state.bucket.getWaitMs(now) * (1 + state.sentAway.length);
-    state.sentAway.push(now);
+  #deny(state: TargetState, now: number): number {
+    state.deniedAt = state.deniedAt.filter((at) => now - at < DENIED_WINDOW_MS);
+    const waitMs = state.bucket.getWaitMs(now) * (1 + state.deniedAt.length);
+    state.deniedAt.push(now);
     return boundWait(waitMs);
   }
 }
 
 function boundWait(milliseconds: number): number {
-  return Math.min(LONGEST_WAIT_MS, Math.max(SHORTEST_WAIT_MS, milliseconds));
+  return Math.min(MAX_WAIT_MS, Math.max(MIN_WAIT_MS, milliseconds));
 }
 
-function findGivers(target: string, entries: readonly string[]): Givers {
-  const [first, second] = entries
+function findIssuers(target: string, entries: readonly string[]): Issuers {
+  const [primary, secondary] = entries
     .map((entry) => ({ entry, rank: getRendezvousRank(target, entry) }))
     .sort((left, right) => left.rank < right.rank ? -1 : 1)
     .map(({ entry }) => entry);
-  return { first, second };
+  return { primary, secondary };
 }
--- a/src/policy/target_backoffs.ts
+++ b/src/policy/target_backoffs.ts
@@ -21,9 +21,9 @@
  * Maximum backoff of one request, in milliseconds. A target that is overloaded for longer
  * requests another one, and a wrong value costs a target at most an hour.
  */
-export const LONGEST_BACKOFF_MS = 3_600_000;
+export const MAX_BACKOFF_MS = 3_600_000;
 /** Maximum time over which the load returns after a backoff, in milliseconds. */
-const LONGEST_RETURN_MS = 3000;
+const MAX_RAMP_UP_MS = 3000;
 
 /** A target's request to be sent nothing for a time. */
 export interface BackoffRequest {
@@ -46,7 +46,7 @@
 }
 
 /** The interval over which a target's load returns after a backoff. */
-interface Return {
+interface RampUp {
   readonly since: number;
   readonly until: number;
 }
@@ -54,7 +54,7 @@
 /** Tracks the backoffs that targets request from this entry. */
 export class TargetBackoffs {
   readonly #active = new Map<string, Backoff>();
-  readonly #returning = new Map<string, Return>();
+  readonly #rampingUp = new Map<string, RampUp>();
   #count = 0;
 
   /** Number of targets in a backoff, as of the last {@link takeEnded}. */
@@ -67,7 +67,7 @@
    * takeEnded}.
    */
   get isIdle(): boolean {
-    return this.#active.size + this.#returning.size === 0;
+    return this.#active.size + this.#rampingUp.size === 0;
   }
 
   /** Number of backoffs that have begun since the process started. */
@@ -80,17 +80,17 @@
    *
    * @example
    * ```ts
-   * const backoff = backoffs.note({ target: "i-1", askedMs: 3000, now });
+   * const backoff = backoffs.record({ target: "i-1", askedMs: 3000, now });
    * ```
    */
   note({ target, askedMs, now }: BackoffRequest): Backoff | undefined {
-    const until = now + Math.min(askedMs, LONGEST_BACKOFF_MS);
+    const until = now + Math.min(askedMs, MAX_BACKOFF_MS);
     const known = this.#tryActive(target, now);
     if (until <= (known?.until ?? now)) return undefined;
     if (known === undefined) this.#count++;
     const backoff = { target, askedMs, since: known?.since ?? now, until };
     this.#active.set(target, backoff);
-    this.#returning.delete(target);
+    this.#rampingUp.delete(target);
     return backoff;
   }
 
@@ -106,10 +106,10 @@
   /** Returns the fraction of requests for which a target is a candidate, from 0 to 1. */
   getShare(target: string, now: number): number {
     if (this.#tryActive(target, now) !== undefined) return 0;
-    const ended = this.#active.get(target);
-    const returning = ended === undefined
-      ? this.#returning.get(target)
-      : createReturn(ended);
+    const expired = this.#active.get(target);
+    const returning = expired === undefined
+      ? this.#rampingUp.get(target)
+      : createRampUp(expired);
     if (returning === undefined) return 1;
     const { since, until } = returning;
     return Math.min(1, Math.max(0, (now - since) / (until - since)));
@@ -122,23 +122,23 @@
   getReturnMs(target: string): number {
     const active = this.#active.get(target);
     if (active === undefined) return 0;
-    const { since, until } = createReturn(active);
+    const { since, until } = createRampUp(active);
     return until - since;
   }
 
   /** Returns the backoffs that have ended since the last call. */
   takeEnded(now: number): readonly Backoff[] {
-    for (const [target, { until }] of this.#returning) {
-      if (until <= now) this.#returning.delete(target);
+    for (const [target, { until }] of this.#rampingUp) {
+      if (until <= now) this.#rampingUp.delete(target);
     }
-    const ended = [...this.#active.values()].filter(({ until }) =>
+    const expired = [...this.#active.values()].filter(({ until }) =>
       until <= now
     );
-    for (const backoff of ended) {
+    for (const backoff of expired) {
       this.#active.delete(backoff.target);
-      this.#returning.set(backoff.target, createReturn(backoff));
+      this.#rampingUp.set(backoff.target, createRampUp(backoff));
     }
-    return ended;
+    return expired;
   }
 
   #tryActive(target: string, now: number): Backoff | undefined {
@@ -148,7 +148,7 @@
 }
 
 /** The load returns over as long as the backoff lasted, up to the maximum. */
-function createReturn({ since, until }: Backoff): Return {
-  const forMs = Math.min(until - since, LONGEST_RETURN_MS);
+function createRampUp({ since, until }: Backoff): RampUp {
+  const forMs = Math.min(until - since, MAX_RAMP_UP_MS);
   return { since: until, until: until + forMs };
 }
--- a/src/policy/target_backoffs_test.ts
+++ b/src/policy/target_backoffs_test.ts
@@ -5,7 +5,7 @@
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { LONGEST_BACKOFF_MS, TargetBackoffs } from "./target_backoffs.ts";
+import { MAX_BACKOFF_MS, TargetBackoffs } from "./target_backoffs.ts";
 
 const TARGET = "i-1";
 
@@ -43,7 +43,7 @@
 
   it("is bounded whatever duration is requested", () => {
     const backoffs = createBackoffs([0, 999_999_999_000]);
-    assert.equal(backoffs.getRemainingMs(TARGET, 0), LONGEST_BACKOFF_MS);
+    assert.equal(backoffs.getRemainingMs(TARGET, 0), MAX_BACKOFF_MS);
   });
 
   it("is returned once when it ends, and then lets the load return gradually", () => {
--- a/src/policy/target_choice.ts
+++ b/src/policy/target_choice.ts
@@ -62,7 +62,7 @@
     candidates: readonly TargetView[],
   ): TargetView | undefined {
     return minimumBy(
-      drawDistinct(candidates, { count: 2, random: this.#random }),
+      sampleDistinct(candidates, { count: 2, random: this.#random }),
       estimateLoad,
     );
   }
@@ -71,7 +71,7 @@
 /** Options of a {@link ScoredChoice}. All penalties and weights are in units of load. */
 export interface ScoredChoiceOptions {
   /** Number of targets sampled for each request. */
-  readonly drawn: number;
+  readonly sampleCount: number;
   /** Penalty of a target in another failure domain. */
   readonly domainPenalty: number;
   /**
@@ -90,7 +90,7 @@
 
 /** See docs/DESIGN.md for the trade-offs between these values. */
 export const SCORED_CHOICE_DEFAULTS: ScoredChoiceOptions = {
-  drawn: 2,
+  sampleCount: 2,
   domainPenalty: 0.25,
   failurePenalty: 4,
   prefixWeight: 1,
@@ -121,26 +121,26 @@
     candidates: readonly TargetView[],
     context: ChoiceContext,
   ): TargetView | undefined {
-    const drawn = this.#draw(candidates);
+    const sampled = this.#sample(candidates);
     // Targets with an idle connection are rare in a large pool, so they are sampled
     // separately.
-    const connected = this.#draw(
+    const connected = this.#sample(
       candidates.filter((view) => view.idleConnectionUntil > context.now),
     );
-    const warmest = this.#tryWarmest(candidates, context);
-    const scored = [...drawn, ...connected];
-    if (warmest !== undefined) scored.push(warmest);
+    const mostCached = this.#tryFindMostCached(candidates, context);
+    const scored = [...sampled, ...connected];
+    if (mostCached !== undefined) scored.push(mostCached);
     return minimumBy(scored, (view) => this.#score(view, context));
   }
 
-  #draw(candidates: readonly TargetView[]): readonly TargetView[] {
-    return drawDistinct(candidates, {
-      count: this.#options.drawn,
+  #sample(candidates: readonly TargetView[]): readonly TargetView[] {
+    return sampleDistinct(candidates, {
+      count: this.#options.sampleCount,
       random: this.#random,
     });
   }
 
-  #tryWarmest(
+  #tryFindMostCached(
     candidates: readonly TargetView[],
     context: ChoiceContext,
   ): TargetView | undefined {
@@ -190,22 +190,22 @@
   return (others + view.ownInFlight) / view.concurrency;
 }
 
-interface DrawOptions {
+interface SampleOptions {
   readonly count: number;
   readonly random: RandomSource;
 }
 
-function drawDistinct(
+function sampleDistinct(
   candidates: readonly TargetView[],
-  options: DrawOptions,
+  options: SampleOptions,
 ): readonly TargetView[] {
   if (candidates.length <= options.count) return candidates;
-  const drawn = new Set<TargetView>();
-  while (drawn.size < options.count) {
+  const sampled = new Set<TargetView>();
+  while (sampled.size < options.count) {
     const index = options.random.nextBelow(candidates.length);
-    drawn.add(candidates[index] as TargetView);
+    sampled.add(candidates[index] as TargetView);
   }
-  return [...drawn];
+  return [...sampled];
 }
 
 function minimumBy<T>(
--- a/src/policy/target_limits.ts
+++ b/src/policy/target_limits.ts
@@ -13,16 +13,16 @@
 import { createHash } from "node:crypto";
 
 /** Maximum number of limits that entries replicate. */
-const MOST_TOLD = 1024;
+const MAX_REPLICATED = 1024;
 /**
  * Milliseconds for which an ended limit or the limit of an unlisted target is remembered.
  */
-const REMEMBERED_MS = 60_000;
+const RETENTION_MS = 60_000;
 /**
  * Milliseconds after a change in which a higher limit is ignored; lower ones apply at
  * once.
  */
-const RAISED_AFTER_MS = 1000;
+const MIN_RAISE_INTERVAL_MS = 1000;
 /** Significant digits of a limit, so that small fluctuations do not count as changes. */
 const SIGNIFICANT_DIGITS = 2;
 
@@ -38,7 +38,7 @@
 }
 
 /** An answer of a target, with the limit that it announces, if any. */
-export interface LimitAnswer {
+export interface LimitNotice {
   readonly target: string;
   /** Requests a second; undefined if the answer announces no limit. */
   readonly perSecond: number | undefined;
@@ -57,23 +57,23 @@
   readonly #byTarget = new Map<string, KnownLimit>();
   #listed: ReadonlySet<string> = new Set();
   #content: string | undefined;
-  #named = 0;
+  #activeCount = 0;
 
   /** Whether no target has a limit. */
   get isEmpty(): boolean {
-    return this.#named === 0;
+    return this.#activeCount === 0;
   }
 
   /** Digest of the limits, equal for equal limits. */
   get content(): string {
-    return this.#content ??= describeAll(this.list());
+    return this.#content ??= computeDigest(this.list());
   }
 
   /** Returns the limits that are replicated, ordered by target. */
   list(): readonly TargetLimit[] {
     return [...this.#byTarget.values()]
       .sort((left, right) => left.target < right.target ? -1 : 1)
-      .slice(0, MOST_TOLD);
+      .slice(0, MAX_REPLICATED);
   }
 
   /**
@@ -88,81 +88,85 @@
    *
    * @example
    * ```ts
-   * const limit = limits.note({ target, perSecond: 2, sentAt, now });
+   * const limit = limits.record({ target, perSecond: 2, sentAt, now });
    * ```
    */
-  note(answer: LimitAnswer): TargetLimit | undefined {
+  note(answer: LimitNotice): TargetLimit | undefined {
     const { target, now } = answer;
     const known = this.#byTarget.get(target);
     const perSecond = answer.perSecond && roundDown(answer.perSecond);
     if (perSecond === undefined) {
       // The target may have sent the headers of the answer before its limit began, so
       // only the answer to a later request ends the limit.
-      const isOver = known?.perSecond !== undefined &&
+      const hasEnded = known?.perSecond !== undefined &&
         answer.sentAt > known.heardAt;
-      return isOver ? this.#change(answer, undefined) : undefined;
+      return hasEnded ? this.#change(answer, undefined) : undefined;
     }
-    const isNews = known?.perSecond === undefined ||
+    const isChanged = known?.perSecond === undefined ||
       perSecond < known.perSecond ||
-      (perSecond > known.perSecond && now - known.changedAt >= RAISED_AFTER_MS);
-    if (isNews) return this.#change(answer, perSecond);
+      (perSecond > known.perSecond &&
+        now - known.changedAt >= MIN_RAISE_INTERVAL_MS);
+    if (isChanged) return this.#change(answer, perSecond);
     this.#set({ ...known, heardAt: now });
     return undefined;
   }
 
   /** Merges the limits received from another entry; returns the changed ones. */
-  merge(told: readonly TargetLimit[], now: number): readonly TargetLimit[] {
-    const news = told.filter((one) => this.#isNews(one, now));
-    for (const one of news) this.#set({ ...one, changedAt: now });
-    this.#forgetOld(now);
-    return news;
+  merge(received: readonly TargetLimit[], now: number): readonly TargetLimit[] {
+    const changes = received.filter((limit) => this.#isNew(limit, now));
+    for (const limit of changes) this.#set({ ...limit, changedAt: now });
+    this.#evictExpired(now);
+    return changes;
   }
 
   /** Replaces the set of listed targets. */
   setListed(targets: ReadonlySet<string>, now: number): void {
     this.#listed = targets;
-    this.#forgetOld(now);
+    this.#evictExpired(now);
   }
 
   #change(
-    { target, now }: LimitAnswer,
+    { target, now }: LimitNotice,
     perSecond: number | undefined,
   ): TargetLimit {
     const version = (this.#byTarget.get(target)?.version ?? 0) + 1;
-    const changed = { target, perSecond, version, heardAt: now };
+    const changed: TargetLimit = { target, perSecond, version, heardAt: now };
     this.#set({ ...changed, changedAt: now });
     return changed;
   }
 
-  #isNews(told: TargetLimit, now: number): boolean {
-    const known = this.#byTarget.get(told.target);
-    if (known === undefined) return !this.#isOld(told, now);
-    if (told.version !== known.version) return told.version > known.version;
-    return getRate(told) < getRate(known);
+  #isNew(update: TargetLimit, now: number): boolean {
+    const known = this.#byTarget.get(update.target);
+    if (known === undefined) return !this.#isExpired(update, now);
+    if (update.version !== known.version) return update.version > known.version;
+    return getRate(update) < getRate(known);
   }
 
   #set(limit: KnownLimit): void {
     this.#byTarget.set(limit.target, limit);
     this.#content = undefined;
-    this.#countNamed();
+    this.#updateActiveCount();
   }
 
-  #isOld({ target, perSecond, heardAt }: TargetLimit, now: number): boolean {
-    const mayEnd = perSecond === undefined || !this.#listed.has(target);
-    return mayEnd && now - heardAt >= REMEMBERED_MS;
+  #isExpired(
+    { target, perSecond, heardAt }: TargetLimit,
+    now: number,
+  ): boolean {
+    const isRemovable = perSecond === undefined || !this.#listed.has(target);
+    return isRemovable && now - heardAt >= RETENTION_MS;
   }
 
-  #forgetOld(now: number): void {
+  #evictExpired(now: number): void {
     for (const limit of [...this.#byTarget.values()]) {
-      if (!this.#isOld(limit, now)) continue;
+      if (!this.#isExpired(limit, now)) continue;
       this.#byTarget.delete(limit.target);
       this.#content = undefined;
     }
-    this.#countNamed();
+    this.#updateActiveCount();
   }
 
-  #countNamed(): void {
-    this.#named = [...this.#byTarget.values()]
+  #updateActiveCount(): void {
+    this.#activeCount = [...this.#byTarget.values()]
       .filter(({ perSecond }) => perSecond !== undefined).length;
   }
 }
@@ -180,7 +184,7 @@
   return Number((rounded - unit).toPrecision(SIGNIFICANT_DIGITS));
 }
 
-function describeAll(limits: readonly TargetLimit[]): string {
+function computeDigest(limits: readonly TargetLimit[]): string {
   if (limits.length === 0) return "";
   const text = limits
     .map(({ target, perSecond, version }) =>
--- a/src/policy/target_limits_test.ts
+++ b/src/policy/target_limits_test.ts
@@ -6,30 +6,30 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import * as fc from "fast-check";
-import { type LimitAnswer, TargetLimits } from "./target_limits.ts";
+import { type LimitNotice, TargetLimits } from "./target_limits.ts";
 
-function answer(changes: Partial<LimitAnswer>): LimitAnswer {
+function createNotice(changes: Partial<LimitNotice>): LimitNotice {
   return { target: "i-1", perSecond: 2, sentAt: 0, now: 0, ...changes };
 }
 
-function createLimits(...answers: readonly Partial<LimitAnswer>[]) {
+function createLimits(...answers: readonly Partial<LimitNotice>[]) {
   const limits = new TargetLimits();
   limits.setListed(new Set(["i-1", "i-2"]), 0);
-  for (const one of answers) limits.note(answer(one));
+  for (const one of answers) limits.note(createNotice(one));
   return limits;
 }
 
 /** Replicates limits from one entry to another. */
-function tell(from: TargetLimits, to: TargetLimits, now = 0) {
+function replicate(from: TargetLimits, to: TargetLimits, now = 0) {
   return to.merge(from.list(), now);
 }
 
 describe("the limit that a target announces", () => {
   it("applies until the answer to a later request announces none", () => {
     const limits = createLimits({ perSecond: 0.5, now: 100 });
-    limits.note(answer({ perSecond: undefined, sentAt: 90, now: 2000 }));
+    limits.note(createNotice({ perSecond: undefined, sentAt: 90, now: 2000 }));
     assert.equal(limits.tryGet("i-1"), 0.5);
-    limits.note(answer({ perSecond: undefined, sentAt: 110, now: 2100 }));
+    limits.note(createNotice({ perSecond: undefined, sentAt: 110, now: 2100 }));
     assert.equal(limits.tryGet("i-1"), undefined);
     assert.ok(limits.isEmpty);
   });
@@ -37,16 +37,16 @@
   it("is lowered immediately, and raised at most once a second", () => {
     const limits = createLimits({ perSecond: 5 }, { perSecond: 2, now: 10 });
     assert.equal(limits.tryGet("i-1"), 2);
-    limits.note(answer({ perSecond: 8, now: 20 }));
+    limits.note(createNotice({ perSecond: 8, now: 20 }));
     assert.equal(limits.tryGet("i-1"), 2);
-    limits.note(answer({ perSecond: 8, now: 1010 }));
+    limits.note(createNotice({ perSecond: 8, now: 1010 }));
     assert.equal(limits.tryGet("i-1"), 8);
   });
 
   it("ignores changes of insignificant digits, and is never rounded up", () => {
     const limits = createLimits({ perSecond: 3.49 });
     assert.equal(limits.tryGet("i-1"), 3.4);
-    const changed = limits.note(answer({ perSecond: 3.41, now: 5000 }));
+    const changed = limits.note(createNotice({ perSecond: 3.41, now: 5000 }));
     assert.equal(changed, undefined);
     assert.equal(createLimits({ perSecond: 0.999 }).tryGet("i-1"), 0.99);
     assert.equal(createLimits({ perSecond: 0.2 }).tryGet("i-1"), 0.2);
@@ -62,25 +62,25 @@
 describe("limits that entries replicate", () => {
   it("apply at entries that received no answer with a limit", () => {
     const other = createLimits();
-    const news = tell(createLimits({}), other);
+    const news = replicate(createLimits({}), other);
     assert.equal(news.length, 1);
     assert.equal(other.tryGet("i-1"), 2);
-    assert.equal(tell(createLimits({}), other).length, 0);
+    assert.equal(replicate(createLimits({}), other).length, 0);
   });
 
   it("end when another entry reports their end, and outdated updates do not restore them", () => {
     const before = createLimits({});
     const after = createLimits({});
-    after.note(answer({ perSecond: undefined, sentAt: 1, now: 50 }));
-    assert.equal(tell(after, before).length, 1);
+    after.note(createNotice({ perSecond: undefined, sentAt: 1, now: 50 }));
+    assert.equal(replicate(after, before).length, 1);
     assert.equal(before.tryGet("i-1"), undefined);
-    assert.equal(tell(createLimits({}), before).length, 0);
+    assert.equal(replicate(createLimits({}), before).length, 0);
   });
 
   it("are not ended by an answer to an earlier request", () => {
     const other = createLimits();
-    tell(createLimits({ now: 1000 }), other, 1010);
-    other.note(answer({ perSecond: undefined, sentAt: 900, now: 1500 }));
+    replicate(createLimits({ now: 1000 }), other, 1010);
+    other.note(createNotice({ perSecond: undefined, sentAt: 900, now: 1500 }));
     assert.equal(other.tryGet("i-1"), 2);
   });
 
@@ -101,11 +101,11 @@
           now += 300;
           const from = entries[entry] as TargetLimits;
           from.note({ target, perSecond, sentAt: now - 1, now });
-          tell(from, entries[tells] as TargetLimits, now);
+          replicate(from, entries[tells] as TargetLimits, now);
         }
         for (let round = 0; round < 2; round++) {
           for (const from of entries) {
-            for (const to of entries) tell(from, to, now);
+            for (const to of entries) replicate(from, to, now);
           }
         }
         const contents = new Set(entries.map(({ content }) => content));
--- a/src/policy/target_subset.ts
+++ b/src/policy/target_subset.ts
@@ -7,7 +7,7 @@
 import { getRendezvousRank } from "../core/rendezvous_hash.ts";
 
 /** The properties of a target on which the choice depends. */
-export interface SubsetCandidate {
+export interface Candidate {
   readonly name: string;
   readonly pool: string;
   readonly failureDomain: string;
@@ -31,41 +31,41 @@
  *
  * @example
  * ```ts
- * const dialled = chooseSubset(machines, { entryName, failureDomain, limit });
+ * const dialled = chooseSubset(targets, { entryName, failureDomain, limit });
  * ```
  */
-export function chooseSubset<T extends SubsetCandidate>(
-  machines: readonly T[],
+export function chooseSubset<T extends Candidate>(
+  candidates: readonly T[],
   options: SubsetOptions,
 ): readonly T[] {
   const pools = new Map<string, T[]>();
-  for (const machine of machines) {
-    const pool = pools.get(machine.pool) ?? [];
-    pool.push(machine);
-    pools.set(machine.pool, pool);
+  for (const candidate of candidates) {
+    const pool = pools.get(candidate.pool) ?? [];
+    pool.push(candidate);
+    pools.set(candidate.pool, pool);
   }
-  return [...pools.values()].flatMap((pool) => chooseOfPool(pool, options));
+  return [...pools.values()].flatMap((pool) => chooseFromPool(pool, options));
 }
 
-function chooseOfPool<T extends SubsetCandidate>(
+function chooseFromPool<T extends Candidate>(
   pool: readonly T[],
   options: SubsetOptions,
 ): readonly T[] {
   if (pool.length <= options.limit) return pool;
   const ranked = pool
-    .map((machine) => ({
-      machine,
-      rank: getRendezvousRank(options.entryName, machine.name),
+    .map((candidate) => ({
+      candidate,
+      rank: getRendezvousRank(options.entryName, candidate.name),
     }))
     .sort((left, right) => left.rank < right.rank ? -1 : 1)
-    .map(({ machine }) => machine);
+    .map(({ candidate }) => candidate);
   const near = ranked
-    .filter((machine) => machine.failureDomain === options.failureDomain)
+    .filter((candidate) => candidate.failureDomain === options.failureDomain)
     .slice(0, Math.floor(options.limit * NEAR_SHARE));
   const chosen = new Set(near);
-  for (const machine of ranked) {
+  for (const candidate of ranked) {
     if (chosen.size >= options.limit) break;
-    chosen.add(machine);
+    chosen.add(candidate);
   }
   return [...chosen];
 }
--- a/src/policy/target_subset_test.ts
+++ b/src/policy/target_subset_test.ts
@@ -8,7 +8,7 @@
 const ENTRIES = 120;
 const LIMIT = 100;
 
-function createMachines(count: number): readonly VirtualMachine[] {
+function createTargets(count: number): readonly VirtualMachine[] {
   return Array.from({ length: count }, (_, index): VirtualMachine => ({
     name: `target-${index}`,
     address: `10.0.0.1:${index}`,
@@ -19,8 +19,8 @@
   }));
 }
 
-function choose(entry: number, machines: readonly VirtualMachine[]) {
-  return chooseSubset(machines, {
+function choose(entry: number, targets: readonly VirtualMachine[]) {
+  return chooseSubset(targets, {
     entryName: `entry-${entry}`,
     failureDomain: String(entry % DOMAINS),
     limit: LIMIT,
@@ -29,14 +29,14 @@
 
 describe("subset of a large pool", () => {
   it("includes all targets of a small pool", () => {
-    const machines = createMachines(LIMIT);
-    assert.deepEqual(choose(0, machines), machines);
+    const targets = createTargets(LIMIT);
+    assert.deepEqual(choose(0, targets), targets);
   });
 
   it("respects the limit, and prefers the entry's failure domain", () => {
-    const chosen = choose(1, createMachines(TARGETS));
+    const chosen = choose(1, createTargets(TARGETS));
     assert.equal(chosen.length, LIMIT);
-    const near = chosen.filter((machine) => machine.failureDomain === "1");
+    const near = chosen.filter((target) => target.failureDomain === "1");
     assert.ok(near.length >= LIMIT * 0.75, String(near.length));
     assert.ok(near.length < LIMIT, "Some targets must be in other domains");
   });
@@ -44,7 +44,7 @@
   it("spreads entries evenly over the targets", () => {
     const counts = new Map<string, number>();
     for (let entry = 0; entry < ENTRIES; entry++) {
-      for (const { name } of choose(entry, createMachines(TARGETS))) {
+      for (const { name } of choose(entry, createTargets(TARGETS))) {
         counts.set(name, (counts.get(name) ?? 0) + 1);
       }
     }
@@ -54,11 +54,11 @@
   });
 
   it("changes by one target when a VM is removed", () => {
-    const machines = createMachines(TARGETS);
-    const before = choose(0, machines);
+    const targets = createTargets(TARGETS);
+    const before = choose(0, targets);
     const gone = before[0] as VirtualMachine;
-    const after = choose(0, machines.filter((machine) => machine !== gone));
-    const kept = after.filter((machine) => before.includes(machine));
+    const after = choose(0, targets.filter((target) => target !== gone));
+    const kept = after.filter((target) => before.includes(target));
     assert.equal(kept.length, LIMIT - 1);
   });
 });
--- a/src/policy/warm_up_limits.ts
+++ b/src/policy/warm_up_limits.ts
@@ -16,9 +16,9 @@
  * another list. Lists arrive once a second, and less often while the store is
  * unreachable.
  */
-const TOLD_LASTS_MS = 5000;
+const MIN_LIST_VALIDITY_MS = 5000;
 /** Milliseconds for which an incarnation that left the list is remembered. */
-const REMEMBERED_MS = 60_000;
+const RETENTION_MS = 60_000;
 const NEVER = Number.NEGATIVE_INFINITY;
 
 /** The settings of cold targets of a pool. */
@@ -52,12 +52,12 @@
   readonly source: ColdnessSource;
 }
 
-interface SeenTarget {
+interface KnownTarget {
   readonly pool: string;
   readonly source: ColdnessSource;
   readonly coldUntil: number;
   /** Until when the target is remembered, in milliseconds. */
-  readonly seenUntil: number;
+  readonly retainedUntil: number;
 }
 
 interface ColdTarget {
@@ -70,7 +70,7 @@
 export class WarmUpLimits {
   #pools: ReadonlyMap<string, ColdPool> = new Map();
   #hasListed = false;
-  #seen: ReadonlyMap<string, SeenTarget> = new Map();
+  #known: ReadonlyMap<string, KnownTarget> = new Map();
   #cold: ReadonlyMap<string, ColdTarget> = new Map();
 
   /** Whether no target is cold. */
@@ -104,8 +104,10 @@
    */
   setPools(pools: ColdPools, now: number): readonly ColdnessChange[] {
     const readable = new Map<string, ColdPool>();
-    for (const [pool, said] of pools) {
-      const inForce = said.kind === "limited" ? said : this.#pools.get(pool);
+    for (const [pool, settings] of pools) {
+      const inForce = settings.kind === "limited"
+        ? settings
+        : this.#pools.get(pool);
       if (inForce !== undefined) readable.set(pool, inForce);
     }
     this.#pools = readable;
@@ -124,14 +126,14 @@
     instances: readonly BackEndInstance[],
     now: number,
   ): readonly ColdnessChange[] {
-    const remembered = [...this.#seen].filter(([, seen]) =>
-      seen.seenUntil > now
+    const remembered = [...this.#known].filter(([, known]) =>
+      known.retainedUntil > now
     );
     const listed = instances.map((instance) =>
-      [instance.id, this.#see(instance, now)] as const
+      [instance.id, this.#observe(instance, now)] as const
     );
     this.#hasListed = true;
-    this.#seen = new Map([...remembered, ...listed]);
+    this.#known = new Map([...remembered, ...listed]);
     return this.advance(now);
   }
 
@@ -141,14 +143,14 @@
     if (before.size === 0 && this.#pools.size === 0) return [];
     this.#cold = this.#findCold(now);
     return [
-      ...changesOf(before, this.#cold, false),
-      ...changesOf(this.#cold, before, true),
+      ...listChanges(before, this.#cold, false),
+      ...listChanges(this.#cold, before, true),
     ];
   }
 
   #findCold(now: number): ReadonlyMap<string, ColdTarget> {
     const cold = new Map<string, ColdTarget>();
-    for (const [target, { pool, source, coldUntil }] of this.#seen) {
+    for (const [target, { pool, source, coldUntil }] of this.#known) {
       const perSecond = this.#pools.get(pool)?.perSecond;
       if (perSecond === undefined || coldUntil <= now) continue;
       cold.set(target, { pool, source, perSecond });
@@ -156,28 +158,28 @@
     return cold;
   }
 
-  #see(instance: BackEndInstance, now: number): SeenTarget {
+  #observe(instance: BackEndInstance, now: number): KnownTarget {
     const { id, pool, startedAt } = instance;
     // Without a start time another incarnation may return under the same id.
-    const seenUntil = startedAt === undefined ? NEVER : now + REMEMBERED_MS;
+    const seenUntil = startedAt === undefined ? NEVER : now + RETENTION_MS;
     return {
       pool,
-      seenUntil,
-      ...this.#judge(instance, this.#seen.get(id), now),
+      retainedUntil: seenUntil,
+      ...this.#classify(instance, this.#known.get(id), now),
     };
   }
 
-  #judge(
+  #classify(
     { pool, isCold }: BackEndInstance,
-    known: SeenTarget | undefined,
+    known: KnownTarget | undefined,
     now: number,
-  ): Pick<SeenTarget, "source" | "coldUntil"> {
+  ): Pick<KnownTarget, "source" | "coldUntil"> {
     const startMs = this.#pools.get(pool)?.startMs;
     if (startMs === undefined || isCold === false) {
       return { source: "list", coldUntil: NEVER };
     }
     if (isCold) {
-      const coldUntil = now + Math.max(startMs, TOLD_LASTS_MS);
+      const coldUntil = now + Math.max(startMs, MIN_LIST_VALIDITY_MS);
       return { source: "list", coldUntil };
     }
     if (known !== undefined) return known;
@@ -187,7 +189,7 @@
 }
 
 /** Returns the changes for targets in `of` that are not in `other`. */
-function changesOf(
+function listChanges(
   of: ReadonlyMap<string, ColdTarget>,
   other: ReadonlyMap<string, ColdTarget>,
   isCold: boolean,
