--- a/src/policy/late_admission.ts
+++ b/src/policy/late_admission.ts
@@ -76,7 +76,7 @@
    * @example
    * ```ts
    * const admission = new LateAdmission();
-   * admission.recordReport({ passMs: 50, at: 0 });
+   * admission.record({ passMs: 50, at: 0 });
    * admission.mayAdmit(120, { now: 10, waitedMs: 0, hasFreeSlot: true }); // true
    * ```
    */
