--- a/src/policy/admission_order.ts
+++ b/src/policy/admission_order.ts
@@ -98,7 +98,8 @@
  *
  * @example
  * ```ts
- * getAdmissionReturnMs({ leftMs: 8000, deferredFraction: 1, randomFraction: 0.5 }); // 1803.3
+ * const input = { leftMs: 8000, deferredFraction: 1, randomFraction: 0.5 };
+ * getAdmissionReturnMs(input); // 1803.3
  * ```
  */
 export function getAdmissionReturnMs(
--- a/src/policy/crash_history.ts
+++ b/src/policy/crash_history.ts
@@ -2,7 +2,7 @@
  * Records which requests targets crashed under, and refuses a request that crashes every
  * target that runs it (a poison request).
  *
- * A target crashes, its caller gets no answer and sends the same request again, and the
+ * A target crashes, the caller of a request gets no answer and sends it again, and the
  * next target crashes. Each may take its whole rank group down for seconds. After one
  * crash all requests that ran on the target are equally suspect, and a power or rack
  * failure ends many targets at once. The order of events identifies the cause: the
@@ -27,8 +27,8 @@
 /** Milliseconds for which the crashes of a refused request are kept. */
 const REFUSED_RETENTION_MS = 3_600_000;
 /**
- * The same for a request with a single crash, which every request that ran beside the
- * cause has.
+ * The same for a request with a single crash, in milliseconds. Every request that ran on
+ * a crashed target has one, so most of them are not the cause.
  */
 const SUSPECT_RETENTION_MS = 120_000;
 /**
@@ -147,7 +147,7 @@
   }
 
   #mergeAll(received: readonly CrashedRequest[], now: number): void {
-    for (const entry of received) this.#mergeOne(entry, now);
+    for (const history of received) this.#mergeOne(history, now);
     this.#evictExpired(now);
     while (this.#byRequest.size > MAX_REQUESTS) this.#evictLeastSuspect();
     this.#content = undefined;
--- a/src/policy/domain_drains.ts
+++ b/src/policy/domain_drains.ts
@@ -5,6 +5,7 @@
  *
  * @module
  */
+
 /** Milliseconds over which a failure domain returns to its full load after a drain. */
 export const RETURN_MS = 3000;
 
--- a/src/policy/domain_reachability.ts
+++ b/src/policy/domain_reachability.ts
@@ -83,7 +83,7 @@
    * @example
    * ```ts
    * const failed = { tookMs: 400, now };
-   * if (reachability.noteFailed(target, failed)) log("DOMAIN_UNREACHABLE");
+   * if (reachability.recordFailed(target, failed)) log("DOMAIN_UNREACHABLE");
    * ```
    */
   noteFailed(
--- a/src/policy/fair_division.ts
+++ b/src/policy/fair_division.ts
@@ -33,7 +33,7 @@
  *   ["large", { requests: 90, weight: 1 }],
  *   ["small", { requests: 10, weight: 1 }],
  * ]);
- * divideByWeight(demands, { part: 0.5, leastPart: 0.25 }); // large: 0.44, small: 1
+ * divideByWeight(demands, { fraction: 0.5, minFraction: 0.25 }); // large: 0.44, small: 1
  * ```
  */
 export function divideByWeight(
--- a/src/policy/group_capacity.ts
+++ b/src/policy/group_capacity.ts
@@ -55,8 +55,8 @@
  */
 const PASS_FRACTION = 0.9;
 /**
- * Milliseconds for which a cost is used; the popularity of experts changes every 2.5 to 4
- * s.
+ * Milliseconds for which a cost is used. The popularity of experts changes every 2.5 s to
+ * 4 s.
  */
 const COST_WINDOW_MS = 6000;
 /** Milliseconds after which a report is ignored, as the decider has probably failed. */
--- a/src/policy/idle_lifetime.ts
+++ b/src/policy/idle_lifetime.ts
@@ -12,7 +12,10 @@
 
 /** Maximum idle time in milliseconds, whatever a server announces. */
 const MAX_LIMIT_MS = 60_000;
-/** Minimum idle time in milliseconds; connections are reused sooner than this. */
+/**
+ * Minimum limit in milliseconds. Busy connections are reused within this time, so a lower
+ * limit would have no effect.
+ */
 const MIN_LIMIT_MS = 50;
 /**
  * Fraction of a dead connection's idle time up to which others are reused, as it may have
--- a/src/policy/permit_bounds.ts
+++ b/src/policy/permit_bounds.ts
@@ -2,8 +2,8 @@
  * Bounds the burst and the lifetime of permits for a target.
  *
  * In any second a target that warms up may receive at most 1.5 r + 5 requests, where r is
- * its limit. The primary issuer issues r permits a second and the secondary issuer 0.25
- * r. Permits live for 0.2 s + 1.5 / r, and bursts are limited to 2 and 1 permits. The
+ * its limit. A primary issuer issues r and a secondary one 0.25 r permits a second.
+ * Permits live for 0.2 s + 1.5 / r, and bursts are limited to 2 and 1 permits. The
  * maximum in one second is 1.25 r (1 + 0.2 + 1.5 / r) + 2 + 1 = 1.5 r + 4.875.
  *
  * @module
--- a/src/policy/placement/incremental_planner.ts
+++ b/src/policy/placement/incremental_planner.ts
@@ -226,8 +226,9 @@
   #invalidateBest(changed: number, rank: number): void {
     this.#bestByLayer.delete(changed);
     for (const [layer, best] of this.#bestByLayer) {
-      const isOver = best?.change.rank === rank && !this.#mayLoad(layer, rank);
-      if (isOver) this.#bestByLayer.delete(layer);
+      const isExhausted = best?.change.rank === rank &&
+        !this.#mayLoad(layer, rank);
+      if (isExhausted) this.#bestByLayer.delete(layer);
     }
   }
 
--- a/src/policy/placement/rebalancer.ts
+++ b/src/policy/placement/rebalancer.ts
@@ -65,20 +65,19 @@
   }
 
   override plan(current: LayerPlacement, load: LayerLoad): PlannedLayer {
-    const { maxChanges: longestPlan, minGain: smallestGain, pricePerMove } =
-      this.#weights;
+    const { maxChanges, minGain, pricePerMove } = this.#weights;
     const state = new LayerState(current, load);
     const before = state.slowest;
     let best: PlannedLayer = { placement: current, moves: 0 };
     let bestWorth = 0;
     // The time of a perfectly even distribution is 1, the lower bound.
-    if (before - 1 < smallestGain) return best;
-    for (let length = 0; length < longestPlan; length++) {
+    if (before - 1 < minGain) return best;
+    for (let length = 0; length < maxChanges; length++) {
       const change = new ChangeSearch(state).tryBest();
       if (change === undefined) break;
       make(state, change);
       const gain = before - state.slowest;
-      if (gain < smallestGain) continue;
+      if (gain < minGain) continue;
       const placement = state.toPlacement();
       const moves = countMoves(current, placement);
       const worth = gain - moves * pricePerMove;
--- a/src/policy/pool_retry_budgets.ts
+++ b/src/policy/pool_retry_budgets.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * Number of entries assumed until the actual number is known. If a deployment is larger,
- * its slack grows accordingly; a smaller one only loses some retries.
+ * Number of entries assumed until the actual number is known. The slack of a larger
+ * deployment grows with it, and a smaller one only loses some retries.
  */
 const ASSUMED_ENTRIES = 16;
 /**
@@ -51,8 +51,8 @@
   }
 
   /** Sets the number of entries that share the slack. */
-  setProcesses(processes: number): void {
-    this.#entryCount = Math.max(1, processes);
+  setProcesses(entries: number): void {
+    this.#entryCount = Math.max(1, entries);
   }
 
   /** Records a first attempt. */
--- a/src/policy/send_limits.ts
+++ b/src/policy/send_limits.ts
@@ -31,28 +31,28 @@
  * one applies.
  */
 export class CombinedLimits extends SendLimits {
-  readonly #named: TargetLimits;
+  readonly #announced: TargetLimits;
   readonly #warmUp: WarmUpLimits;
 
   /** Reads both sources on each call. */
-  constructor(named: TargetLimits, warmUp: WarmUpLimits) {
+  constructor(announced: TargetLimits, warmUp: WarmUpLimits) {
     super();
-    this.#named = named;
+    this.#announced = announced;
     this.#warmUp = warmUp;
   }
 
   override get isEmpty(): boolean {
-    return this.#named.isEmpty && this.#warmUp.isEmpty;
+    return this.#announced.isEmpty && this.#warmUp.isEmpty;
   }
 
   override tryGet(target: string): SendLimit | undefined {
-    const named = this.#named.tryGet(target);
+    const announced = this.#announced.tryGet(target);
     const warmUp = this.#warmUp.tryGet(target);
     if (warmUp === undefined) {
-      return named === undefined
+      return announced === undefined
         ? undefined
-        : { perSecond: named, isWarmUp: false };
+        : { perSecond: announced, isWarmUp: false };
     }
-    return { perSecond: Math.min(warmUp, named ?? warmUp), isWarmUp: true };
+    return { perSecond: Math.min(warmUp, announced ?? warmUp), isWarmUp: true };
   }
 }
--- a/src/policy/send_permits.ts
+++ b/src/policy/send_permits.ts
@@ -192,7 +192,8 @@
   /** Issues permits that another entry requests. */
   give(target: string, count: number, now: number): PermitAnswer {
     const denial = { granted: 0, waitMs: MIN_WAIT_MS };
-    // Both entries will soon agree on whether there is a limit, so the other may retry soon.
+    // Both entries will soon agree on whether there is a limit, so the other one may
+    // retry soon.
     if (this.#limits.tryGet(target) === undefined) return denial;
     const state = this.#getState(target, now);
     if (!this.#isIssuer(state)) return denial;
--- a/src/policy/target_backoffs.ts
+++ b/src/policy/target_backoffs.ts
@@ -107,11 +107,11 @@
   getShare(target: string, now: number): number {
     if (this.#tryActive(target, now) !== undefined) return 0;
     const expired = this.#active.get(target);
-    const returning = expired === undefined
+    const rampUp = expired === undefined
       ? this.#rampingUp.get(target)
       : createRampUp(expired);
-    if (returning === undefined) return 1;
-    const { since, until } = returning;
+    if (rampUp === undefined) return 1;
+    const { since, until } = rampUp;
     return Math.min(1, Math.max(0, (now - since) / (until - since)));
   }
 
--- a/src/policy/target_limits.ts
+++ b/src/policy/target_limits.ts
@@ -91,22 +91,22 @@
    * const limit = limits.record({ target, perSecond: 2, sentAt, now });
    * ```
    */
-  note(answer: LimitNotice): TargetLimit | undefined {
-    const { target, now } = answer;
+  note(notice: LimitNotice): TargetLimit | undefined {
+    const { target, now } = notice;
     const known = this.#byTarget.get(target);
-    const perSecond = answer.perSecond && roundDown(answer.perSecond);
+    const perSecond = notice.perSecond && roundDown(notice.perSecond);
     if (perSecond === undefined) {
       // The target may have sent the headers of the answer before its limit began, so
       // only the answer to a later request ends the limit.
       const hasEnded = known?.perSecond !== undefined &&
-        answer.sentAt > known.heardAt;
-      return hasEnded ? this.#change(answer, undefined) : undefined;
+        notice.sentAt > known.heardAt;
+      return hasEnded ? this.#change(notice, undefined) : undefined;
     }
     const isChanged = known?.perSecond === undefined ||
       perSecond < known.perSecond ||
       (perSecond > known.perSecond &&
         now - known.changedAt >= MIN_RAISE_INTERVAL_MS);
-    if (isChanged) return this.#change(answer, perSecond);
+    if (isChanged) return this.#change(notice, perSecond);
     this.#set({ ...known, heardAt: now });
     return undefined;
   }
