--- a/src/policy/admission_order_test.ts
+++ b/src/policy/admission_order_test.ts
@@ -83,8 +83,8 @@
   });
 
   it("stays below a third of a short remaining time", () => {
-    const context: RetryDelayInput = { leftMs: 1500, heldPart: 1, drawn: 0.5 };
-    assert.equal(getAdmissionReturnMs(context), 440);
+    const input: RetryDelayInput = { leftMs: 1500, heldPart: 1, drawn: 0.5 };
+    assert.equal(getAdmissionReturnMs(input), 440);
   });
 });
 
@@ -137,7 +137,7 @@
     });
     assert.equal(ofSmall, 0);
     assert.ok(ofLarge > 0.4 && ofLarge < 0.6, `${ofLarge}`);
-    // The large organisation keeps at least half of the usual fraction.
+    // The large organisation is admitted with at least half of the usual fraction.
     const ofLargeAtMost = getDeferral(order, { organisation: "large" }, {
       heldPart: 1,
     });
--- a/src/policy/crash_history_test.ts
+++ b/src/policy/crash_history_test.ts
@@ -140,17 +140,17 @@
       fc.property(
         fc.array(CRASHED, { maxLength: 6 }),
         fc.array(CRASHED, { maxLength: 6 }),
-        (ofOne, ofOther) => {
+        (firstEntries, secondEntries) => {
           const now = 20_000;
-          const one = new CrashHistory();
-          const other = new CrashHistory();
-          one.merge(ofOne, now);
-          other.merge(ofOther, now);
+          const first = new CrashHistory();
+          const second = new CrashHistory();
+          first.merge(firstEntries, now);
+          second.merge(secondEntries, now);
           for (let round = 0; round < 2; round++) {
-            other.merge(one.list(), now);
-            one.merge(other.list(), now);
+            second.merge(first.list(), now);
+            first.merge(second.list(), now);
           }
-          assert.equal(one.content, other.content);
+          assert.equal(first.content, second.content);
         },
       ),
       { seed: 7, numRuns: 500 },
--- a/src/policy/deadline_memory_test.ts
+++ b/src/policy/deadline_memory_test.ts
@@ -16,10 +16,10 @@
     const random = new RandomSource(7);
     const deadlines = new DeadlineMemory(MAX_DEADLINE_MS, 0);
     for (let now = 0; now < 60_000; now += 20) {
-      const freshMs = createFirstDeadlineMs(random);
-      assert.equal(deadlines.observe(freshMs, now), false);
+      const firstMs = createFirstDeadlineMs(random);
+      assert.equal(deadlines.observe(firstMs, now), false);
       // The caller retried after a third of its time.
-      assert.equal(deadlines.observe(freshMs * 2 / 3, now), true);
+      assert.equal(deadlines.observe(firstMs * 2 / 3, now), true);
     }
   });
 
@@ -29,9 +29,9 @@
       const deadlines = new DeadlineMemory(allowedMs, 0);
       let misclassified = 0;
       for (let now = 0; now < 40_000; now += 20) {
-        const freshMs = createFirstDeadlineMs(random);
-        const isMisclassified = deadlines.observe(freshMs, now) ||
-          !deadlines.observe(freshMs * 0.6, now);
+        const firstMs = createFirstDeadlineMs(random);
+        const isMisclassified = deadlines.observe(firstMs, now) ||
+          !deadlines.observe(firstMs * 0.6, now);
         // The allowed deadline has no effect after the first two windows.
         if (now > 20_000 && isMisclassified) misclassified++;
       }
--- a/src/policy/idle_lifetime_test.ts
+++ b/src/policy/idle_lifetime_test.ts
@@ -10,8 +10,8 @@
   const lifetime = new IdleLifetime();
   let lostCount = 0;
   for (let now = gapMs; now < 40_000; now += gapMs) {
-    const isUsed = gapMs < lifetime.getLimitMs(now);
-    if (!isUsed || gapMs < droppedAfterMs) continue;
+    const isReused = gapMs < lifetime.getLimitMs(now);
+    if (!isReused || gapMs < droppedAfterMs) continue;
     lostCount++;
     lifetime.noteDead(gapMs, now);
   }
--- a/src/policy/late_admission_test.ts
+++ b/src/policy/late_admission_test.ts
@@ -33,7 +33,7 @@
   let nextReportAt = 0;
   let passMs: number | undefined;
   let running: number[] = [];
-  let fresh = 0;
+  let pendingNew = 0;
   for (let now = 0; now < 3000;) {
     if (now >= nextReportAt) {
       for (const admission of admissions) admission.note({ passMs, at: now });
@@ -51,9 +51,11 @@
     passMs = tookMs;
     longestPassMs = Math.max(longestPassMs, tookMs);
     now += tookMs;
-    fresh += tookMs * NEW_PER_SECOND / 1000;
-    running = running.map((left) => left - 1).filter((left) => left > 0);
-    for (; fresh >= 1; fresh--) running.push(PIECES);
+    pendingNew += tookMs * NEW_PER_SECOND / 1000;
+    running = running.map((remaining) => remaining - 1).filter((remaining) =>
+      remaining > 0
+    );
+    for (; pendingNew >= 1; pendingNew--) running.push(PIECES);
   }
   return longestPassMs;
 }
--- a/src/policy/permit_bounds_test.ts
+++ b/src/policy/permit_bounds_test.ts
@@ -34,7 +34,7 @@
 }
 
 function createNames(entries: number): readonly string[] {
-  return Array.from({ length: entries }, (_, one) => `entry-${one}`);
+  return Array.from({ length: entries }, (_, index) => `entry-${index}`);
 }
 
 /** Returns the entries that issue permits for the target, the primary issuer first. */
@@ -107,22 +107,22 @@
       permits.setEntries(names, SETTLED_MS);
       const joined = drain(permits)
         .filter((at) => at < SETTLED_MS + 5000);
-      const [ofFirst] = settled as [readonly number[]];
-      const withJoined = getMaxIn(
+      const [issuedByFirst] = settled as [readonly number[]];
+      const maxWithJoined = getMaxIn(
         1000 + getPermitLifetimeMs(limits.tryGet(TARGET)),
-        [...ofFirst, ...joined],
+        [...issuedByFirst, ...joined],
       );
       // Three entries issue permits only if one of them is also cut off, and then permits
       // are used immediately.
-      const three = getMaxIn(1000, [...settled.flat(), ...joined]);
-      test.diagnostic(`${withJoined} and ${three} of ${bound}`);
-      assert.ok(withJoined <= bound && three <= bound);
+      const maxOfThree = getMaxIn(1000, [...settled.flat(), ...joined]);
+      test.diagnostic(`${maxWithJoined} and ${maxOfThree} of ${bound}`);
+      assert.ok(maxWithJoined <= bound && maxOfThree <= bound);
     });
   }
 
   // Guards against an entry that is blocked while it ranks all entries for many targets.
   it("are looked up at once only for as many targets as 1024 ranked entries allow", () => {
-    const targets = Array.from({ length: 600 }, (_, one) => `i-${one}`);
+    const targets = Array.from({ length: 600 }, (_, index) => `i-${index}`);
     const limits = createLimits(17, targets);
     const permits = new SendPermits("entry-0", limits);
     permits.setEntries(["entry-0", "entry-1"], 0);
--- a/src/policy/placement/incremental_planner_test.ts
+++ b/src/policy/placement/incremental_planner_test.ts
@@ -32,7 +32,9 @@
 function getNewExperts(before: ExpertMap, after: ExpertMap, rank: number) {
   return after.layers.flatMap((layer, index) => {
     const held = before.layers[index]?.experts[rank] ?? [];
-    return (layer.experts[rank] ?? []).filter((one) => !held.includes(one));
+    return (layer.experts[rank] ?? []).filter((expert) =>
+      !held.includes(expert)
+    );
   });
 }
 
--- a/src/policy/placement/layer_state.ts
+++ b/src/policy/placement/layer_state.ts
@@ -36,8 +36,8 @@
     for (const [rank, experts] of this.#experts.entries()) {
       for (const expert of experts) this.#holders[expert]?.push(rank);
     }
-    const speed = load.speeds.reduce((sum, one) => sum + one, 0);
-    const tokens = load.tokens.reduce((sum, one) => sum + one, 0);
+    const speed = load.speeds.reduce((sum, value) => sum + value, 0);
+    const tokens = load.tokens.reduce((sum, count) => sum + count, 0);
     this.#mean = Math.max(tokens / speed, Number.MIN_VALUE);
     this.#times = new Float64Array(this.#experts.length);
     this.#deltas = new Float64Array(this.#experts.length);
--- a/src/policy/placement/rank_times.ts
+++ b/src/policy/placement/rank_times.ts
@@ -66,7 +66,7 @@
  */
 export function lowestSlowestTime(load: LayerLoad, slots: number): number {
   const tokens = load.tokens.reduce((sum, count) => sum + count, 0);
-  const speed = load.speeds.reduce((sum, one) => sum + one, 0);
+  const speed = load.speeds.reduce((sum, value) => sum + value, 0);
   const spread = tokens / speed;
   const fastest = Math.max(...load.speeds);
   let low = spread;
--- a/src/policy/return_time_test.ts
+++ b/src/policy/return_time_test.ts
@@ -58,17 +58,17 @@
  * at the retry, or while they wait.
  */
 function simulateOutage(load: OutageLoad): number {
-  let asked = 0;
+  let total = 0;
   let served = 0;
   for (
     let arrival = 0;
     arrival < load.untilMs;
     arrival += ARRIVAL_INTERVAL_MS
   ) {
-    asked++;
+    total++;
     if (isServed(load, arrival)) served++;
   }
-  return served / asked;
+  return served / total;
 }
 
 function isServed(load: OutageLoad, arrival: number): boolean {
@@ -79,15 +79,15 @@
   const firstWait = getLongestWaitMs(first);
   if (isAvailableWithin(load, arrival, firstWait)) return true;
   const refusedAt = arrival + firstWait;
-  const returnMs = load.callers === "honours"
+  const delayMs = load.callers === "honours"
     ? getReturnMs(createInput({ leftMs: DEADLINE_MS - firstWait }))
     : 0;
-  const returnsAt = refusedAt + returnMs;
-  const again = createInput({
+  const retriedAt = refusedAt + delayMs;
+  const retry = createInput({
     isRepeated: true,
-    leftMs: DEADLINE_MS - (returnsAt - arrival),
+    leftMs: DEADLINE_MS - (retriedAt - arrival),
   });
-  return isAvailableWithin(load, returnsAt, getLongestWaitMs(again));
+  return isAvailableWithin(load, retriedAt, getLongestWaitMs(retry));
 }
 
 function isAvailableWithin(
@@ -136,12 +136,12 @@
   });
 
   it("are retried at the rate of their arrival", () => {
-    const returns = [0, 1000, 2000].map((arrival) =>
+    const retries = [0, 1000, 2000].map((arrival) =>
       arrival + getReturnMs(createInput())
     );
     assert.deepEqual(
-      returns.slice(1).map((at, index) =>
-        Math.round(at - (returns[index] ?? 0))
+      retries.slice(1).map((at, index) =>
+        Math.round(at - (retries[index] ?? 0))
       ),
       [1000, 1000],
     );
@@ -152,8 +152,8 @@
   it("get no longer retry delay than callers honour", () => {
     for (const leftMs of [50, 400, 3000, DEADLINE_MS]) {
       for (const obstacle of ["outage", "absence", "overload"] as const) {
-        const returnMs = getReturnMs(createInput({ leftMs, obstacle }));
-        assert.ok(returnMs >= 0 && returnMs <= leftMs / 3);
+        const delayMs = getReturnMs(createInput({ leftMs, obstacle }));
+        assert.ok(delayMs >= 0 && delayMs <= leftMs / 3);
       }
     }
   });
--- a/src/policy/target_backoffs_test.ts
+++ b/src/policy/target_backoffs_test.ts
@@ -11,10 +11,10 @@
 
 /** Records backoffs, each given as the time of its arrival and its duration. */
 function createBackoffs(
-  ...asked: readonly (readonly [now: number, askedMs: number])[]
+  ...requests: readonly (readonly [now: number, askedMs: number])[]
 ): TargetBackoffs {
   const backoffs = new TargetBackoffs();
-  for (const [now, askedMs] of asked) {
+  for (const [now, askedMs] of requests) {
     backoffs.note({ target: TARGET, askedMs, now });
   }
   return backoffs;
--- a/src/policy/target_limits_test.ts
+++ b/src/policy/target_limits_test.ts
@@ -15,7 +15,7 @@
 function createLimits(...answers: readonly Partial<LimitNotice>[]) {
   const limits = new TargetLimits();
   limits.setListed(new Set(["i-1", "i-2"]), 0);
-  for (const one of answers) limits.note(createNotice(one));
+  for (const answer of answers) limits.note(createNotice(answer));
   return limits;
 }
 
@@ -62,8 +62,8 @@
 describe("limits that entries replicate", () => {
   it("apply at entries that received no answer with a limit", () => {
     const other = createLimits();
-    const news = replicate(createLimits({}), other);
-    assert.equal(news.length, 1);
+    const changed = replicate(createLimits({}), other);
+    assert.equal(changed.length, 1);
     assert.equal(other.tryGet("i-1"), 2);
     assert.equal(replicate(createLimits({}), other).length, 0);
   });
@@ -91,17 +91,17 @@
       perSecond: fc.option(fc.double({ min: 0, max: 60, noNaN: true }), {
         nil: undefined,
       }),
-      tells: fc.integer({ min: 0, max: 2 }),
+      receiver: fc.integer({ min: 0, max: 2 }),
     });
     fc.assert(
       fc.property(fc.array(change, { maxLength: 30 }), (changes) => {
         const entries = [createLimits(), createLimits(), createLimits()];
         let now = 0;
-        for (const { entry, target, perSecond, tells } of changes) {
+        for (const { entry, target, perSecond, receiver } of changes) {
           now += 300;
           const from = entries[entry] as TargetLimits;
           from.note({ target, perSecond, sentAt: now - 1, now });
-          replicate(from, entries[tells] as TargetLimits, now);
+          replicate(from, entries[receiver] as TargetLimits, now);
         }
         for (let round = 0; round < 2; round++) {
           for (const from of entries) {
@@ -119,11 +119,11 @@
     const limits = createLimits({});
     limits.setListed(new Set(), 59_000);
     assert.equal(limits.tryGet("i-1"), 2);
-    const told = limits.list();
+    const listed = limits.list();
     limits.setListed(new Set(), 60_000);
     assert.ok(limits.isEmpty);
     // An entry that still knows the limit does not restore it.
-    assert.equal(limits.merge(told, 60_000).length, 0);
+    assert.equal(limits.merge(listed, 60_000).length, 0);
   });
 
   it("stay in force if no further answer announces them here", () => {
--- a/src/policy/warm_up_limits.ts
+++ b/src/policy/warm_up_limits.ts
@@ -161,10 +161,10 @@
   #observe(instance: BackEndInstance, now: number): KnownTarget {
     const { id, pool, startedAt } = instance;
     // Without a start time another incarnation may return under the same id.
-    const seenUntil = startedAt === undefined ? NEVER : now + RETENTION_MS;
+    const retainedUntil = startedAt === undefined ? NEVER : now + RETENTION_MS;
     return {
       pool,
-      retainedUntil: seenUntil,
+      retainedUntil,
       ...this.#classify(instance, this.#known.get(id), now),
     };
   }
