--- a/src/policy/return_time.ts
+++ b/src/policy/return_time.ts
@@ -3,7 +3,7 @@
  * a refused request should retry.
  *
  * In an outage everything that could serve a request is unavailable for an unknown time
- * and comes back all at once, usually because a rank group lost a rank. Callers retry
+ * and recovers all at once, usually because a rank group lost a rank. Callers retry
  * once or twice, honour a retry delay up to a third of their remaining deadline, and give
  * up on a silent connection. The end of the outage is unknown, so a request is served if
  * some moment at which it waits at an entry falls after that end. The later it is
--- a/src/policy/send_permits.ts
+++ b/src/policy/send_permits.ts
@@ -42,7 +42,7 @@
 /**
  * Maximum number of entries ranked at one moment for targets that warm up; one target is
  * always ranked. Ranking an entry takes about 3 us, and the targets of a failure domain
- * may all come back together.
+ * may all return at the same time.
  */
 const MAX_RANKED = 1024;
 /** Maximum number of permits in one request. */
