--- a/src/policy/admission_order.ts
+++ b/src/policy/admission_order.ts
@@ -1,69 +1,70 @@
 /**
- * Which requests are held back from a rank group that is near its capacity.
+ * Decides which requests are deferred when a rank group is near its capacity.
  *
- * The load pattern: a burst of one kind of request, at times the least urgent and at times
- * the most urgent, takes a group beyond what it can process in time. The answers of all
- * kinds are late then, though some are worth several times others, and large
- * organisations take the places of small ones.
+ * A burst of requests of one priority, the least urgent or the most urgent, can exceed
+ * what a group processes in time. Without admission control the answers of all priorities
+ * are then late, although some are worth several times others, and large organisations
+ * take the capacity of small ones.
  *
- * All entries hear the same report and hold back the same part of what comes in, so none
- * has to know the others' demand. Each takes that part from the least urgent end of the
- * mix of priorities that it saw lately, and within a priority from organisations that send
- * more than their fair share of it.
+ * All entries receive the same load report and defer the same fraction of arriving
+ * requests, so no entry has to know the demand at the others. Each entry takes that
+ * fraction from the least urgent priorities of its recent arrivals, and within a priority
+ * from the organisations that send more than their fair share of it.
  *
  * @module
  */
 import type { Priority } from "../messages/priority.ts";
-import { ArrivalMix, type MixArrival } from "./arrival_mix.ts";
+import { type Arrival, ArrivalMix } from "./arrival_mix.ts";
 import { divideByWeight } from "./fair_division.ts";
-import { getLatestReturnMs } from "./return_time.ts";
+import { getMaxRetryDelayMs } from "./return_time.ts";
 
 /**
- * Load over capacity below which nothing is held back, and from which everything is that may
- * be held back. Reports are some hundred milliseconds old, so the load goes on rising for a while after
- * requests are held back.
+ * Ratios of load to capacity: below the first no request is deferred, from the second on
+ * every request that may be deferred is. Reports are some hundred milliseconds old, so
+ * the load goes on rising for a while after deferral starts.
  */
-const HOLD_START_UTILIZATION = 0.7;
-const HOLD_ALL_UTILIZATION = 1;
-/** Part of each priority that is always admitted, so that none is starved. */
-const LEAST_ADMITTED = 0.25;
+const DEFERRAL_START_UTILIZATION = 0.7;
+const FULL_DEFERRAL_UTILIZATION = 1;
+/** Fraction of each priority that is always admitted, so that none is starved. */
+const MIN_ADMITTED_FRACTION = 0.25;
 /**
- * Part of a priority's admitted share that each organisation is admitted with, however much
- * it sends: otherwise one that sends half of a priority would hardly be served.
+ * Fraction of a priority's admission rate that each organisation gets however much it
+ * sends. Without it an organisation that sends half of a priority would hardly be served.
  */
-const LEAST_ORGANISATION_FACTOR = 0.5;
-/** Milliseconds after which a caller should come back at the earliest. */
-const LEAST_RETURN_MS = 1000;
-/** Part of the possible times over which returns are spread however little is held back. */
-const LEAST_SPREAD = 0.3;
-/** Milliseconds for which parts are used before they are computed anew. */
-const PARTS_CACHE_MS = 100;
+const MIN_ORGANISATION_FACTOR = 0.5;
+/** Lower bound of the retry delay, in milliseconds. */
+const MIN_RETRY_DELAY_MS = 1000;
+/** Fraction of the range of retry delays that is used however little is deferred. */
+const MIN_SPREAD = 0.3;
+/** Milliseconds for which computed fractions are reused. */
+const FRACTIONS_CACHE_MS = 100;
 
-/** What decides how likely a request is held back. */
-export type OrderedRequest = Pick<
-  MixArrival,
+/** The properties of a request that determine its deferral probability. */
+export type AdmissionRequest = Pick<
+  Arrival,
   "priority" | "organisation" | "weight"
 >;
 
-/** When and against what a request is ordered. */
-export interface OrderFacts {
+/** The conditions under which a request is admitted or deferred. */
+export interface AdmissionContext {
   readonly now: number;
-  /** Part of all that comes in that is to be held back, 0 to 1. */
+  /** Fraction of all arriving requests to defer, from 0 to 1. */
   readonly heldPart: number;
-  /** Priorities that the settings name, most urgent first. */
+  /** Priorities named by the settings, most urgent first. */
   readonly known: readonly Priority[];
 }
 
-interface Parts {
-  readonly at: number;
-  readonly heldPart: number;
+interface DeferralFractions {
+  readonly computedAt: number;
+  readonly deferredFraction: number;
   readonly byPriority: ReadonlyMap<Priority, number>;
-  /** Part of each organisation's requests that is held back, by priority. */
+  /** Deferred fraction of each organisation's requests, by priority. */
   readonly byOrganisation: Map<Priority, ReadonlyMap<string, number>>;
 }
 
 /**
- * Part of all that comes in that is to be held back at a load, both in requests.
+ * Returns the fraction of all arriving requests to defer at a load. Load and capacity are
+ * in requests.
  *
  * @example
  * ```ts
@@ -73,124 +74,148 @@
 export function getHeldPart(
   { load, capacity }: { readonly load: number; readonly capacity: number },
 ): number {
-  const used = capacity > 0 ? load / capacity : HOLD_ALL_UTILIZATION;
-  const part = (used - HOLD_START_UTILIZATION) /
-    (HOLD_ALL_UTILIZATION - HOLD_START_UTILIZATION);
-  return Math.min(1, Math.max(0, part));
+  const utilization = capacity > 0
+    ? load / capacity
+    : FULL_DEFERRAL_UTILIZATION;
+  const fraction = (utilization - DEFERRAL_START_UTILIZATION) /
+    (FULL_DEFERRAL_UTILIZATION - DEFERRAL_START_UTILIZATION);
+  return Math.min(1, Math.max(0, fraction));
 }
 
-/** What the time to come back of a request is computed from. */
-export interface AdmissionReturnFacts {
-  /** Milliseconds until its deadline. */
+/** The input of {@link getDeferralRetryDelayMs}. */
+export interface RetryDelayInput {
+  /** Milliseconds until the request's deadline. */
   readonly leftMs: number;
-  /** Part of all that comes in that is held back. */
+  /** Fraction of all arriving requests that is deferred. */
   readonly heldPart: number;
-  /** A random number from 0 up to 1, so that callers do not come back together. */
+  /** A random number in [0, 1) that spreads retries over time. */
   readonly drawn: number;
 }
 
 /**
- * Milliseconds after which the caller of a request that was held back should come back:
- * at least a second, at most a third of what it has left, and later the more is held back.
+ * Returns the milliseconds after which the caller of a deferred request should retry: at
+ * least a second, at most a third of its remaining time, and longer the more is deferred.
  *
  * @example
  * ```ts
- * getAdmissionReturnMs({ leftMs: 8000, heldPart: 1, drawn: 0.5 }); // 1803.3
+ * const input = { leftMs: 8000, deferredFraction: 1, randomFraction: 0.5 };
+ * getAdmissionReturnMs(input); // 1803.3
  * ```
  */
 export function getAdmissionReturnMs(
-  { leftMs, heldPart, drawn }: AdmissionReturnFacts,
+  { leftMs, heldPart, drawn }: RetryDelayInput,
 ): number {
-  const longest = getLatestReturnMs(leftMs);
-  const range = Math.max(0, longest - LEAST_RETURN_MS);
-  const part = LEAST_SPREAD + (1 - LEAST_SPREAD) * heldPart;
-  return Math.min(longest, LEAST_RETURN_MS + range * part * drawn);
+  const maxDelayMs = getMaxRetryDelayMs(leftMs);
+  const rangeMs = Math.max(0, maxDelayMs - MIN_RETRY_DELAY_MS);
+  const fraction = MIN_SPREAD + (1 - MIN_SPREAD) * heldPart;
+  return Math.min(maxDelayMs, MIN_RETRY_DELAY_MS + rangeMs * fraction * drawn);
 }
 
-/** Chooses which requests of one pool are held back. */
+/** Decides which requests of one pool are deferred. */
 export class AdmissionOrder {
   readonly #mix = new ArrivalMix();
-  #parts: Parts | undefined;
+  #fractions: DeferralFractions | undefined;
 
-  /** A request came in. */
-  noteArrival(arrival: MixArrival): void {
-    this.#mix.note(arrival);
+  /** Records an arriving request. */
+  noteArrival(arrival: Arrival): void {
+    this.#mix.record(arrival);
   }
 
   /**
-   * How likely a request like this one is held back, 0 to 1. Callers compare it with one
-   * random number for each request, so that asking again changes nothing.
+   * Returns the probability, from 0 to 1, that a request with these properties is
+   * deferred. Callers compare it with one random number for each request, so that
+   * evaluating a request again gives the same result.
    *
    * @example
    * ```ts
    * const order = new AdmissionOrder();
    * const request = { priority: 7, organisation: "andamaq", weight: 1 };
-   * const facts = { now: 0, heldPart: 0.1, known: [3, 5, 7] };
-   * order.getHeldPartOf(request, facts); // 0.1 / (1 / 3) = 0.3
+   * const context = { now: 0, deferredFraction: 0.1, knownPriorities: [3, 5, 7] };
+   * order.getHeldPartOf(request, context); // 0.1 / (1 / 3) = 0.3
    * ```
    */
-  getHeldPartOf(request: OrderedRequest, facts: OrderFacts): number {
-    if (facts.heldPart <= 0) return 0;
-    const parts = this.#partsAt(facts);
+  getHeldPartOf(request: AdmissionRequest, context: AdmissionContext): number {
+    if (context.heldPart <= 0) return 0;
+    const fractions = this.#getFractions(context);
     const { priority, organisation } = request;
-    const held = parts.byPriority.get(priority) ??
-      getPartOfUnseen(priority, parts.byPriority);
-    if (held <= 0) return 0;
-    let byOrganisation = parts.byOrganisation.get(priority);
+    const deferred = fractions.byPriority.get(priority) ??
+      getFractionOfUnknownPriority(priority, fractions.byPriority);
+    if (deferred <= 0) return 0;
+    let byOrganisation = fractions.byOrganisation.get(priority);
     if (byOrganisation === undefined) {
-      byOrganisation = this.#divide(priority, held);
-      parts.byOrganisation.set(priority, byOrganisation);
+      byOrganisation = this.#divideAmongOrganisations(priority, deferred);
+      fractions.byOrganisation.set(priority, byOrganisation);
     }
-    return byOrganisation.get(organisation) ?? held;
+    return byOrganisation.get(organisation) ?? deferred;
   }
 
-  #partsAt({ now, heldPart, known }: OrderFacts): Parts {
-    const { at, heldPart: before } = this.#parts ?? { at: 0, heldPart: -1 };
-    const isCurrent = before === heldPart && now - at < PARTS_CACHE_MS;
-    if (this.#parts !== undefined && isCurrent) return this.#parts;
-    this.#mix.forgetOld(now);
-    const byPriority = takeFromLeast(this.#mix.sharesWith(known), heldPart);
-    this.#parts = { at: now, heldPart, byPriority, byOrganisation: new Map() };
-    return this.#parts;
+  #getFractions({ now, heldPart, known }: AdmissionContext): DeferralFractions {
+    const { computedAt, deferredFraction: previousFraction } =
+      this.#fractions ??
+        { computedAt: 0, deferredFraction: -1 };
+    const isCurrent = previousFraction === heldPart &&
+      now - computedAt < FRACTIONS_CACHE_MS;
+    if (this.#fractions !== undefined && isCurrent) return this.#fractions;
+    this.#mix.evictExpired(now);
+    const byPriority = deferLeastUrgent(this.#mix.getShares(known), heldPart);
+    this.#fractions = {
+      computedAt: now,
+      deferredFraction: heldPart,
+      byPriority,
+      byOrganisation: new Map(),
+    };
+    return this.#fractions;
   }
 
-  #divide(priority: Priority, held: number): ReadonlyMap<string, number> {
-    const admitted = 1 - held;
-    const demands = this.#mix.demandsOf(priority);
-    const admittedParts = divideByWeight(demands, {
-      part: admitted,
-      leastPart: LEAST_ORGANISATION_FACTOR * admitted,
+  #divideAmongOrganisations(
+    priority: Priority,
+    deferred: number,
+  ): ReadonlyMap<string, number> {
+    const admitted = 1 - deferred;
+    const demands = this.#mix.getDemands(priority);
+    const admittedFractions = divideByWeight(demands, {
+      fraction: admitted,
+      minFraction: MIN_ORGANISATION_FACTOR * admitted,
     });
     return new Map(
-      [...admittedParts].map(([name, part]) => [name, 1 - part]),
+      [...admittedFractions].map(([name, fraction]) => [name, 1 - fraction]),
     );
   }
 }
 
-/** Held part of each priority: from the least urgent on, and never of the first. */
-function takeFromLeast(
+/**
+ * Returns the deferred fraction of each priority. The least urgent priority is deferred
+ * first, the most urgent one never.
+ */
+function deferLeastUrgent(
   shares: ReadonlyMap<Priority, number>,
-  heldPart: number,
+  deferredFraction: number,
 ): ReadonlyMap<Priority, number> {
-  const held = new Map<Priority, number>();
-  const order = [...shares.keys()].sort((left, right) => right - left);
-  let remaining = heldPart;
-  for (const [index, priority] of order.entries()) {
-    const isFirst = index === order.length - 1;
+  const deferred = new Map<Priority, number>();
+  const leastUrgentFirst = [...shares.keys()].sort((left, right) =>
+    right - left
+  );
+  let remaining = deferredFraction;
+  for (const [index, priority] of leastUrgentFirst.entries()) {
+    const isMostUrgent = index === leastUrgentFirst.length - 1;
     const share = shares.get(priority) as number;
-    const most = isFirst ? 0 : 1 - LEAST_ADMITTED;
-    const part = Math.min(most, remaining / share);
-    held.set(priority, part);
-    remaining -= part * share;
+    const maxFraction = isMostUrgent ? 0 : 1 - MIN_ADMITTED_FRACTION;
+    const fraction = Math.min(maxFraction, remaining / share);
+    deferred.set(priority, fraction);
+    remaining -= fraction * share;
   }
-  return held;
+  return deferred;
 }
 
-/** A priority that was not seen is held back as the next one that is more urgent. */
-function getPartOfUnseen(
+/**
+ * Returns the fraction for a priority without arrivals: that of the next more urgent one.
+ */
+function getFractionOfUnknownPriority(
   priority: Priority,
-  held: ReadonlyMap<Priority, number>,
+  deferred: ReadonlyMap<Priority, number>,
 ): number {
-  const above = [...held.keys()].filter((other) => other < priority);
-  return above.length === 0 ? 0 : held.get(Math.max(...above)) as number;
+  const moreUrgent = [...deferred.keys()].filter((other) => other < priority);
+  return moreUrgent.length === 0
+    ? 0
+    : deferred.get(Math.max(...moreUrgent)) as number;
 }
--- a/src/policy/deadline_memory.ts
+++ b/src/policy/deadline_memory.ts
@@ -1,44 +1,44 @@
 /**
- * Tells callers that come back from those that ask for the first time, by the time that
- * they have left.
+ * Distinguishes retries from first attempts by their remaining time.
  *
- * The pattern: during an outage requests arrive that were refused or cut off before,
- * among others that were not. The first kind asks no more, so it should wait; the second
- * should come back later. Nothing in a request says which it is, but one that was sent
- * away has spent a part of its deadline. Callers' deadlines differ by a sixth among
- * themselves and operators change what they allow, so the usual deadline is learnt.
+ * During an outage, requests that were refused or cut off before arrive among first
+ * attempts. The caller of such a request does not retry again, so the request should
+ * wait, while a first attempt should be retried later. Nothing in a request tells which
+ * one it is, but a retry has spent a fraction of its deadline. Deadlines of first
+ * attempts vary by up to a sixth, and operators change the allowed deadline, so the usual
+ * deadline is learned from requests.
  *
  * @module
  */
 
 /**
- * Part of the longest deadline seen below which a caller has spent time before: those
- * that were told to come back have two thirds left at most, and callers that ask for the
- * first time were seen to give 0.85 to 1 of the longest.
+ * Fraction of the longest recent deadline below which a request counts as a retry.
+ * Retries after a retry delay have at most two thirds left; first attempts have 0.85 to 1
+ * of the longest deadline.
  */
-const FRESH_PART = 0.75;
-/** Milliseconds for which deadlines are gathered before older ones are forgotten. */
+const FIRST_ATTEMPT_FRACTION = 0.75;
+/** Milliseconds for which deadlines are collected before older ones are discarded. */
 const WINDOW_MS = 10_000;
-/** Deadlines without which a window says nothing. */
-const FEWEST_SEEN = 5;
+/** Minimum number of deadlines in a window before it replaces the previous one. */
+const MIN_DEADLINES = 5;
 
-/** The longest deadlines that callers of one service gave lately. */
+/** Tracks the longest recent deadline of the requests of one service. */
 export class DeadlineMemory {
   #startedAt: number;
-  /** Longest of the window before this one. */
-  #longestBefore: number;
+  /** Longest deadline of the previous window. */
+  #previousLongest: number;
   #longest = 0;
-  #seen = 0;
+  #count = 0;
 
-  /** Begins with the longest deadline that the service's settings allow. */
+  /** Starts with the longest deadline that the service's settings allow. */
   constructor(allowedMs: number, now: number) {
-    this.#longestBefore = allowedMs;
+    this.#previousLongest = allowedMs;
     this.#startedAt = now;
   }
 
   /**
-   * Takes in the deadline of a request; returns whether its caller has spent a part of
-   * its time before.
+   * Records the deadline of a request; returns whether the request is a retry, whose
+   * caller has already spent a fraction of its time.
    *
    * @example
    * ```ts
@@ -48,19 +48,19 @@
    * ```
    */
   observe(deadlineMs: number, now: number): boolean {
-    this.#startAnew(now);
-    this.#seen++;
+    this.#rotateWindow(now);
+    this.#count++;
     this.#longest = Math.max(this.#longest, deadlineMs);
-    const longest = Math.max(this.#longest, this.#longestBefore);
-    return deadlineMs < FRESH_PART * longest;
+    const longest = Math.max(this.#longest, this.#previousLongest);
+    return deadlineMs < FIRST_ATTEMPT_FRACTION * longest;
   }
 
-  #startAnew(now: number): void {
-    const isOver = now - this.#startedAt >= WINDOW_MS;
-    if (!isOver || this.#seen < FEWEST_SEEN) return;
-    this.#longestBefore = this.#longest;
+  #rotateWindow(now: number): void {
+    const hasElapsed = now - this.#startedAt >= WINDOW_MS;
+    if (!hasElapsed || this.#count < MIN_DEADLINES) return;
+    this.#previousLongest = this.#longest;
     this.#longest = 0;
-    this.#seen = 0;
+    this.#count = 0;
     this.#startedAt = now;
   }
 }
--- a/src/policy/fair_division.ts
+++ b/src/policy/fair_division.ts
@@ -1,30 +1,31 @@
 /**
- * Divides what can be admitted between organisations: those that ask for less than their
- * fair share get all, and the others get equal amounts for their weight.
+ * Divides the admitted requests among organisations by max-min fairness: organisations
+ * that request less than their fair share are admitted in full, and the others get equal
+ * amounts by weight.
  *
  * @module
  */
 
-/** What one organisation asks for. */
+/** The demand of one organisation. */
 export interface OrganisationDemand {
   readonly requests: number;
-  /** Share against other organisations. */
+  /** Weight relative to other organisations. */
   readonly weight: number;
 }
 
-/** How much can be admitted. */
-export interface DivisionFacts {
-  /** Part of all requests that is admitted, 0 to 1. */
-  readonly part: number;
-  /** Part of its requests that each organisation is admitted with at least. */
-  readonly leastPart: number;
+/** Bounds of a division. */
+export interface DivisionBounds {
+  /** Fraction of all requests that is admitted, from 0 to 1. */
+  readonly fraction: number;
+  /** Minimum admitted fraction of each organisation's requests. */
+  readonly minFraction: number;
 }
 
-/** Halvings until the level is exact enough: below a thousandth of a request. */
-const HALVINGS = 24;
+/** Bisection steps, enough for a precision of a thousandth of a request. */
+const BISECTION_STEPS = 24;
 
 /**
- * Part of its requests that each organisation is admitted with, by its name.
+ * Returns the admitted fraction of each organisation's requests, by name.
  *
  * @example
  * ```ts
@@ -32,39 +33,42 @@
  *   ["large", { requests: 90, weight: 1 }],
  *   ["small", { requests: 10, weight: 1 }],
  * ]);
- * divideByWeight(demands, { part: 0.5, leastPart: 0.25 }); // large: 0.44, small: 1
+ * divideByWeight(demands, { fraction: 0.5, minFraction: 0.25 }); // large: 0.44, small: 1
  * ```
  */
 export function divideByWeight(
   demands: ReadonlyMap<string, OrganisationDemand>,
-  facts: DivisionFacts,
+  bounds: DivisionBounds,
 ): ReadonlyMap<string, number> {
-  const rows = [...demands.values()];
-  const all = rows.reduce((sum, { requests }) => sum + requests, 0);
-  const wanted = facts.part * all;
+  const demandList = [...demands.values()];
+  const total = demandList.reduce((sum, { requests }) => sum + requests, 0);
+  const target = bounds.fraction * total;
   let low = 0;
   let high = Math.max(
     0,
-    ...rows.map(({ requests, weight }) => requests / weight),
+    ...demandList.map(({ requests, weight }) => requests / weight),
   );
-  for (let halving = 0; halving < HALVINGS; halving++) {
+  for (let step = 0; step < BISECTION_STEPS; step++) {
     const level = (low + high) / 2;
-    const admitted = rows.reduce(
-      (sum, row) => sum + row.requests * getPart(row, level, facts),
+    const admitted = demandList.reduce(
+      (sum, demand) =>
+        sum + demand.requests * getAdmittedFraction(demand, level, bounds),
       0,
     );
-    if (admitted < wanted) low = level;
+    if (admitted < target) low = level;
     else high = level;
   }
   return new Map(
-    [...demands].map(([name, row]) => [name, getPart(row, high, facts)]),
+    [...demands].map((
+      [name, demand],
+    ) => [name, getAdmittedFraction(demand, high, bounds)]),
   );
 }
 
-function getPart(
+function getAdmittedFraction(
   { requests, weight }: OrganisationDemand,
   level: number,
-  { leastPart }: DivisionFacts,
+  { minFraction }: DivisionBounds,
 ): number {
-  return Math.max(leastPart, Math.min(1, level * weight / requests));
+  return Math.max(minFraction, Math.min(1, level * weight / requests));
 }
--- a/src/policy/fair_queue.ts
+++ b/src/policy/fair_queue.ts
@@ -1,36 +1,36 @@
 /**
- * A bounded queue that is shared fairly: by priority first, then between
- * organisations by weight, then in order of arrival. Targets queue work in it, and entries
- * the requests that wait for a target.
+ * A bounded queue with fair scheduling: by priority first, then by weight among
+ * organisations, then in order of arrival. Targets queue work in it, and entries queue
+ * requests that wait for a target.
  *
  * @module
  */
 import { LEAST_PRIORITY, type Priority } from "../messages/priority.ts";
 
-/** Priorities, most urgent first. */
+/** All priorities, most urgent first. */
 export const PRIORITIES: readonly Priority[] = Array.from(
   { length: LEAST_PRIORITY + 1 },
   (_, priority) => priority,
 );
 
-/** What the queue must know of an item. */
+/** The scheduling properties of a queued item. */
 export interface QueuedItem {
   readonly organisation: string;
   readonly weight: number;
   readonly priority: Priority;
-  /** The work is given up unless it starts by then, see {@link latestStart}. */
+  /** The item is dropped unless it starts by this time, see {@link latestStart}. */
   readonly startBy: number;
 }
 
 /**
- * Share of the time up to its deadline that work may wait. What starts at the
- * last moment mostly ends too late, and so costs others their turn; and who is
- * given up should hear of it in time to come back.
+ * Fraction of the remaining time for which work may wait. Work that starts at the last
+ * moment mostly ends too late and delays other work, and the caller of a dropped request
+ * should learn of it in time to retry.
  */
-const LONGEST_WAIT_SHARE = 0.5;
+const MAX_WAIT_FRACTION = 0.5;
 
 /**
- * When work must start at the latest.
+ * Returns the latest time at which work must start.
  *
  * @example
  * ```ts
@@ -38,27 +38,27 @@
  * ```
  */
 export function latestStart(now: number, remainingMs: number): number {
-  return now + LONGEST_WAIT_SHARE * remainingMs;
+  return now + MAX_WAIT_FRACTION * remainingMs;
 }
 
 /**
- * Lines of organisations without items that an empty queue keeps. Their turns matter little
- * then, and there may be some ten thousand organisations.
+ * Maximum number of idle organisation queues that an empty fair queue keeps. Their
+ * virtual times matter little then, and there may be some ten thousand organisations.
  */
-const MOST_IDLE_LINES = 1000;
+const MAX_IDLE_QUEUES = 1000;
 
-interface OrganisationLine<T> {
+interface OrganisationQueue<T> {
   readonly items: T[];
-  /** Virtual time at which the next item of the organisation is due. */
+  /** Virtual time at which the organisation's next item is due. */
   dueAt: number;
 }
 
 interface Lane<T> {
-  readonly lines: Map<string, OrganisationLine<T>>;
+  readonly queues: Map<string, OrganisationQueue<T>>;
   virtualNow: number;
 }
 
-/** A bounded queue, fair between organisations. */
+/** A bounded queue with fair scheduling among organisations. */
 export class FairQueue<T extends QueuedItem> {
   readonly #limit: number;
   readonly #lanes = new Map<Priority, Lane<T>>();
@@ -68,21 +68,21 @@
   constructor(limit: number) {
     this.#limit = limit;
     for (const priority of PRIORITIES) {
-      this.#lanes.set(priority, { lines: new Map(), virtualNow: 0 });
+      this.#lanes.set(priority, { queues: new Map(), virtualNow: 0 });
     }
   }
 
-  /** Items that wait. */
+  /** Number of queued items. */
   get length(): number {
     return this.#length;
   }
 
   /**
-   * Adds an item. When the queue is full, the organisation with the longest
-   * line for its weight gives up its newest item, so that a flood by one
-   * organisation costs the others nothing.
+   * Adds an item. When the queue is full, the newest item of the organisation with the
+   * longest queue relative to its weight is dropped, so that one organisation that floods
+   * the queue does not affect the others.
    *
-   * @returns the item that finds no room: another, this one, or undefined
+   * @returns the dropped item, which may be the added one, or undefined
    *
    * @example
    * ```ts
@@ -93,52 +93,57 @@
   add(item: T): T | undefined {
     this.#push(item);
     if (this.#length <= this.#limit) return undefined;
-    return this.#dropFromLongestLine();
+    return this.#dropFromLongestQueue();
   }
 
-  /** Takes the item that is due, or undefined when none waits. */
+  /** Removes and returns the next item, or undefined if the queue is empty. */
   tryTake(): T | undefined {
     for (const priority of PRIORITIES) {
-      const item = this.#tryTakeFrom(this.#laneOf(priority));
+      const item = this.#tryTakeFrom(this.#getLane(priority));
       if (item !== undefined) return item;
     }
     return undefined;
   }
 
   /**
-   * All items in the order in which they would be taken, without taking any: some of them
-   * may not be able to go yet.
+   * Returns all items in scheduling order without removing them, as some may not be able
+   * to start yet.
    */
   inOrder(): readonly T[] {
-    return PRIORITIES.flatMap((priority) => orderOf(this.#laneOf(priority)));
+    return PRIORITIES.flatMap((priority) =>
+      getSchedulingOrder(this.#getLane(priority))
+    );
   }
 
-  /** Takes an item out of its turn; its organisation's next item is due later for it. */
+  /** Removes an item regardless of its position and charges its organisation for it. */
   take(item: T): void {
-    const lane = this.#laneOf(item.priority);
-    const line = lane.lines.get(item.organisation);
-    const place = line?.items.indexOf(item) ?? -1;
-    if (line === undefined || place < 0) return;
-    line.items.splice(place, 1);
-    this.#charge(lane, line, item);
-    if (this.#length === 0 && lane.lines.size > MOST_IDLE_LINES) {
-      lane.lines.clear();
+    const lane = this.#getLane(item.priority);
+    const queue = lane.queues.get(item.organisation);
+    const index = queue?.items.indexOf(item) ?? -1;
+    if (queue === undefined || index < 0) return;
+    queue.items.splice(index, 1);
+    this.#charge(lane, queue, item);
+    if (this.#length === 0 && lane.queues.size > MAX_IDLE_QUEUES) {
+      lane.queues.clear();
     }
   }
 
-  /** Takes out the newest item of the longest line among the least urgent. */
+  /**
+   * Removes the newest item of the longest organisation queue at the least urgent
+   * priority.
+   */
   tryDrop(): T | undefined {
-    return this.#dropFromLongestLine();
+    return this.#dropFromLongestQueue();
   }
 
-  /** Takes out every item for which `isUnwanted` holds. */
+  /** Removes and returns every item for which `isUnwanted` holds. */
   removeWhere(isUnwanted: (item: T) => boolean): readonly T[] {
     const removed: T[] = [];
     for (const lane of this.#lanes.values()) {
-      for (const line of lane.lines.values()) {
-        const kept = line.items.filter((item) => !isUnwanted(item));
-        removed.push(...line.items.filter(isUnwanted));
-        line.items.splice(0, line.items.length, ...kept);
+      for (const queue of lane.queues.values()) {
+        const kept = queue.items.filter((item) => !isUnwanted(item));
+        removed.push(...queue.items.filter(isUnwanted));
+        queue.items.splice(0, queue.items.length, ...kept);
       }
     }
     this.#length -= removed.length;
@@ -146,25 +151,25 @@
   }
 
   #push(item: T): void {
-    const lane = this.#laneOf(item.priority);
-    let line = lane.lines.get(item.organisation);
-    if (line === undefined) {
-      line = { items: [], dueAt: lane.virtualNow };
-      lane.lines.set(item.organisation, line);
+    const lane = this.#getLane(item.priority);
+    let queue = lane.queues.get(item.organisation);
+    if (queue === undefined) {
+      queue = { items: [], dueAt: lane.virtualNow };
+      lane.queues.set(item.organisation, queue);
     }
-    // Time in which an organisation asked for nothing is no credit against the others.
-    if (line.items.length === 0) {
-      line.dueAt = Math.max(line.dueAt, lane.virtualNow);
+    // An idle organisation gains no credit over the others.
+    if (queue.items.length === 0) {
+      queue.dueAt = Math.max(queue.dueAt, lane.virtualNow);
     }
-    line.items.push(item);
+    queue.items.push(item);
     this.#length++;
   }
 
   #tryTakeFrom(lane: Lane<T>): T | undefined {
-    let first: OrganisationLine<T> | undefined;
-    for (const [name, line] of lane.lines) {
-      if (line.items.length === 0) forgetIfCaughtUp(lane, name);
-      else if (first === undefined || line.dueAt < first.dueAt) first = line;
+    let first: OrganisationQueue<T> | undefined;
+    for (const [name, queue] of lane.queues) {
+      if (queue.items.length === 0) removeIfCaughtUp(lane, name);
+      else if (first === undefined || queue.dueAt < first.dueAt) first = queue;
     }
     const item = first?.items.shift();
     if (first === undefined || item === undefined) return undefined;
@@ -172,16 +177,16 @@
     return item;
   }
 
-  #charge(lane: Lane<T>, line: OrganisationLine<T>, { weight }: T): void {
-    lane.virtualNow = Math.max(lane.virtualNow, line.dueAt);
-    line.dueAt += 1 / weight;
+  #charge(lane: Lane<T>, queue: OrganisationQueue<T>, { weight }: T): void {
+    lane.virtualNow = Math.max(lane.virtualNow, queue.dueAt);
+    queue.dueAt += 1 / weight;
     this.#length--;
   }
 
-  #dropFromLongestLine(): T | undefined {
+  #dropFromLongestQueue(): T | undefined {
     for (const priority of PRIORITIES.toReversed()) {
-      const lane = this.#laneOf(priority);
-      const longest = longestLine(lane);
+      const lane = this.#getLane(priority);
+      const longest = findLongestQueue(lane);
       if (longest === undefined) continue;
       this.#length--;
       return longest.items.pop();
@@ -189,22 +194,22 @@
     return undefined;
   }
 
-  #laneOf(priority: Priority): Lane<T> {
+  #getLane(priority: Priority): Lane<T> {
     return this.#lanes.get(priority) as Lane<T>;
   }
 }
 
-/** Items of a lane as organisations take turns by weight. */
-function orderOf<T extends QueuedItem>(lane: Lane<T>): readonly T[] {
-  const lines = [...lane.lines.values()]
+/** Returns the items of a lane in scheduling order. */
+function getSchedulingOrder<T extends QueuedItem>(lane: Lane<T>): readonly T[] {
+  const queues = [...lane.queues.values()]
     .filter(({ items }) => items.length > 0)
     .map(({ items, dueAt }) => ({ items, dueAt, next: 0 }));
   const ordered: T[] = [];
   while (true) {
-    let first: (typeof lines)[number] | undefined;
-    for (const line of lines) {
-      if (line.next >= line.items.length) continue;
-      if (first === undefined || line.dueAt < first.dueAt) first = line;
+    let first: (typeof queues)[number] | undefined;
+    for (const queue of queues) {
+      if (queue.next >= queue.items.length) continue;
+      if (first === undefined || queue.dueAt < first.dueAt) first = queue;
     }
     const item = first?.items[first.next];
     if (first === undefined || item === undefined) return ordered;
@@ -215,25 +220,26 @@
 }
 
 /**
- * An emptied line keeps its due time until the lane has caught up with it;
- * otherwise an organisation that sends one at a time would jump the others.
+ * Removes an empty organisation queue once the lane's virtual time has reached its due
+ * time. If it were removed earlier, an organisation that sends one item at a time would
+ * get ahead of the others.
  */
-function forgetIfCaughtUp<T>(lane: Lane<T>, name: string): void {
-  const line = lane.lines.get(name);
-  if (line !== undefined && line.dueAt <= lane.virtualNow) {
-    lane.lines.delete(name);
+function removeIfCaughtUp<T>(lane: Lane<T>, name: string): void {
+  const queue = lane.queues.get(name);
+  if (queue !== undefined && queue.dueAt <= lane.virtualNow) {
+    lane.queues.delete(name);
   }
 }
 
-function longestLine<T extends QueuedItem>(
+function findLongestQueue<T extends QueuedItem>(
   lane: Lane<T>,
-): OrganisationLine<T> | undefined {
-  let longest: OrganisationLine<T> | undefined;
+): OrganisationQueue<T> | undefined {
+  let longest: OrganisationQueue<T> | undefined;
   let longestShare = 0;
-  for (const line of lane.lines.values()) {
-    const share = line.items.length / (line.items[0]?.weight ?? 1);
+  for (const queue of lane.queues.values()) {
+    const share = queue.items.length / (queue.items[0]?.weight ?? 1);
     if (share <= longestShare) continue;
-    longest = line;
+    longest = queue;
     longestShare = share;
   }
   return longest;
--- a/src/policy/group_capacity.ts
+++ b/src/policy/group_capacity.ts
@@ -1,32 +1,31 @@
 /**
- * How many requests a rank group can process without a pass that takes longer than callers
- * tolerate between two pieces of an answer.
+ * Computes how many requests a rank group can process before its passes exceed the pause
+ * that callers tolerate between two pieces of an answer.
  *
- * The load pattern: all ranks of a group run each pass together, so each request makes
- * every pass longer for all. What one request costs is not constant: the popularity of
- * experts changes each few seconds, and until the map follows, a pass takes half as long
- * again or more. An answer that takes 2 s nearly always meets such a time. In a burst,
- * passes take longer than the pause that callers tolerate, and the answers under way are
- * late for all callers alike.
+ * All ranks of a group run each pass together, so each request lengthens every pass for
+ * all requests. The cost of a request varies: the popularity of experts changes every few
+ * seconds, and until the expert map follows, a pass takes half as long again or more. An
+ * answer that takes 2 s almost always spans such a period. In a burst, passes exceed the
+ * tolerated pause, and all answers in progress are late.
  *
- * So the capacity is computed from what the group's decider reports, with the highest cost
- * of the last seconds in place of the last one.
+ * The capacity is therefore computed from the reports of the group's decider with the
+ * highest cost of the last seconds instead of the most recent one.
  *
  * @module
  */
 
-/** What a decider reports of its group. */
+/** A report of a group's decider. */
 export interface CapacityReport {
   readonly at: number;
-  /** Formation of the group; costs of another one say nothing. */
+  /** Epoch in which the group was formed; costs of other epochs are discarded. */
   readonly epoch?: number;
-  /** Mean time of the last passes, in milliseconds; undefined: there were none. */
+  /** Mean time of the recent passes, in milliseconds; undefined if there were none. */
   readonly passMs?: number;
-  /** Requests that run and that wait, over all ranks. */
+  /** Running and waiting requests of all ranks. */
   readonly load: number;
 }
 
-/** What capacity is computed for. */
+/** The conditions for which the capacity is computed. */
 export interface CapacityFacts {
   readonly now: number;
   /** Pause between two pieces of an answer that callers tolerate, in milliseconds. */
@@ -51,34 +50,39 @@
   readonly load: number;
 }
 
-/** Part of the pause that a pass may take; the rest covers what varies between passes. */
-const PASS_PART = 0.9;
-/** Milliseconds for which a cost counts: popularity changes each 2.5 to 4 s. */
-const COST_MEMORY_MS = 6000;
-/** Milliseconds after which a report is ignored: the decider has probably failed. */
-const REPORT_LIMIT_MS = 1500;
 /**
- * Samples below this part of the slots are ignored: the variation of idle passes, divided by
- * few requests, would look like a high cost.
+ * Fraction of the pause that a pass may take; the rest covers variation between passes.
  */
-const LEAST_SAMPLED_PART = 0.1;
-/** Bounds of what a report can mean. */
-const LONGEST_PASS_MS = 60_000;
-const LARGEST_LOAD = 1_000_000;
+const PASS_FRACTION = 0.9;
+/**
+ * Milliseconds for which a cost is used. The popularity of experts changes every 2.5 s to
+ * 4 s.
+ */
+const COST_WINDOW_MS = 6000;
+/** Milliseconds after which a report is ignored, as the decider has probably failed. */
+const MAX_REPORT_AGE_MS = 1500;
+/**
+ * Samples with a load below this fraction of the slots are ignored: the variation of idle
+ * passes, divided by few requests, would look like a high cost.
+ */
+const MIN_SAMPLED_FRACTION = 0.1;
+/** Upper bounds of plausible reports. */
+const MAX_PASS_MS = 60_000;
+const MAX_LOAD = 1_000_000;
 
-/** Capacity of one rank group, from the reports of its decider. */
+/** Computes the capacity of one rank group from the reports of its decider. */
 export class GroupCapacity {
   #samples: Sample[] = [];
   #last: CapacityReport | undefined;
 
   /**
-   * Takes in a report. One with absurd values is dropped; returns whether it was taken.
+   * Records a report; returns whether it was plausible. Implausible reports are dropped.
    *
    * @example
    * ```ts
    * const capacity = new GroupCapacity();
-   * capacity.note({ at: 0, passMs: 90, load: 100 }); // true
-   * capacity.note({ at: 200, passMs: -1, load: 100 }); // false
+   * capacity.record({ at: 0, passMs: 90, load: 100 }); // true
+   * capacity.record({ at: 200, passMs: -1, load: 100 }); // false
    * ```
    */
   note(report: CapacityReport): boolean {
@@ -87,40 +91,44 @@
     if (epoch !== this.#last?.epoch) this.#samples = [];
     this.#last = report;
     this.#samples = this.#samples.filter((sample) =>
-      at - sample.at < COST_MEMORY_MS
+      at - sample.at < COST_WINDOW_MS
     );
     if (passMs !== undefined) this.#samples.push({ at, passMs, load });
     return true;
   }
 
   /**
-   * Load and capacity now; undefined without a recent report, or where even a pass
-   * without requests takes too long, so that fewer requests would help nobody.
+   * Returns the current load and capacity. The result is undefined without a recent
+   * report, or if even a pass without requests takes too long, as fewer requests would
+   * not help then.
    *
    * @example
    * ```ts
-   * const facts = { now: 100, pauseMs: 150, idlePassMs: 35, slots: 224 };
-   * capacity.tryGet(facts)?.capacity; // (0.9 * 150 - 35) / 0.55 = 181.8
+   * const context = { now: 100, pauseMs: 150, idlePassMs: 35, slots: 224 };
+   * capacity.tryGet(context)?.capacity; // (0.9 * 150 - 35) / 0.55 = 181.8
    * ```
    */
-  tryGet(facts: CapacityFacts): GroupUtilization | undefined {
-    const { now, pauseMs, idlePassMs, slots } = facts;
+  tryGet(context: CapacityFacts): GroupUtilization | undefined {
+    const { now, pauseMs, idlePassMs, slots } = context;
     const last = this.#last;
     if (last === undefined) return undefined;
     const ageMs = now - last.at;
-    const workMs = PASS_PART * pauseMs - idlePassMs;
-    if (ageMs > REPORT_LIMIT_MS || workMs <= 0) return undefined;
-    const costMs = this.#highestCost(facts);
+    const workMs = PASS_FRACTION * pauseMs - idlePassMs;
+    if (ageMs > MAX_REPORT_AGE_MS || workMs <= 0) return undefined;
+    const costMs = this.#getHighestCostMs(context);
     const capacity = costMs > 0 ? Math.min(slots, workMs / costMs) : slots;
     return { load: last.load, capacity, ageMs };
   }
 
-  /** Highest milliseconds by which one request made a pass longer lately. */
-  #highestCost({ now, idlePassMs, slots }: CapacityFacts): number {
+  /**
+   * Returns the highest recent cost: the milliseconds by which one request lengthens a
+   * pass.
+   */
+  #getHighestCostMs({ now, idlePassMs, slots }: CapacityFacts): number {
     let highest = 0;
     for (const { at, passMs, load } of this.#samples) {
-      const isOld = now - at >= COST_MEMORY_MS;
-      if (isOld || load < LEAST_SAMPLED_PART * slots) continue;
+      const isExpired = now - at >= COST_WINDOW_MS;
+      if (isExpired || load < MIN_SAMPLED_FRACTION * slots) continue;
       highest = Math.max(highest, (passMs - idlePassMs) / load);
     }
     return highest;
@@ -128,7 +136,7 @@
 }
 
 function isPlausible({ passMs, load }: CapacityReport): boolean {
-  const isPass = passMs === undefined ||
-    (passMs > 0 && passMs <= LONGEST_PASS_MS);
-  return isPass && load >= 0 && load <= LARGEST_LOAD;
+  const isPassTimePlausible = passMs === undefined ||
+    (passMs > 0 && passMs <= MAX_PASS_MS);
+  return isPassTimePlausible && load >= 0 && load <= MAX_LOAD;
 }
--- a/src/policy/idle_lifetime.ts
+++ b/src/policy/idle_lifetime.ts
@@ -1,37 +1,40 @@
 /**
- * For how long a connection without a request can be used again, learnt from what
- * servers say and from connections that were found dead.
+ * Learns for how long an idle connection can be reused, from what servers announce and
+ * from connections that turned out to be closed.
  *
- * The pattern: a server (or something on the way to it) forgets connections sooner than
- * it promised and without a word. What is sent next on one is reset, nobody knows whether
- * it has run, and a request that may not run twice is lost. Servers of one pool are alike,
- * so one dead connection says how old the others of the pool may get.
+ * A server, or a device on the path to it, may drop connections earlier than announced
+ * and without notice. The next request on such a connection is reset, it is unknown
+ * whether it has run, and a request that must not run twice is lost. Servers of one pool
+ * behave alike, so one dead connection indicates the maximum idle time for the others.
  *
  * @module
  */
 
-/** Longest time that is believed, whatever a server promises, in milliseconds. */
-const LONGEST_MS = 60_000;
-/** Shortest limit, below which connections are in use again before it matters. */
-const SHORTEST_MS = 50;
+/** Maximum idle time in milliseconds, whatever a server announces. */
+const MAX_LIMIT_MS = 60_000;
 /**
- * Part of the age of a dead connection up to which others are used: it may have died at
- * any time since its last answer.
+ * Minimum limit in milliseconds. Busy connections are reused within this time, so a lower
+ * limit would have no effect.
  */
-const SAFE_PART = 0.5;
+const MIN_LIMIT_MS = 50;
 /**
- * Milliseconds after which the limit is doubled again. Each doubling puts one request at
- * risk, so it is not done more often than callers would notice.
+ * Fraction of a dead connection's idle time up to which others are reused, as it may have
+ * been dropped at any time since its last answer.
+ */
+const SAFE_FRACTION = 0.5;
+/**
+ * Milliseconds after which the limit is doubled. Each doubling risks one request, so it
+ * happens no more often than callers would notice.
  */
 const DOUBLE_AFTER_MS = 4000;
 
-/** For how long idle connections to the servers of one pool can be used. */
+/** Tracks for how long idle connections to the servers of one pool can be reused. */
 export class IdleLifetime {
-  #limitMs = LONGEST_MS;
+  #limitMs = MAX_LIMIT_MS;
   #changedAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * Milliseconds without a request after which a connection is not used any more.
+   * Returns the idle time in milliseconds after which a connection is not reused.
    *
    * @example
    * ```ts
@@ -41,16 +44,16 @@
    * ```
    */
   getLimitMs(now: number): number {
-    while (this.#limitMs < LONGEST_MS && this.#isDoubledAt(now)) {
-      this.#limitMs = Math.min(LONGEST_MS, this.#limitMs * 2);
+    while (this.#limitMs < MAX_LIMIT_MS && this.#isDoubledAt(now)) {
+      this.#limitMs = Math.min(MAX_LIMIT_MS, this.#limitMs * 2);
       this.#changedAt += DOUBLE_AFTER_MS;
     }
     return this.#limitMs;
   }
 
-  /** A connection that had rested for so long was found dead. */
-  noteDead(restedMs: number, now: number): void {
-    const limitMs = Math.max(SHORTEST_MS, restedMs * SAFE_PART);
+  /** Records that a connection was found dead after `idleMs` of idle time. */
+  noteDead(idleMs: number, now: number): void {
+    const limitMs = Math.max(MIN_LIMIT_MS, idleMs * SAFE_FRACTION);
     this.#limitMs = Math.min(this.getLimitMs(now), limitMs);
     this.#changedAt = now;
   }
--- a/src/policy/leaving_targets.ts
+++ b/src/policy/leaving_targets.ts
@@ -1,78 +1,81 @@
 /**
- * The targets that have said with an answer that they leave.
+ * Tracks the targets that have announced in an answer that they are leaving.
  *
- * A word in an answer reaches one entry, and it is true for all of them, so entries tell each
- * other. It holds for as long as that incarnation is known: one that has said so is never sent
- * a request again, whatever lists say of it later, and a target that comes back has another
- * name. What is told late, or not at all, costs no rule: an entry that was not told goes by the
- * list and by the answers that it gets itself.
+ * An announcement reaches one entry and applies to all of them, so entries replicate it.
+ * It holds as long as that incarnation is known: the target is never sent a request
+ * again, whatever later lists say, and a restarted target has another name. Delayed or
+ * lost replication breaks no guarantee: an entry without the update relies on the list
+ * and on the answers that it receives itself.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** Targets that entries tell each other, at most. */
-const MOST_TOLD = 1024;
+/** Maximum number of targets that entries replicate. */
+const MAX_REPLICATED = 1024;
 /**
- * Milliseconds for which a target that is listed no more is remembered. A list may lack it
- * while the platform's store is away, or comes back from an older copy.
+ * Milliseconds for which a target that is no longer listed is remembered. A list may lack
+ * a target while the platform's store is unavailable or restored from an older copy.
  */
-const REMEMBERED_MS = 600_000;
+const RETENTION_MS = 600_000;
 
-/** A target that has said that it leaves. */
+/** A target that has announced that it is leaving. */
 export interface LeavingTarget {
   readonly target: string;
-  /** When it was last heard of, by a list or by itself, in milliseconds. */
+  /** When the target was last listed or announced that it is leaving, in milliseconds. */
   readonly knownAt: number;
 }
 
-/** The targets that have said that they leave. */
+/** Tracks the targets that have announced that they are leaving. */
 export class LeavingTargets {
   readonly #knownAt = new Map<string, number>();
   #listed: ReadonlySet<string> = new Set();
   #content: string | undefined;
 
-  /** Targets that are listed though they have said that they leave. */
+  /** Number of leaving targets that are still listed. */
   get listedCount(): number {
     return [...this.#knownAt.keys()].filter((name) => this.#listed.has(name))
       .length;
   }
 
-  /** In short: the same for the same targets. */
+  /** Digest of the leaving targets, equal for equal sets of targets. */
   get content(): string {
-    return this.#content ??= describeAll(this.list());
+    return this.#content ??= computeDigest(this.list());
   }
 
-  /** Everything that is told to other entries, ordered by target. */
+  /** Returns the leaving targets that are replicated, ordered by name. */
   list(): readonly LeavingTarget[] {
     return [...this.#knownAt]
       .map(([target, knownAt]) => ({ target, knownAt }))
       .sort((left, right) => left.target < right.target ? -1 : 1)
-      .slice(0, MOST_TOLD);
+      .slice(0, MAX_REPLICATED);
   }
 
-  /** Whether a target has said that it leaves. */
+  /** Whether a target has announced that it is leaving. */
   has(target: string): boolean {
     return this.#knownAt.has(target);
   }
 
-  /** A target said that it leaves; whether that is news. */
+  /** Records a target's announcement; returns whether it is new. */
   note(target: string, now: number): boolean {
-    const isNews = !this.#knownAt.has(target);
+    const isNew = !this.#knownAt.has(target);
     this.#set(target, now);
-    return isNews;
+    return isNew;
   }
 
-  /** Takes in what another entry remembers; returns those that are news. */
-  merge(told: readonly LeavingTarget[], now: number): readonly LeavingTarget[] {
-    const news = told.filter((one) =>
-      !this.#knownAt.has(one.target) && !this.#isOld(one, now)
+  /** Merges the targets received from another entry; returns the new ones. */
+  merge(
+    received: readonly LeavingTarget[],
+    now: number,
+  ): readonly LeavingTarget[] {
+    const added = received.filter((leaving) =>
+      !this.#knownAt.has(leaving.target) && !this.#isOld(leaving, now)
     );
-    for (const { target, knownAt } of news) this.#set(target, knownAt);
-    return news;
+    for (const { target, knownAt } of added) this.#set(target, knownAt);
+    return added;
   }
 
-  /** These targets are listed now. */
+  /** Replaces the set of listed targets. */
   setListed(targets: ReadonlySet<string>, now: number): void {
     this.#listed = targets;
     for (const [target, knownAt] of [...this.#knownAt]) {
@@ -82,7 +85,7 @@
   }
 
   #isOld({ target, knownAt }: LeavingTarget, now: number): boolean {
-    return !this.#listed.has(target) && now - knownAt >= REMEMBERED_MS;
+    return !this.#listed.has(target) && now - knownAt >= RETENTION_MS;
   }
 
   #set(target: string, knownAt: number): void {
@@ -96,7 +99,7 @@
   }
 }
 
-function describeAll(targets: readonly LeavingTarget[]): string {
+function computeDigest(targets: readonly LeavingTarget[]): string {
   if (targets.length === 0) return "";
   const text = targets.map(({ target }) => target).join(" ");
   return createHash("sha256").update(text).digest("base64url");
--- a/src/policy/permit_bounds_test.ts
+++ b/src/policy/permit_bounds_test.ts
@@ -1,18 +1,18 @@
 /**
- * What permits can add up to for a target that warms up, when all that are given are used at
- * the worst moment of their lifetime.
+ * Guards against exceeding the bound on requests to a target that warms up when all
+ * issued permits are used at the worst moment of their lifetime.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createInstance } from "../testing/fixtures.ts";
-import { getPermitMs } from "./permit_bounds.ts";
+import { getPermitLifetimeMs } from "./permit_bounds.ts";
 import { CombinedLimits, type SendLimits } from "./send_limits.ts";
 import { SendPermits } from "./send_permits.ts";
 import { TargetLimits } from "./target_limits.ts";
 import { WarmUpLimits } from "./warm_up_limits.ts";
 
 const TARGET = "i-1";
-/** Well after the list of entries was heard. */
+/** A time long after the list of entries was received. */
 const SETTLED_MS = 60_000;
 const RUN_MS = 8000;
 
@@ -34,37 +34,37 @@
 }
 
 function createNames(entries: number): readonly string[] {
-  return Array.from({ length: entries }, (_, one) => `entry-${one}`);
+  return Array.from({ length: entries }, (_, index) => `entry-${index}`);
 }
 
-/** Entries that give permits for the target, the first one first. */
-function listGivers(names: readonly string[]): readonly string[] {
+/** Returns the entries that issue permits for the target, the primary issuer first. */
+function listIssuers(names: readonly string[]): readonly string[] {
   const limits = createLimits(1);
-  const find = (left: readonly string[]) =>
-    left.find((name) => {
+  const find = (remaining: readonly string[]) =>
+    remaining.find((name) => {
       const permits = new SendPermits(name, limits);
-      permits.setEntries(left, 0);
+      permits.setEntries(remaining, 0);
       return permits.isFirstOf(TARGET);
     }) as string;
   const first = find(names);
   return [first, find(names.filter((name) => name !== first))];
 }
 
-/** Times at which an entry gives permits that are asked for without end. */
+/** Returns the times at which an entry issues permits under continuous demand. */
 function drain(permits: SendPermits): readonly number[] {
-  const given: number[] = [];
+  const issued: number[] = [];
   permits.give(TARGET, 0, SETTLED_MS - RUN_MS);
   for (let now = SETTLED_MS; now < SETTLED_MS + RUN_MS; now += 5) {
     const { granted } = permits.give(TARGET, 8, now);
-    for (let permit = 0; permit < granted; permit++) given.push(now);
+    for (let permit = 0; permit < granted; permit++) issued.push(now);
   }
-  return given;
+  return issued;
 }
 
-/** Most permits given in any span of so many milliseconds. */
-function mostIn(spanMs: number, given: readonly number[]): number {
-  const spans = given.map((from) =>
-    given.filter((at) => at >= from && at < from + spanMs).length
+/** Returns the maximum number of permits issued in any span of `spanMs`. */
+function getMaxIn(spanMs: number, issued: readonly number[]): number {
+  const spans = issued.map((from) =>
+    issued.filter((at) => at >= from && at < from + spanMs).length
   );
   return Math.max(...spans);
 }
@@ -72,51 +72,57 @@
 describe("permits for a target that warms up", () => {
   for (const perSecond of [0.5, 2, 8, 17, 50, 200]) {
     const bound = 1.5 * perSecond + 5;
-    // Guards against bursts, lifetimes and a second giver that add up above the bound.
-    it(`stay within its bound, ${perSecond} a second`, (test) => {
+    // Guards against bursts, lifetimes and a secondary issuer that together exceed the
+    // bound.
+    it(`stay within the bound at ${perSecond} a second`, (test) => {
       const limits = createLimits(perSecond);
       const names = createNames(41);
-      const given = listGivers(names).flatMap((name) => {
+      const issued = listIssuers(names).flatMap((name) => {
         const permits = new SendPermits(name, limits);
         permits.setEntries(names, 0);
         return drain(permits);
       });
-      const most = mostIn(1000 + getPermitMs(limits.tryGet(TARGET)), given);
-      test.diagnostic(`${most} of ${bound}`);
-      assert.ok(most <= bound, `${most}`);
+      const maxIssued = getMaxIn(
+        1000 + getPermitLifetimeMs(limits.tryGet(TARGET)),
+        issued,
+      );
+      test.diagnostic(`${maxIssued} of ${bound}`);
+      assert.ok(maxIssued <= bound, `${maxIssued}`);
     });
 
-    // Guards against an entry that joins as the first one and gives beside those before it.
-    it(`stay within its bound where an entry joins, ${perSecond} a second`, (test) => {
+    // Guards against an entry that joins as the primary issuer and issues permits beside
+    // the previous issuers.
+    it(`stay within the bound when an entry joins, at ${perSecond} a second`, (test) => {
       const limits = createLimits(perSecond);
       const names = createNames(41);
-      const [joins] = listGivers(names) as [string];
-      const before = names.filter((name) => name !== joins);
-      const [first, second] = listGivers(before) as [string, string];
+      const [joining] = listIssuers(names) as [string];
+      const before = names.filter((name) => name !== joining);
+      const [first, second] = listIssuers(before) as [string, string];
       const settled = [first, second].map((name) => {
         const permits = new SendPermits(name, limits);
         permits.setEntries(before, 0);
         return drain(permits);
       });
-      const permits = new SendPermits(joins, limits);
+      const permits = new SendPermits(joining, limits);
       permits.setEntries(names, SETTLED_MS);
       const joined = drain(permits)
         .filter((at) => at < SETTLED_MS + 5000);
-      const [ofFirst] = settled as [readonly number[]];
-      const withJoined = mostIn(
-        1000 + getPermitMs(limits.tryGet(TARGET)),
-        [...ofFirst, ...joined],
+      const [issuedByFirst] = settled as [readonly number[]];
+      const maxWithJoined = getMaxIn(
+        1000 + getPermitLifetimeMs(limits.tryGet(TARGET)),
+        [...issuedByFirst, ...joined],
       );
-      // Three give only if one of them is cut off, too; what is given is used at once then.
-      const three = mostIn(1000, [...settled.flat(), ...joined]);
-      test.diagnostic(`${withJoined} and ${three} of ${bound}`);
-      assert.ok(withJoined <= bound && three <= bound);
+      // Three entries issue permits only if one of them is also cut off, and then permits
+      // are used immediately.
+      const maxOfThree = getMaxIn(1000, [...settled.flat(), ...joined]);
+      test.diagnostic(`${maxWithJoined} and ${maxOfThree} of ${bound}`);
+      assert.ok(maxWithJoined <= bound && maxOfThree <= bound);
     });
   }
 
-  // Guards against an entry that stands still while it ranks all entries for many targets.
-  it("are looked for at one moment for as many targets as 1024 ranks allow", () => {
-    const targets = Array.from({ length: 600 }, (_, one) => `i-${one}`);
+  // Guards against an entry that is blocked while it ranks all entries for many targets.
+  it("are looked up at once only for as many targets as 1024 ranked entries allow", () => {
+    const targets = Array.from({ length: 600 }, (_, index) => `i-${index}`);
     const limits = createLimits(17, targets);
     const permits = new SendPermits("entry-0", limits);
     permits.setEntries(["entry-0", "entry-1"], 0);
--- a/src/policy/placement/greedy_packer.ts
+++ b/src/policy/placement/greedy_packer.ts
@@ -1,6 +1,6 @@
 /**
- * Packs all experts anew, heaviest first: the baseline that knows no cost, and
- * the first placement of a group.
+ * Packs all experts from scratch, heaviest first. It provides the first placement of a
+ * group, and the baseline of planners that take moves into account.
  *
  * @module
  */
@@ -17,7 +17,7 @@
   readonly tokens: number;
 }
 
-/** Packs all experts anew, whatever that moves. */
+/** Packs all experts from scratch, regardless of the number of moves. */
 export class GreedyPacker extends PlacementPlanner {
   override plan(current: LayerPlacement, load: LayerLoad): PlannedLayer {
     const slots = current.experts.map((experts) => experts.length);
@@ -27,7 +27,7 @@
 }
 
 /**
- * Places the heaviest replica on the rank that then ends first.
+ * Places the replicas, heaviest first, each on the rank that then has the lowest time.
  *
  * @example
  * ```ts
@@ -39,7 +39,7 @@
   slots: readonly number[],
 ): LayerPlacement {
   const total = slots.reduce((sum, count) => sum + count, 0);
-  const replicas = splitHottest(load.tokens, total);
+  const replicas = createReplicas(load.tokens, total);
   const experts = slots.map((): number[] => []);
   const tokens = slots.map(() => 0);
   for (const replica of replicas) {
@@ -50,8 +50,11 @@
   return { experts };
 }
 
-/** One replica of each expert, the spare ones to whoever is hottest. */
-function splitHottest(
+/**
+ * Assigns one replica to each expert, and each remaining one to the expert with the
+ * highest load per replica.
+ */
+function createReplicas(
   tokens: readonly number[],
   total: number,
 ): readonly Replica[] {
@@ -59,7 +62,10 @@
   for (let spare = total - tokens.length; spare > 0; spare--) {
     let hottest = 0;
     for (let expert = 1; expert < tokens.length; expert++) {
-      if (share(tokens, counts, expert) > share(tokens, counts, hottest)) {
+      if (
+        getReplicaTokens(tokens, counts, expert) >
+          getReplicaTokens(tokens, counts, hottest)
+      ) {
         hottest = expert;
       }
     }
@@ -69,13 +75,13 @@
     .flatMap((count, expert) =>
       Array.from({ length: count }, (): Replica => ({
         expert,
-        tokens: share(tokens, counts, expert),
+        tokens: getReplicaTokens(tokens, counts, expert),
       }))
     )
     .sort((left, right) => right.tokens - left.tokens);
 }
 
-function share(
+function getReplicaTokens(
   tokens: readonly number[],
   counts: readonly number[],
   expert: number,
@@ -97,7 +103,7 @@
     const held = packing.experts[rank] ?? [];
     if (held.length >= slots) continue;
     const tokens = (packing.tokens[rank] ?? 0) + replica.tokens;
-    // Two replicas on one rank are worth no more than one.
+    // A second replica on the same rank has no benefit.
     const isWasted = held.includes(replica.expert);
     const time = isWasted ? Number.MAX_VALUE : tokens /
       (packing.load.speeds[rank] ?? 1);
--- a/src/policy/placement/incremental_planner.ts
+++ b/src/policy/placement/incremental_planner.ts
@@ -1,34 +1,34 @@
 /**
- * Plans the next map of a group whose popularity changes about as fast as
- * experts can be copied: a few copies at a time of what is asked for most.
+ * Plans the next expert map of a group whose expert popularity changes about as fast as
+ * experts can be copied: each plan makes a few copies of the most requested experts.
  *
  * @module
  */
 import type { ExpertMap, LayerPlacement } from "../../messages/group_types.ts";
 import { PlacementDraft, type ReplicaChange } from "./placement_draft.ts";
 
-/** What a plan is made from. */
+/** The input of a plan. */
 export interface PlanInput {
   readonly current: ExpertMap;
   /** Tokens by layer and expert, in any unit. */
   readonly tokens: readonly (readonly number[])[];
-  /** Time of each rank over that of a rank of usual speed. */
+  /** Time of each rank relative to a rank of usual speed. */
   readonly paces: readonly number[];
 }
 
 /** Bounds of one plan. */
 export interface PlanLimits {
-  /** Experts that a rank can hold of one layer. */
+  /** Maximum number of experts of one layer that a rank holds. */
   readonly slotsPerRank: number;
-  /** Experts that a rank may load for one map, over all layers. */
+  /** Maximum number of experts that a rank loads for one map, over all layers. */
   readonly mostNewPerRank: number;
-  /** Experts of one layer that a rank may load for one map. */
+  /** Maximum number of experts of one layer that a rank loads for one map. */
   readonly mostNewPerLayer: number;
   /** Milliseconds to load one expert. */
   readonly loadMs: number;
   /**
-   * Time of a pass over the pause that callers bear, if both are known: near 1 a pass
-   * that takes longer makes answers late, far below nobody notices.
+   * Ratio of the pass time to the pause that callers tolerate, if both are known. Near 1
+   * a longer pass makes answers late, far below 1 nobody notices it.
    */
   readonly passPart?: number;
 }
@@ -36,53 +36,58 @@
 /** A planned map. */
 export interface IncrementalPlan {
   readonly map: ExpertMap;
-  /** Experts that ranks must load. */
+  /** Number of experts that ranks must load. */
   readonly copies: number;
-  /** Sum over the layers of the most loaded rank's part; 1 a layer is even. */
+  /** Sum over the layers of the most loaded rank's relative load; 1 for an even layer. */
   readonly costBefore: number;
   readonly costAfter: number;
 }
 
 /**
- * Part by which one copy makes all passes slower while it is made: 0.15 however many
- * ranks copy, so a copy has a part of it, as three or more ranks copy side by side.
+ * Relative increase of the pass time during one copy. Copying slows passes down by 0.15,
+ * however many ranks copy, and usually three or more of them copy at the same time.
  */
 const COPY_SLOWDOWN = 0.05;
 /**
- * Milliseconds for which a copy is of use: popularity changes every few seconds, and a copy
- * is in force after a part of that.
+ * Milliseconds for which a copy is useful: popularity changes every few seconds, and a
+ * copy takes a fraction of that time to come into force.
  */
 const USEFUL_MS = 2500;
 /**
- * Part of a pass that one copy must save while passes take no time at all, over the part
- * of all experts that it moves; the longer passes take against the pause that callers
- * bear, the less.
+ * Minimum benefit of one copy when the pass time is 0, as the ratio of the fraction of a
+ * pass that it saves to the fraction of all experts that it moves. The minimum falls as
+ * the pass time approaches the pause that callers tolerate.
  */
-const EASY_GAIN = 10;
+const SHORT_PASS_COPY_GAIN = 10;
 /**
- * Milliseconds by which a switch delays the group: its pass is held until all ranks are
- * armed. Over {@link USEFUL_MS} it must save as much, or nobody is better off.
+ * Milliseconds for which a switch delays the group, as its pass is held until all ranks
+ * are armed. The plan must save at least as much within {@link USEFUL_MS}.
  */
 const SWITCH_MS = 40;
 /**
- * Part of a pass that a plan must save, beside that, while passes take no time against the
- * pause that callers bear: nobody notices what it saves, and each switch may hold the group
- * for a moment that all of its callers notice.
+ * Fraction of a pass that a plan must save in addition when the pass time is 0: callers
+ * don't notice what it saves, but each switch may hold the group for a moment that all of
+ * them notice.
  */
-const EASY_PLAN_GAIN = 0.08;
-/** Part of that pause from which each copy that makes up for itself is made. */
-const PRESSING_PASS_PART = 0.8;
-/** Part of a layer's cost that dropping a replica must save: no copy is needed. */
-const SMALLEST_DROP_GAIN = 0.001;
-/** Most loaded ranks of a layer whose experts are given more replicas. */
-const RANKS_CONSIDERED = 2;
+const SHORT_PASS_PLAN_GAIN = 0.08;
 /**
- * Least loaded ranks of a layer that are considered for a copy: the best one is among
- * them, and plans for large groups take a third of the time.
+ * Ratio of the pass time to that pause from which on every copy is made that saves more
+ * than it costs.
  */
-const RECEIVERS_CONSIDERED = 16;
-/** Replicas at a full rank that are considered for being dropped. */
-const DROPS_CONSIDERED = 2;
+const LONG_PASS_FRACTION = 0.8;
+/**
+ * Fraction of a layer's cost that dropping a replica must save; dropping needs no copy.
+ */
+const MIN_DROP_GAIN = 0.001;
+/** Number of most loaded ranks of a layer whose experts may get more replicas. */
+const MAX_HOT_RANKS = 2;
+/**
+ * Number of least loaded ranks of a layer that are considered as destinations. The best
+ * one is among them, and plans for large groups take a third of the time.
+ */
+const MAX_RECEIVERS = 16;
+/** Number of replicas at a full rank that are considered for removal. */
+const MAX_DROP_CANDIDATES = 2;
 
 interface ScoredChange {
   readonly layer: number;
@@ -91,7 +96,7 @@
 }
 
 /**
- * Plans the next map; undefined when no copy is worth its while.
+ * Plans the next map; returns undefined if no change is beneficial.
  *
  * @example
  * ```ts
@@ -107,14 +112,16 @@
 
 class IncrementSearch {
   readonly #limits: PlanLimits;
-  /** Part of a pass that one copy must save. */
-  readonly #smallestGain: number;
+  /** Minimum fraction of a pass that one copy must save. */
+  readonly #minCopyGain: number;
   readonly #drafts: readonly PlacementDraft[];
-  /** Copies by rank, and by rank within each layer. */
+  /** Number of copies by rank, and by layer and rank. */
   readonly #copies: number[];
   readonly #copiesByLayer: readonly number[][];
-  /** Best change of each layer; undefined: none, missing: to be searched. */
-  readonly #bestOf = new Map<number, ScoredChange | undefined>();
+  /**
+   * Best change of each layer: undefined if there is none, absent if not yet searched.
+   */
+  readonly #bestByLayer = new Map<number, ScoredChange | undefined>();
 
   constructor(input: PlanInput, limits: PlanLimits) {
     const { current, tokens, paces } = input;
@@ -123,13 +130,13 @@
     this.#drafts = current.layers.map((placement, layer) =>
       new PlacementDraft({
         placement,
-        tokens: normalized(tokens[layer] as readonly number[]),
+        tokens: normalize(tokens[layer] as readonly number[]),
         paces,
         slotsPerRank,
       })
     );
     const experts = tokens.reduce((sum, layer) => sum + layer.length, 0);
-    this.#smallestGain = smallestGainOf(limits, 1 / experts);
+    this.#minCopyGain = getMinCopyGain(limits, 1 / experts);
     const ranks = current.layers[0]?.experts.length ?? 0;
     this.#copies = new Array<number>(ranks).fill(0);
     this.#copiesByLayer = current.layers.map(() =>
@@ -138,40 +145,40 @@
   }
 
   tryPlan(): IncrementalPlan | undefined {
-    const costBefore = this.#cost();
+    const costBefore = this.#getCost();
     const droppedBefore = this.#dropReplicas();
-    const made = this.#addReplicas();
+    const added = this.#addReplicas();
     const dropped = droppedBefore + this.#dropReplicas();
-    if (dropped + made === 0) return undefined;
-    const costAfter = this.#cost();
+    if (dropped + added === 0) return undefined;
+    const costAfter = this.#getCost();
     const gain = (costBefore - costAfter) / costBefore;
-    if (gain < smallestPlanGainOf(this.#limits)) return undefined;
+    if (gain < getMinPlanGain(this.#limits)) return undefined;
     const layers = this.#drafts.map((draft): LayerPlacement =>
       draft.toPlacement()
     );
     return {
       map: { layers },
-      copies: made,
+      copies: added,
       costBefore,
       costAfter,
     };
   }
 
   #addReplicas(): number {
-    let made = 0;
-    for (let best = this.#tryBest(); best; best = this.#tryBest()) {
+    let added = 0;
+    for (let best = this.#tryFindBest(); best; best = this.#tryFindBest()) {
       const { layer, change } = best;
       this.#drafts[layer]?.make(change);
       const counts = this.#copiesByLayer[layer] as number[];
       counts[change.rank] = (counts[change.rank] as number) + 1;
       this.#copies[change.rank] = (this.#copies[change.rank] as number) + 1;
-      this.#forgetBest(layer, change.rank);
-      made++;
+      this.#invalidateBest(layer, change.rank);
+      added++;
     }
-    return made;
+    return added;
   }
 
-  /** Dropping a replica where its rank is loaded most needs no copy. */
+  /** Drops replicas at the most loaded ranks where that lowers the cost. */
   #dropReplicas(): number {
     let dropped = 0;
     for (const draft of this.#drafts) {
@@ -182,69 +189,73 @@
 
   #tryDrop(draft: PlacementDraft): boolean {
     const rank = draft.ranksByLoad()[0] as number;
-    const limit = draft.cost * (1 - SMALLEST_DROP_GAIN);
+    const limit = draft.cost * (1 - MIN_DROP_GAIN);
     const expert = draft.droppableAt(rank)
-      .find((one) => draft.costWithout(rank, one) < limit);
+      .find((candidate) => draft.costWithout(rank, candidate) < limit);
     if (expert === undefined) return false;
     draft.drop(rank, expert);
     return true;
   }
 
-  #tryBest(): ScoredChange | undefined {
+  #tryFindBest(): ScoredChange | undefined {
     let best: ScoredChange | undefined;
-    const smallest = this.#smallestGain * this.#highestLoads();
+    const minGain = this.#minCopyGain * this.#sumHighestLoads();
     for (const layer of this.#drafts.keys()) {
-      const candidate = this.#knownBestOf(layer);
-      const least = best?.gain ?? smallest;
-      if (candidate !== undefined && candidate.gain > least) best = candidate;
+      const candidate = this.#getCachedBestOf(layer);
+      const bound = best?.gain ?? minGain;
+      if (candidate !== undefined && candidate.gain > bound) best = candidate;
     }
     return best;
   }
 
   /**
-   * Searched again only after a change that concerns the layer: with 16 layers a
-   * plan takes a tenth of the time.
+   * Returns the best change of a layer. It is cached until a change affects the layer,
+   * which makes planning 16 layers ten times as fast.
    */
-  #knownBestOf(layer: number): ScoredChange | undefined {
-    if (!this.#bestOf.has(layer)) {
-      this.#bestOf.set(layer, this.#tryBestOf(layer));
+  #getCachedBestOf(layer: number): ScoredChange | undefined {
+    if (!this.#bestByLayer.has(layer)) {
+      this.#bestByLayer.set(layer, this.#tryFindBestOf(layer));
     }
-    return this.#bestOf.get(layer);
+    return this.#bestByLayer.get(layer);
   }
 
-  /** A change was made in a layer, for which a rank loads an expert. */
-  #forgetBest(changed: number, rank: number): void {
-    this.#bestOf.delete(changed);
-    for (const [layer, best] of this.#bestOf) {
-      const isOver = best?.change.rank === rank && !this.#mayLoad(layer, rank);
-      if (isOver) this.#bestOf.delete(layer);
+  /**
+   * Invalidates the best changes affected by a change in a layer for which a rank loads
+   * an expert.
+   */
+  #invalidateBest(changed: number, rank: number): void {
+    this.#bestByLayer.delete(changed);
+    for (const [layer, best] of this.#bestByLayer) {
+      const isExhausted = best?.change.rank === rank &&
+        !this.#mayLoad(layer, rank);
+      if (isExhausted) this.#bestByLayer.delete(layer);
     }
   }
 
-  #tryBestOf(layer: number): ScoredChange | undefined {
+  #tryFindBestOf(layer: number): ScoredChange | undefined {
     const draft = this.#drafts[layer] as PlacementDraft;
     const cost = draft.cost;
     let best: ScoredChange | undefined;
-    for (const change of this.#changesOf(layer)) {
+    for (const change of this.#listChanges(layer)) {
       const gain = cost - draft.costAfter(change);
       if (gain > (best?.gain ?? 0)) best = { layer, change, gain };
     }
     return best;
   }
 
-  *#changesOf(layer: number): Iterable<ReplicaChange> {
+  *#listChanges(layer: number): Iterable<ReplicaChange> {
     const draft = this.#drafts[layer] as PlacementDraft;
     const ranks = draft.ranksByLoad();
-    const room = ranks.filter((rank) => this.#mayLoad(layer, rank))
-      .slice(-RECEIVERS_CONSIDERED);
+    const receivers = ranks.filter((rank) => this.#mayLoad(layer, rank))
+      .slice(-MAX_RECEIVERS);
     const droppable = new Map(
-      room.map((rank) => [rank, droppableAt(draft, rank)]),
+      receivers.map((rank) => [rank, listDroppable(draft, rank)]),
     );
-    for (const hot of ranks.slice(0, RANKS_CONSIDERED)) {
-      for (const expert of draft.expertsOf(hot)) {
+    for (const hotRank of ranks.slice(0, MAX_HOT_RANKS)) {
+      for (const expert of draft.expertsOf(hotRank)) {
         for (const [rank, dropped] of droppable) {
           if (draft.holds(rank, expert)) continue;
-          yield* changesOf({ expert, rank, movedFrom: hot }, dropped);
+          yield* listVariants({ expert, rank, movedFrom: hotRank }, dropped);
         }
       }
     }
@@ -257,53 +268,69 @@
       (ofLayer[rank] as number) < mostNewPerLayer;
   }
 
-  /** The most loaded ranks' parts, one a layer: what a pass takes. */
-  #highestLoads(): number {
+  /**
+   * Returns the sum over the layers of the most loaded rank's load, which determines the
+   * pass time.
+   */
+  #sumHighestLoads(): number {
     return this.#drafts.reduce((sum, draft) => sum + draft.highestLoad, 0);
   }
 
-  #cost(): number {
-    return this.#highestLoads() * (this.#drafts[0]?.ranks ?? 0);
+  #getCost(): number {
+    return this.#sumHighestLoads() * (this.#drafts[0]?.ranks ?? 0);
   }
 }
 
 /**
- * Part of a pass that one copy must save: what makes up for the passes that it slows
- * down (0.024 for one that takes 400 ms), and more while passes are short.
+ * Returns the minimum fraction of a pass that one copy must save: enough to make up for
+ * the passes that it slows down (0.008 for a copy of 400 ms), and more while passes are
+ * short.
  */
-function smallestGainOf(
+function getMinCopyGain(
   { loadMs, passPart }: PlanLimits,
-  movedPart: number,
+  movedFraction: number,
 ): number {
   const forSlowdown = COPY_SLOWDOWN * loadMs / USEFUL_MS;
-  return Math.max(forSlowdown, EASY_GAIN * movedPart * easeOf(passPart));
+  return Math.max(
+    forSlowdown,
+    SHORT_PASS_COPY_GAIN * movedFraction * getPassSlack(passPart),
+  );
 }
 
-/** Part of a pass that all copies of a plan must save together, for the switch. */
-function smallestPlanGainOf({ passPart }: PlanLimits): number {
-  return SWITCH_MS / USEFUL_MS + EASY_PLAN_GAIN * easeOf(passPart);
+/**
+ * Returns the fraction of a pass that all copies of a plan must save together to justify
+ * the switch.
+ */
+function getMinPlanGain({ passPart }: PlanLimits): number {
+  return SWITCH_MS / USEFUL_MS + SHORT_PASS_PLAN_GAIN * getPassSlack(passPart);
 }
 
-/** 1 while passes take no time against the pause that callers bear, 0 near it. */
-function easeOf(passPart: number | undefined): number {
-  return 1 - clampToUnit((passPart ?? 1) / PRESSING_PASS_PART);
+/**
+ * Returns 1 for a pass time of 0, falling to 0 as it approaches the pause that callers
+ * tolerate.
+ */
+function getPassSlack(passPart: number | undefined): number {
+  return 1 - clampToUnit((passPart ?? 1) / LONG_PASS_FRACTION);
 }
 
 function clampToUnit(value: number): number {
   return Math.min(1, Math.max(0, value));
 }
 
-/** What a rank may drop for a new expert; undefined where it has room. */
-function droppableAt(
+/**
+ * Returns the experts that a rank may drop for a new one; undefined if it has a free
+ * slot.
+ */
+function listDroppable(
   draft: PlacementDraft,
   rank: number,
 ): readonly number[] | undefined {
   if (draft.hasRoom(rank)) return undefined;
-  return draft.droppableAt(rank).slice(0, DROPS_CONSIDERED);
+  return draft.droppableAt(rank).slice(0, MAX_DROP_CANDIDATES);
 }
 
-/** The ways to bring an expert to a rank: as one more replica, or moved. */
-function changesOf(
+/** Returns the ways to bring an expert to a rank: as an additional replica, or moved. */
+function listVariants(
   move: Required<Pick<ReplicaChange, "expert" | "rank" | "movedFrom">>,
   droppable: readonly number[] | undefined,
 ): readonly ReplicaChange[] {
@@ -313,8 +340,11 @@
     .flatMap((dropped) => [{ expert, rank, dropped }, { ...move, dropped }]);
 }
 
-/** Parts of the whole; even when nothing was counted. */
-function normalized(tokens: readonly number[]): readonly number[] {
+/**
+ * Normalizes counts to fractions of their sum; the fractions are equal if nothing was
+ * counted.
+ */
+function normalize(tokens: readonly number[]): readonly number[] {
   const total = tokens.reduce((sum, count) => sum + count, 0);
   if (total === 0) return tokens.map(() => 1 / tokens.length);
   return tokens.map((count) => count / total);
--- a/src/policy/placement/rebalancer.ts
+++ b/src/policy/placement/rebalancer.ts
@@ -1,5 +1,5 @@
 /**
- * Moves few experts, and only when the time that it saves is worth the moves.
+ * Moves few experts, and only if the saved time outweighs the cost of the moves.
  *
  * @module
  */
@@ -13,29 +13,29 @@
   type PlannedLayer,
 } from "./types.ts";
 
-/** What step time is worth against moves. */
+/** Weights of step time against moves. */
 export interface RebalanceWeights {
   /**
-   * Share of the mean step time that one move must save to be worth it, until
-   * popularity has drifted away again.
+   * Fraction of the mean step time that one move must save before popularity changes
+   * again.
    */
   readonly pricePerMove: number;
-  /** Share of the mean step time that a plan must save in all. */
-  readonly smallestGain: number;
-  /** Changes that one plan may consist of. */
-  readonly longestPlan: number;
+  /** Minimum fraction of the mean step time that a plan must save. */
+  readonly minGain: number;
+  /** Maximum number of changes in one plan. */
+  readonly maxChanges: number;
 }
 
-/** Presets for groups that suffer from skew, and for those that pay for each move. */
+/** Presets for groups that suffer from skew, and for groups whose moves are expensive. */
 export const REBALANCE_PRESETS = {
-  skew: { pricePerMove: 0.003, smallestGain: 0.02, longestPlan: 24 },
-  cost: { pricePerMove: 0.012, smallestGain: 0.03, longestPlan: 24 },
+  skew: { pricePerMove: 0.003, minGain: 0.02, maxChanges: 24 },
+  cost: { pricePerMove: 0.012, minGain: 0.03, maxChanges: 24 },
 } as const satisfies Readonly<Record<string, RebalanceWeights>>;
 
-/** Ranks, fastest first, that the slowest rank's experts may go to. */
-const RANKS_CONSIDERED = 8;
-/** Relative fall of the potential below which a change is not worth a look. */
-const SMALLEST_FALL = 1e-4;
+/** Number of ranks, fastest first, that may receive experts of the slowest rank. */
+const MAX_RECEIVERS = 8;
+/** Minimum relative decrease of the potential by one change. */
+const MIN_RELATIVE_DROP = 1e-4;
 
 interface Replacement {
   readonly kind: "replace";
@@ -52,8 +52,8 @@
 type Change = Replacement | Swap;
 
 /**
- * Lowers the slowest rank change by change, and keeps the part of the way that
- * is worth most after its moves are paid for.
+ * Lowers the time of the slowest rank one change at a time, and returns the prefix of
+ * these changes with the highest benefit after the cost of its moves.
  */
 export class Rebalancer extends PlacementPlanner {
   readonly #weights: RebalanceWeights;
@@ -65,19 +65,19 @@
   }
 
   override plan(current: LayerPlacement, load: LayerLoad): PlannedLayer {
-    const { longestPlan, smallestGain, pricePerMove } = this.#weights;
+    const { maxChanges, minGain, pricePerMove } = this.#weights;
     const state = new LayerState(current, load);
     const before = state.slowest;
     let best: PlannedLayer = { placement: current, moves: 0 };
     let bestWorth = 0;
-    // Nothing is faster than a perfect spread, whose time is 1.
-    if (before - 1 < smallestGain) return best;
-    for (let length = 0; length < longestPlan; length++) {
+    // The time of a perfectly even distribution is 1, the lower bound.
+    if (before - 1 < minGain) return best;
+    for (let length = 0; length < maxChanges; length++) {
       const change = new ChangeSearch(state).tryBest();
       if (change === undefined) break;
       make(state, change);
       const gain = before - state.slowest;
-      if (gain < smallestGain) continue;
+      if (gain < minGain) continue;
       const placement = state.toPlacement();
       const moves = countMoves(current, placement);
       const worth = gain - moves * pricePerMove;
@@ -99,22 +99,22 @@
     .exhaustive();
 }
 
-/** Finds the change that lowers the potential most for each move. */
+/** Finds the change with the greatest decrease of the potential per move. */
 class ChangeSearch {
   readonly #state: LayerState;
   #best: Change | undefined;
-  #bestFall: number;
+  #bestDrop: number;
 
   constructor(state: LayerState) {
     this.#state = state;
-    this.#bestFall = state.potential * SMALLEST_FALL;
+    this.#bestDrop = state.potential * MIN_RELATIVE_DROP;
   }
 
   tryBest(): Change | undefined {
     const slowest = this.#state.slowestRank();
     const others = this.#fastestRanks(slowest);
     for (const [slot] of this.#state.expertsOf(slowest).entries()) {
-      for (const rank of others) this.#lookAt({ rank: slowest, slot }, rank);
+      for (const rank of others) this.#search({ rank: slowest, slot }, rank);
     }
     return this.#best;
   }
@@ -125,43 +125,43 @@
       .sort((left, right) =>
         this.#state.timeOf(left) - this.#state.timeOf(right)
       )
-      .slice(0, RANKS_CONSIDERED);
+      .slice(0, MAX_RECEIVERS);
   }
 
-  #lookAt(hot: SlotPlace, rank: number): void {
+  #search(source: SlotPlace, rank: number): void {
     const state = this.#state;
-    const expert = state.expertAt(hot);
+    const expert = state.expertAt(source);
     const isHeldThere = state.holds(rank, expert);
     for (const [slot, other] of state.expertsOf(rank).entries()) {
       if (other === expert) continue;
       const place: SlotPlace = { rank, slot };
-      const isHeldHere = state.holds(hot.rank, other);
+      const isHeldHere = state.holds(source.rank, other);
       if (!isHeldThere && state.isReplicated(other)) {
         this.#considerReplace(place, expert);
       }
       if (!isHeldHere && state.isReplicated(expert)) {
-        this.#considerReplace(hot, other);
+        this.#considerReplace(source, other);
       }
-      if (!isHeldThere && !isHeldHere) this.#considerSwap(hot, place);
+      if (!isHeldThere && !isHeldHere) this.#considerSwap(source, place);
     }
   }
 
   #considerReplace(place: SlotPlace, expert: number): void {
     const after = this.#state.potentialAfterReplace(place, expert);
-    const fall = this.#state.potential - after;
-    this.#keepIfBetter({ kind: "replace", place, expert }, fall);
+    const drop = this.#state.potential - after;
+    this.#keepIfBetter({ kind: "replace", place, expert }, drop);
   }
 
   #considerSwap(left: SlotPlace, right: SlotPlace): void {
     const after = this.#state.potentialAfterSwap(left, right);
-    const fall = this.#state.potential - after;
-    this.#keepIfBetter({ kind: "swap", left, right }, fall);
+    const drop = this.#state.potential - after;
+    this.#keepIfBetter({ kind: "swap", left, right }, drop);
   }
 
-  #keepIfBetter(change: Change, fall: number): void {
-    const fallPerMove = change.kind === "replace" ? fall : fall / 2;
-    if (fallPerMove <= this.#bestFall) return;
+  #keepIfBetter(change: Change, drop: number): void {
+    const dropPerMove = change.kind === "replace" ? drop : drop / 2;
+    if (dropPerMove <= this.#bestDrop) return;
     this.#best = change;
-    this.#bestFall = fallPerMove;
+    this.#bestDrop = dropPerMove;
   }
 }
--- a/src/policy/pool_retry_budgets.ts
+++ b/src/policy/pool_retry_budgets.ts
@@ -1,31 +1,31 @@
 /**
- * Keeps the retries of all entries together below what a pool may get: a share
- * of its requests and some more, in any window of time. Entries do not ask each
- * other; each takes its part.
+ * Limits the retries that a pool receives from all entries together to a share of its
+ * requests plus a slack, in any window of time. Entries do not coordinate; each uses its
+ * share of the limit.
  *
  * @module
  */
 
-/** Limits on the retries that one pool gets from all entries. */
+/** Limits of the retries that one pool receives from all entries. */
 export interface PoolRetryLimits {
-  /** Length of the sliding window, in milliseconds. */
+  /** Length of the sliding window in milliseconds. */
   readonly windowMs: number;
-  /** Retries over requests in a window. */
+  /** Maximum ratio of retries to requests in a window. */
   readonly share: number;
   /** Retries in a window beyond that share, for all entries together. */
   readonly slack: number;
 }
 
 /**
- * Entries assumed before they were counted. A larger deployment than this has a
- * slack that grows with it, and a smaller one only loses some retries.
+ * Number of entries assumed until the actual number is known. The slack of a larger
+ * deployment grows with it, and a smaller one only loses some retries.
  */
-const ASSUMED_PROCESSES = 16;
+const ASSUMED_ENTRIES = 16;
 /**
- * Part of the slack that is used. An entry that restarts forgets what it has
- * spent, so the rest covers the restart of every second entry in one window.
+ * Fraction of the slack that is used. An entry that restarts forgets which retries it has
+ * made, so the rest covers the restart of every second entry in one window.
  */
-const USED_SLACK = 0.65;
+const USED_SLACK_FRACTION = 0.65;
 
 interface PoolCounts {
   /** Times of first attempts within the window, oldest first. */
@@ -34,35 +34,35 @@
   readonly retries: number[];
 }
 
-/** This entry's part of the retries of each pool. */
+/** Tracks this entry's share of the retries of each pool. */
 export class PoolRetryBudgets {
   #limits: PoolRetryLimits | undefined;
   readonly #counts = new Map<string, PoolCounts>();
-  #processes = ASSUMED_PROCESSES;
+  #entryCount = ASSUMED_ENTRIES;
 
   /** Without limits every retry is allowed. */
   constructor(limits?: PoolRetryLimits) {
     this.#limits = limits;
   }
 
-  /** Changes the limits. */
+  /** Replaces the limits. */
   setLimits(limits: PoolRetryLimits): void {
     this.#limits = limits;
   }
 
-  /** How many entries share the slack. */
-  setProcesses(processes: number): void {
-    this.#processes = Math.max(1, processes);
+  /** Sets the number of entries that share the slack. */
+  setProcesses(entries: number): void {
+    this.#entryCount = Math.max(1, entries);
   }
 
-  /** A first attempt was made. */
+  /** Records a first attempt. */
   countRequest(pool: string, now: number): void {
     if (this.#limits === undefined) return;
-    this.#countsOf(pool, now).requests.push(now);
+    this.#getCounts(pool, now).requests.push(now);
   }
 
   /**
-   * Takes the right to one retry.
+   * Takes the permission for one retry if the budget allows it.
    *
    * @example
    * ```ts
@@ -72,28 +72,28 @@
   tryTake(pool: string, now: number): boolean {
     if (this.#limits === undefined) return true;
     const { share, slack } = this.#limits;
-    const { requests, retries } = this.#countsOf(pool, now);
+    const { requests, retries } = this.#getCounts(pool, now);
     const allowed = share * requests.length +
-      USED_SLACK * slack / this.#processes;
+      USED_SLACK_FRACTION * slack / this.#entryCount;
     if (retries.length + 1 > allowed) return false;
     retries.push(now);
     return true;
   }
 
-  #countsOf(pool: string, now: number): PoolCounts {
+  #getCounts(pool: string, now: number): PoolCounts {
     let counts = this.#counts.get(pool);
     if (counts === undefined) {
       counts = { requests: [], retries: [] };
       this.#counts.set(pool, counts);
     }
     const start = now - (this.#limits?.windowMs ?? 0);
-    dropBefore(counts.requests, start);
-    dropBefore(counts.retries, start);
+    removeUntil(counts.requests, start);
+    removeUntil(counts.retries, start);
     return counts;
   }
 }
 
-function dropBefore(times: number[], start: number): void {
+function removeUntil(times: number[], start: number): void {
   const kept = times.findIndex((time) => time > start);
   times.splice(0, kept === -1 ? times.length : kept);
 }
--- a/src/policy/return_time_test.ts
+++ b/src/policy/return_time_test.ts
@@ -8,14 +8,14 @@
 
 const DEADLINE_MS = 8000;
 const OBJECTIVE_MS = 400;
-/** From when all that was gone is listed again until the outage ends. */
+/** Milliseconds from when all lost targets are listed again to the end of the outage. */
 const FORMING_MS = 600;
-/** Milliseconds after which a machine that is silent is known to be gone. */
-const KNOWN_AFTER_MS = 3600;
-/** Requests of the load, one each so many milliseconds. */
-const BETWEEN_MS = 20;
+/** Milliseconds after which a silent VM is known to be lost. */
+const DETECTED_AFTER_MS = 3600;
+/** Milliseconds between two requests of the load. */
+const ARRIVAL_INTERVAL_MS = 20;
 
-function createFacts(changes: Partial<ReturnFacts> = {}): ReturnFacts {
+function createInput(changes: Partial<ReturnFacts> = {}): ReturnFacts {
   return {
     obstacle: "outage",
     isRepeated: false,
@@ -25,18 +25,18 @@
   };
 }
 
-/** How callers behave that are refused. */
+/** Whether refused callers honour the retry delay. */
 type CallerKind = "honours" | "ignores";
 
 interface OutageLoad {
-  /** When the outage ends that begins at 0. */
+  /** End of the outage that begins at 0. */
   readonly endsAt: number;
-  /** From when on it is known what is gone. */
-  readonly knownAt: number;
-  /** Requests that arrive from 0 on, until then. */
+  /** When the loss is detected. */
+  readonly detectedAt: number;
+  /** Time of the last arrival; requests arrive from 0 on. */
   readonly untilMs: number;
   readonly callers: CallerKind;
-  /** When a second outage begins and ends, if there is one. */
+  /** Start and end of a second outage, if there is one. */
   readonly second?: readonly [startsAt: number, endsAt: number];
 }
 
@@ -47,45 +47,54 @@
   return {
     endsAt,
     untilMs: endsAt,
-    knownAt: KNOWN_AFTER_MS,
+    detectedAt: DETECTED_AFTER_MS,
     callers: "honours",
     ...changes,
   };
 }
 
 /**
- * Part of the requests of an outage that finds the pool open at its first try, at its
- * return, or while it waits.
+ * Returns the fraction of the requests that find the pool available at the first attempt,
+ * at the retry, or while they wait.
  */
-function playOutage(load: OutageLoad): number {
-  let asked = 0;
+function simulateOutage(load: OutageLoad): number {
+  let total = 0;
   let served = 0;
-  for (let arrival = 0; arrival < load.untilMs; arrival += BETWEEN_MS) {
-    asked++;
+  for (
+    let arrival = 0;
+    arrival < load.untilMs;
+    arrival += ARRIVAL_INTERVAL_MS
+  ) {
+    total++;
     if (isServed(load, arrival)) served++;
   }
-  return served / asked;
+  return served / total;
 }
 
 function isServed(load: OutageLoad, arrival: number): boolean {
-  // What is gone is known after a while, and so is that all is back.
-  const isKnown = arrival >= load.knownAt && arrival < load.endsAt - FORMING_MS;
-  const first = createFacts({ obstacle: isKnown ? "outage" : "stall" });
+  // Both the loss and the recovery of targets are detected with a delay.
+  const isKnown = arrival >= load.detectedAt &&
+    arrival < load.endsAt - FORMING_MS;
+  const first = createInput({ obstacle: isKnown ? "outage" : "stall" });
   const firstWait = getLongestWaitMs(first);
-  if (opensWithin(load, arrival, firstWait)) return true;
+  if (isAvailableWithin(load, arrival, firstWait)) return true;
   const refusedAt = arrival + firstWait;
-  const returnMs = load.callers === "honours"
-    ? getReturnMs(createFacts({ leftMs: DEADLINE_MS - firstWait }))
+  const delayMs = load.callers === "honours"
+    ? getReturnMs(createInput({ leftMs: DEADLINE_MS - firstWait }))
     : 0;
-  const returnsAt = refusedAt + returnMs;
-  const again = createFacts({
+  const retriedAt = refusedAt + delayMs;
+  const retry = createInput({
     isRepeated: true,
-    leftMs: DEADLINE_MS - (returnsAt - arrival),
+    leftMs: DEADLINE_MS - (retriedAt - arrival),
   });
-  return opensWithin(load, returnsAt, getLongestWaitMs(again));
+  return isAvailableWithin(load, retriedAt, getLongestWaitMs(retry));
 }
 
-function opensWithin(load: OutageLoad, from: number, forMs: number): boolean {
+function isAvailableWithin(
+  load: OutageLoad,
+  from: number,
+  forMs: number,
+): boolean {
   for (let at = from; at <= from + forMs; at += 10) {
     if (!isDown(load, at)) return true;
   }
@@ -97,72 +106,72 @@
   return at < endsAt || isSecond;
 }
 
-describe("requests of an outage", () => {
-  it("of six seconds are served but for those of its first part", () => {
+describe("requests during an outage", () => {
+  it("of six seconds are served except in its first part", () => {
     const load = createLoad(6000);
-    // Until 5.4 s before the end nobody who honours the time can be served.
-    assert.ok(playOutage(load) >= 0.9);
+    // Up to 5.4 s before the end no caller that honours the delay can be served.
+    assert.ok(simulateOutage(load) >= 0.9);
   });
 
-  it("are served but for more of its first part where what is gone is known at once", () => {
-    const load = createLoad(6000, { knownAt: 0 });
-    // Until 4.3 s before the end.
-    assert.ok(playOutage(load) >= 0.71);
+  it("are lost in a longer first part if the loss is detected immediately", () => {
+    const load = createLoad(6000, { detectedAt: 0 });
+    // Up to 4.3 s before the end.
+    assert.ok(simulateOutage(load) >= 0.71);
   });
 
   it("of any length are served if they arrive in its last five seconds", () => {
     for (const endsAt of [500, 2000, 3500, 5000]) {
-      assert.equal(playOutage(createLoad(endsAt)), 1);
+      assert.equal(simulateOutage(createLoad(endsAt)), 1);
     }
   });
 
-  it("are served in part when callers come back at once", () => {
+  it("are partly served if callers retry immediately", () => {
     const load = createLoad(6000, { callers: "ignores" });
-    assert.ok(playOutage(load) >= 0.28);
+    assert.ok(simulateOutage(load) >= 0.28);
   });
 
   it("are served through a second outage that is shorter than a wait", () => {
     const load = createLoad(3000, { second: [3500, 5000] });
-    assert.equal(playOutage(load), 1);
+    assert.equal(simulateOutage(load), 1);
   });
 
-  it("return over as much time as they arrived in", () => {
-    const returns = [0, 1000, 2000].map((arrival) =>
-      arrival + getReturnMs(createFacts())
+  it("are retried at the rate of their arrival", () => {
+    const retries = [0, 1000, 2000].map((arrival) =>
+      arrival + getReturnMs(createInput())
     );
     assert.deepEqual(
-      returns.slice(1).map((at, index) =>
-        Math.round(at - (returns[index] ?? 0))
+      retries.slice(1).map((at, index) =>
+        Math.round(at - (retries[index] ?? 0))
       ),
       [1000, 1000],
     );
   });
 });
 
-describe("requests that may come back", () => {
-  it("are never given more than callers honour", () => {
+describe("requests that may be retried", () => {
+  it("get no longer retry delay than callers honour", () => {
     for (const leftMs of [50, 400, 3000, DEADLINE_MS]) {
       for (const obstacle of ["outage", "absence", "overload"] as const) {
-        const returnMs = getReturnMs(createFacts({ leftMs, obstacle }));
-        assert.ok(returnMs >= 0 && returnMs <= leftMs / 3);
+        const delayMs = getReturnMs(createInput({ leftMs, obstacle }));
+        assert.ok(delayMs >= 0 && delayMs <= leftMs / 3);
       }
     }
   });
 
   it("wait no longer than their deadline", () => {
-    const facts = createFacts({ isRepeated: true, leftMs: 300 });
-    assert.equal(getLongestWaitMs(facts), 300);
+    const input = createInput({ isRepeated: true, leftMs: 300 });
+    assert.equal(getLongestWaitMs(input), 300);
   });
 
-  it("come first and meet a full pool wait a fifth of their objective", () => {
-    const facts = createFacts({ obstacle: "overload" });
-    assert.equal(getLongestWaitMs(facts), 80);
+  it("wait for a fifth of their objective on the first attempt at a full pool", () => {
+    const input = createInput({ obstacle: "overload" });
+    assert.equal(getLongestWaitMs(input), 80);
   });
 
-  it("are refused at once where only one target may run them", () => {
+  it("are refused immediately if only one target may run them", () => {
     for (const isRepeated of [true, false]) {
-      const facts = createFacts({ obstacle: "owner_away", isRepeated });
-      assert.equal(getLongestWaitMs(facts), 0);
+      const input = createInput({ obstacle: "owner_away", isRepeated });
+      assert.equal(getLongestWaitMs(input), 0);
     }
   });
 });
--- a/src/policy/target_limits_test.ts
+++ b/src/policy/target_limits_test.ts
@@ -1,110 +1,111 @@
 /**
- * The pattern that these tests tell of: a server in need names a limit to whichever entry got
- * its answer, changes it, ends it, and its answers overtake each other.
+ * Guards against entries that disagree about the limit of an overloaded target: it
+ * announces a limit to whichever entry receives its answer, changes it, ends it, and its
+ * answers arrive out of order.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import * as fc from "fast-check";
-import { type LimitAnswer, TargetLimits } from "./target_limits.ts";
+import { type LimitNotice, TargetLimits } from "./target_limits.ts";
 
-function answer(changes: Partial<LimitAnswer>): LimitAnswer {
+function createNotice(changes: Partial<LimitNotice>): LimitNotice {
   return { target: "i-1", perSecond: 2, sentAt: 0, now: 0, ...changes };
 }
 
-function createLimits(...answers: readonly Partial<LimitAnswer>[]) {
+function createLimits(...answers: readonly Partial<LimitNotice>[]) {
   const limits = new TargetLimits();
   limits.setListed(new Set(["i-1", "i-2"]), 0);
-  for (const one of answers) limits.note(answer(one));
+  for (const answer of answers) limits.note(createNotice(answer));
   return limits;
 }
 
-/** Tells one memory to another, as entries do. */
-function tell(from: TargetLimits, to: TargetLimits, now = 0) {
+/** Replicates limits from one entry to another. */
+function replicate(from: TargetLimits, to: TargetLimits, now = 0) {
   return to.merge(from.list(), now);
 }
 
-describe("the limit that a target names", () => {
-  it("holds until an answer to a later request names none", () => {
+describe("the limit that a target announces", () => {
+  it("applies until the answer to a later request announces none", () => {
     const limits = createLimits({ perSecond: 0.5, now: 100 });
-    limits.note(answer({ perSecond: undefined, sentAt: 90, now: 2000 }));
+    limits.note(createNotice({ perSecond: undefined, sentAt: 90, now: 2000 }));
     assert.equal(limits.tryGet("i-1"), 0.5);
-    limits.note(answer({ perSecond: undefined, sentAt: 110, now: 2100 }));
+    limits.note(createNotice({ perSecond: undefined, sentAt: 110, now: 2100 }));
     assert.equal(limits.tryGet("i-1"), undefined);
     assert.ok(limits.isEmpty);
   });
 
-  it("is lowered at once, and raised once a second", () => {
+  it("is lowered immediately, and raised at most once a second", () => {
     const limits = createLimits({ perSecond: 5 }, { perSecond: 2, now: 10 });
     assert.equal(limits.tryGet("i-1"), 2);
-    limits.note(answer({ perSecond: 8, now: 20 }));
+    limits.note(createNotice({ perSecond: 8, now: 20 }));
     assert.equal(limits.tryGet("i-1"), 2);
-    limits.note(answer({ perSecond: 8, now: 1010 }));
+    limits.note(createNotice({ perSecond: 8, now: 1010 }));
     assert.equal(limits.tryGet("i-1"), 8);
   });
 
-  it("is no news where its last digits change, and never rounded up", () => {
+  it("ignores changes of insignificant digits, and is never rounded up", () => {
     const limits = createLimits({ perSecond: 3.49 });
     assert.equal(limits.tryGet("i-1"), 3.4);
-    const changed = limits.note(answer({ perSecond: 3.41, now: 5000 }));
+    const changed = limits.note(createNotice({ perSecond: 3.41, now: 5000 }));
     assert.equal(changed, undefined);
     assert.equal(createLimits({ perSecond: 0.999 }).tryGet("i-1"), 0.99);
     assert.equal(createLimits({ perSecond: 0.2 }).tryGet("i-1"), 0.2);
   });
 
-  it("may be none at all, which is a limit", () => {
+  it("may be 0, which is different from no limit", () => {
     const limits = createLimits({ perSecond: 0 });
     assert.equal(limits.tryGet("i-1"), 0);
     assert.ok(!limits.isEmpty);
   });
 });
 
-describe("limits that entries tell each other", () => {
-  it("hold where no answer named them", () => {
+describe("limits that entries replicate", () => {
+  it("apply at entries that received no answer with a limit", () => {
     const other = createLimits();
-    const news = tell(createLimits({}), other);
-    assert.equal(news.length, 1);
+    const changed = replicate(createLimits({}), other);
+    assert.equal(changed.length, 1);
     assert.equal(other.tryGet("i-1"), 2);
-    assert.equal(tell(createLimits({}), other).length, 0);
+    assert.equal(replicate(createLimits({}), other).length, 0);
   });
 
-  it("end where they are told to have ended, whatever is told of before", () => {
+  it("end when another entry reports their end, and outdated updates do not restore them", () => {
     const before = createLimits({});
     const after = createLimits({});
-    after.note(answer({ perSecond: undefined, sentAt: 1, now: 50 }));
-    assert.equal(tell(after, before).length, 1);
+    after.note(createNotice({ perSecond: undefined, sentAt: 1, now: 50 }));
+    assert.equal(replicate(after, before).length, 1);
     assert.equal(before.tryGet("i-1"), undefined);
-    assert.equal(tell(createLimits({}), before).length, 0);
+    assert.equal(replicate(createLimits({}), before).length, 0);
   });
 
-  it("are not lifted by an answer to a request that was sent before", () => {
+  it("are not ended by an answer to an earlier request", () => {
     const other = createLimits();
-    tell(createLimits({ now: 1000 }), other, 1010);
-    other.note(answer({ perSecond: undefined, sentAt: 900, now: 1500 }));
+    replicate(createLimits({ now: 1000 }), other, 1010);
+    other.note(createNotice({ perSecond: undefined, sentAt: 900, now: 1500 }));
     assert.equal(other.tryGet("i-1"), 2);
   });
 
-  it("come to the same at all entries, in whichever order they are told", () => {
+  it("converge at all entries, in whichever order they are replicated", () => {
     const change = fc.record({
       entry: fc.integer({ min: 0, max: 2 }),
       target: fc.constantFrom("i-1", "i-2"),
       perSecond: fc.option(fc.double({ min: 0, max: 60, noNaN: true }), {
         nil: undefined,
       }),
-      tells: fc.integer({ min: 0, max: 2 }),
+      receiver: fc.integer({ min: 0, max: 2 }),
     });
     fc.assert(
       fc.property(fc.array(change, { maxLength: 30 }), (changes) => {
         const entries = [createLimits(), createLimits(), createLimits()];
         let now = 0;
-        for (const { entry, target, perSecond, tells } of changes) {
+        for (const { entry, target, perSecond, receiver } of changes) {
           now += 300;
           const from = entries[entry] as TargetLimits;
           from.note({ target, perSecond, sentAt: now - 1, now });
-          tell(from, entries[tells] as TargetLimits, now);
+          replicate(from, entries[receiver] as TargetLimits, now);
         }
         for (let round = 0; round < 2; round++) {
           for (const from of entries) {
-            for (const to of entries) tell(from, to, now);
+            for (const to of entries) replicate(from, to, now);
           }
         }
         const contents = new Set(entries.map(({ content }) => content));
@@ -114,18 +115,18 @@
     );
   });
 
-  it("are forgotten a minute after a target has left the list, everywhere", () => {
+  it("are forgotten at all entries a minute after the target has left the list", () => {
     const limits = createLimits({});
     limits.setListed(new Set(), 59_000);
     assert.equal(limits.tryGet("i-1"), 2);
-    const told = limits.list();
+    const listed = limits.list();
     limits.setListed(new Set(), 60_000);
     assert.ok(limits.isEmpty);
-    // One that still remembers it does not bring it back.
-    assert.equal(limits.merge(told, 60_000).length, 0);
+    // An entry that still knows the limit does not restore it.
+    assert.equal(limits.merge(listed, 60_000).length, 0);
   });
 
-  it("stay in force, however long no answer names them here", () => {
+  it("stay in force if no further answer announces them here", () => {
     const limits = createLimits({});
     limits.setListed(new Set(["i-1"]), 600_000);
     assert.equal(limits.tryGet("i-1"), 2);
--- a/src/policy/target_subset.ts
+++ b/src/policy/target_subset.ts
@@ -1,71 +1,71 @@
 /**
- * Which targets of a large pool an entry connects to: not all, so that neither
- * side holds more connections than it can speak on.
+ * Chooses the targets of a large pool that an entry connects to, so that neither side
+ * holds more connections than it needs.
  *
  * @module
  */
 import { getRendezvousRank } from "../core/rendezvous_hash.ts";
 
-/** What the choice looks at. */
-export interface SubsetCandidate {
+/** The properties of a target on which the choice depends. */
+export interface Candidate {
   readonly name: string;
   readonly pool: string;
   readonly failureDomain: string;
 }
 
-/** Who chooses, and how many at most. */
+/** Options of a choice. */
 export interface SubsetOptions {
   readonly entryName: string;
   readonly failureDomain: string;
-  /** Targets of one pool; smaller pools are taken whole. */
+  /** Maximum number of targets of one pool; smaller pools are chosen whole. */
   readonly limit: number;
 }
 
-/** Share of the limit that goes to the entry's own failure domain. */
+/** Share of the limit reserved for the entry's own failure domain. */
 const NEAR_SHARE = 0.75;
 
 /**
- * Chooses by the hash of entry and target together: entries choose differently,
- * targets are chosen about equally often, and a machine that comes or goes
- * changes the choice by itself and at most one other.
+ * Chooses by rendezvous hashing of entry and target: entries choose differently, targets
+ * are chosen about equally often, and a target that is added or removed changes the
+ * choice only by itself and at most one other.
  *
  * @example
  * ```ts
- * const dialled = chooseSubset(machines, { entryName, failureDomain, limit });
+ * const dialled = chooseSubset(targets, { entryName, failureDomain, limit });
  * ```
  */
-export function chooseSubset<T extends SubsetCandidate>(
-  machines: readonly T[],
+export function chooseSubset<T extends Candidate>(
+  candidates: readonly T[],
   options: SubsetOptions,
 ): readonly T[] {
   const pools = new Map<string, T[]>();
-  for (const machine of machines) {
-    const pool = pools.get(machine.pool) ?? [];
-    pool.push(machine);
-    pools.set(machine.pool, pool);
+  for (const candidate of candidates) {
+    const pool = pools.get(candidate.pool) ?? [];
+    pool.push(candidate);
+    pools.set(candidate.pool, pool);
   }
-  return [...pools.values()].flatMap((pool) => chooseOfPool(pool, options));
+  return [...pools.values()].flatMap((pool) => chooseFromPool(pool, options));
 }
 
-function chooseOfPool<T extends SubsetCandidate>(
+function chooseFromPool<T extends Candidate>(
   pool: readonly T[],
   options: SubsetOptions,
 ): readonly T[] {
   if (pool.length <= options.limit) return pool;
   const ranked = pool
-    .map((machine) => ({
-      machine,
-      rank: getRendezvousRank(options.entryName, machine.name),
+    .map((candidate) => ({
+      candidate,
+      rank: getRendezvousRank(options.entryName, candidate.name),
     }))
     .sort((left, right) => left.rank < right.rank ? -1 : 1)
-    .map(({ machine }) => machine);
+    .map(({ candidate }) => candidate);
   const near = ranked
-    .filter((machine) => machine.failureDomain === options.failureDomain)
+    .filter((candidate) => candidate.failureDomain === options.failureDomain)
     .slice(0, Math.floor(options.limit * NEAR_SHARE));
   const chosen = new Set(near);
-  for (const machine of ranked) {
+  for (const candidate of ranked) {
     if (chosen.size >= options.limit) break;
-    chosen.add(machine);
+    chosen.add(candidate);
   }
   return [...chosen];
 }
