--- a/src/group/coordinator.ts
+++ b/src/group/coordinator.ts
@@ -26,7 +26,7 @@
   CoordinatorEvent,
   Decision,
   GroupCoordinatorOptions,
-  MemberSaid,
+  MemberMessageReceived,
   Phase,
   Preparing,
   Staging,
@@ -35,9 +35,9 @@
 /** Milliseconds after which an unanswered message is sent again. */
 export const RESEND_MS = 200;
 /** Milliseconds after which a switch that is not prepared is given up. */
-const SWITCH_LIMIT_MS = 30_000;
-const FIRST_MARGIN_STEPS = 16;
-const LARGEST_MARGIN_STEPS = 4096;
+const SWITCH_TIMEOUT_MS = 30_000;
+const INITIAL_MARGIN_STEPS = 16;
+const MAX_MARGIN_STEPS = 4096;
 /**
  * Versions carry the epoch of their decider, so that none is used twice even by
  * deciders that know nothing of each other.
@@ -56,9 +56,9 @@
   #version = 0;
   #last: Decision | undefined;
   /** Ranks that have not carried out the last decision. */
-  readonly #owed = new Set<number>();
+  readonly #pending = new Set<number>();
   #marginSteps: number;
-  #sentAt = Number.NEGATIVE_INFINITY;
+  #lastSentAt = Number.NEGATIVE_INFINITY;
   readonly #effects: CoordinatorEffects;
 
   /** Begins without memory: the first tick binds every rank. */
@@ -70,13 +70,13 @@
       decider: options.decider,
       epoch: options.firstEpoch,
     });
-    this.#marginSteps = options.marginSteps ?? FIRST_MARGIN_STEPS;
+    this.#marginSteps = options.marginSteps ?? INITIAL_MARGIN_STEPS;
     this.#map = options.firstMap;
   }
 
   /** Whether a proposal would be taken up. */
   get isIdle(): boolean {
-    return this.#phase.kind === "idle" && this.#owed.size === 0;
+    return this.#phase.kind === "idle" && this.#pending.size === 0;
   }
 
   /** The map decided upon last. */
@@ -101,16 +101,16 @@
     this.#effects.clear();
     switch (event.kind) {
       case "member_said":
-        this.#memberSaid(event);
+        this.#onMemberMessage(event);
         break;
       case "member_connected":
-        this.#effects.bind(event.rank);
+        this.#effects.sendBind(event.rank);
         break;
       case "map_proposed":
-        this.#proposed(event.map, event.now);
+        this.#onMapProposed(event.map, event.now);
         break;
       case "tick":
-        this.#tick(event.now);
+        this.#onTick(event.now);
         break;
       default:
         assertNever(event);
@@ -118,24 +118,24 @@
     return this.#effects.all;
   }
 
-  #memberSaid(event: MemberSaid): void {
+  #onMemberMessage(event: MemberMessageReceived): void {
     const { message, rank, now } = event;
-    if (message.kind === "outdated") return this.#outdated(message, rank);
+    if (message.kind === "outdated") return this.#onOutdated(message, rank);
     if (message.epoch !== this.#effects.epoch) return;
     switch (message.kind) {
       case "bound":
-        return this.#bound(message, rank, now);
+        return this.#onBound(message, rank, now);
       case "staged":
-        return this.#staged(message, rank, now);
+        return this.#onStaged(message, rank, now);
       case "prepared":
-        return this.#prepared(message, rank);
+        return this.#onPrepared(message, rank);
       case "too_late":
-        return this.#tooLate(message, now);
+        return this.#onTooLate(message, now);
       case "applied":
-        if (message.version === this.#last?.version) this.#owed.delete(rank);
+        if (message.version === this.#last?.version) this.#pending.delete(rank);
         return;
       case "ask":
-        return this.#answerAsk(message.version, rank);
+        return this.#onDecisionRequest(message.version, rank);
       default:
         assertNever(message);
     }
@@ -145,10 +145,10 @@
    * The rank follows another decider, or one of ours from before. If its number
    * is as high as ours, an earlier decider of the group came further.
    */
-  #outdated(followed: Decider, rank: number): void {
+  #onOutdated(followed: Decider, rank: number): void {
     const { epoch, decider } = followed;
     if (epoch < this.#effects.epoch) {
-      return this.#effects.bind(rank);
+      return this.#effects.sendBind(rank);
     }
     if (decider === this.#decider) return;
     this.#effects.epoch = epoch;
@@ -159,12 +159,12 @@
   #startBinding(): void {
     this.#effects.epoch++;
     this.#phase = { kind: "binding", engines: new Map() };
-    this.#owed.clear();
+    this.#pending.clear();
     this.#last = undefined;
-    this.#effects.forEachRank((rank) => this.#effects.bind(rank));
+    this.#effects.forEachRank((rank) => this.#effects.sendBind(rank));
   }
 
-  #bound(message: BoundMessage, rank: number, now: number): void {
+  #onBound(message: BoundMessage, rank: number, now: number): void {
     const phase = this.#phase;
     switch (phase.kind) {
       case "binding":
@@ -175,18 +175,18 @@
         if (message.engine.incarnation !== this.#incarnation) {
           return this.#startBinding();
         }
-        if (this.#owed.has(rank)) this.#sayDecision(rank);
+        if (this.#pending.has(rank)) this.#sendDecision(rank);
         return;
       case "staging":
-        return this.#boundWhileStaging(phase, message, rank);
+        return this.#onBoundWhileStaging(phase, message, rank);
       case "preparing":
-        return this.#boundWhilePreparing(phase, message, rank);
+        return this.#onBoundWhilePreparing(phase, message, rank);
       default:
         assertNever(phase);
     }
   }
 
-  #boundWhileStaging(
+  #onBoundWhileStaging(
     phase: Staging,
     message: BoundMessage,
     rank: number,
@@ -194,17 +194,17 @@
     const isInRun = message.engine.incarnation === this.#incarnation;
     if (phase.assemble === undefined && !isInRun) return this.#startBinding();
     phase.steps.delete(rank);
-    this.#effects.stage(rank, phase);
+    this.#effects.sendStage(rank, phase);
   }
 
-  #boundWhilePreparing(
+  #onBoundWhilePreparing(
     phase: Preparing,
     message: BoundMessage,
     rank: number,
   ): void {
     const isStaged = message.engine.stagedVersion === phase.version;
     if (!isStaged) return this.#startBinding();
-    this.#effects.prepare(rank, phase);
+    this.#effects.sendPrepare(rank, phase);
   }
 
   /** Every rank is bound: what was decided before can be known now. */
@@ -219,7 +219,7 @@
     }
     this.#incarnation = group.incarnation;
     if (group.map !== undefined) this.#map = group.map;
-    if (!group.isOneRun || committed === undefined) return this.#assemble(now);
+    if (!group.isOneRun || committed === undefined) return this.#startRun(now);
     this.#phase = { kind: "idle" };
     if (stagedVersion > committed.version) {
       return this.#decide(stagedVersion, undefined);
@@ -228,12 +228,12 @@
   }
 
   /** A group with a new engine among its ranks begins a new run. */
-  #assemble(now: number): void {
+  #startRun(now: number): void {
     this.#incarnation = Math.max(this.#incarnation + 1, this.#effects.epoch);
     this.#startStaging(this.#map, { assemble: this.#incarnation, now });
   }
 
-  #proposed(map: ExpertMap, now: number): void {
+  #onMapProposed(map: ExpertMap, now: number): void {
     if (!this.isIdle) {
       this.#effects.add({ kind: "proposal_dropped" });
       return;
@@ -258,11 +258,11 @@
       steps: new Map(),
     };
     this.#phase = phase;
-    this.#sentAt = options.now;
-    this.#effects.forEachRank((rank) => this.#effects.stage(rank, phase));
+    this.#lastSentAt = options.now;
+    this.#effects.forEachRank((rank) => this.#effects.sendStage(rank, phase));
   }
 
-  #staged(message: StagedMessage, rank: number, now: number): void {
+  #onStaged(message: StagedMessage, rank: number, now: number): void {
     const phase = this.#phase;
     if (phase.kind !== "staging" || message.version !== phase.version) return;
     phase.steps.set(rank, message.step);
@@ -289,11 +289,11 @@
       prepared: new Set(),
     };
     this.#phase = next;
-    this.#sentAt = now;
-    this.#effects.forEachRank((rank) => this.#effects.prepare(rank, next));
+    this.#lastSentAt = now;
+    this.#effects.forEachRank((rank) => this.#effects.sendPrepare(rank, next));
   }
 
-  #prepared(message: PreparedMessage, rank: number): void {
+  #onPrepared(message: PreparedMessage, rank: number): void {
     const phase = this.#phase;
     if (phase.kind !== "preparing" || message.version !== phase.version) return;
     if (message.step !== phase.step) return;
@@ -305,11 +305,11 @@
   }
 
   /** The group was faster than the messages: the switch moves further ahead. */
-  #tooLate(message: TooLateMessage, now: number): void {
+  #onTooLate(message: TooLateMessage, now: number): void {
     const phase = this.#phase;
     if (phase.kind !== "preparing" || message.version !== phase.version) return;
     if (message.step !== phase.step || phase.assemble !== undefined) return;
-    this.#marginSteps = Math.min(LARGEST_MARGIN_STEPS, this.#marginSteps * 2);
+    this.#marginSteps = Math.min(MAX_MARGIN_STEPS, this.#marginSteps * 2);
     const step = Math.max(phase.step, message.engineStep) + this.#marginSteps;
     this.#startPreparing(phase, step, now);
   }
@@ -322,8 +322,8 @@
     );
     this.#last = { version, step };
     for (let rank = 0; rank < this.#ranks; rank++) {
-      this.#owed.add(rank);
-      this.#sayDecision(rank);
+      this.#pending.add(rank);
+      this.#sendDecision(rank);
     }
     this.#effects.add({
       kind: "switch_decided",
@@ -332,38 +332,38 @@
     });
   }
 
-  #answerAsk(version: number, rank: number): void {
-    if (version === this.#last?.version) return this.#sayDecision(rank);
+  #onDecisionRequest(version: number, rank: number): void {
+    if (version === this.#last?.version) return this.#sendDecision(rank);
     const phase = this.#phase;
     if (phase.kind === "binding") return;
     if (phase.kind !== "idle" && phase.version === version) return;
-    this.#effects.abort(rank, version);
+    this.#effects.sendAbort(rank, version);
   }
 
-  #tick(now: number): void {
-    if (now - this.#sentAt < RESEND_MS) return;
-    this.#sentAt = now;
+  #onTick(now: number): void {
+    if (now - this.#lastSentAt < RESEND_MS) return;
+    this.#lastSentAt = now;
     const phase = this.#phase;
     switch (phase.kind) {
       case "binding":
         return this.#effects.forEachRank((rank) => {
           if (!phase.engines.has(rank)) {
-            this.#effects.bind(rank);
+            this.#effects.sendBind(rank);
           }
         });
       case "idle":
-        return this.#owed.forEach((rank) => this.#sayDecision(rank));
+        return this.#pending.forEach((rank) => this.#sendDecision(rank));
       case "staging":
       case "preparing":
-        return this.#resendOrGiveUp(phase, now);
+        return this.#resendOrAbort(phase, now);
       default:
         assertNever(phase);
     }
   }
 
   /** A new run is never given up: the group cannot step without it anyway. */
-  #resendOrGiveUp(phase: Staging | Preparing, now: number): void {
-    const isLate = now - phase.startedAt >= SWITCH_LIMIT_MS;
+  #resendOrAbort(phase: Staging | Preparing, now: number): void {
+    const isLate = now - phase.startedAt >= SWITCH_TIMEOUT_MS;
     if (isLate && phase.assemble === undefined) {
       this.#phase = { kind: "idle" };
       return this.#decide(phase.version, undefined);
@@ -371,15 +371,15 @@
     this.#effects.forEachRank((rank) => {
       if (phase.kind === "preparing") {
         if (phase.prepared.has(rank)) return;
-        this.#effects.prepare(rank, phase);
+        this.#effects.sendPrepare(rank, phase);
       } else if (!phase.steps.has(rank)) {
-        this.#effects.stage(rank, phase);
+        this.#effects.sendStage(rank, phase);
       }
     });
   }
 
-  #sayDecision(rank: number): void {
+  #sendDecision(rank: number): void {
     const decision = Debug.getDefined(this.#last, "Decided before");
-    this.#effects.decision(rank, decision);
+    this.#effects.sendDecision(rank, decision);
   }
 }
--- a/src/group/coordinator_driver.ts
+++ b/src/group/coordinator_driver.ts
@@ -63,7 +63,7 @@
     this.#clients = options.memberAddresses.map((address, rank) =>
       this.#dial(address, rank)
     );
-    this.#timer = setInterval(() => this.#tick(), TICK_MS);
+    this.#timer = setInterval(() => this.#onTick(), TICK_MS);
   }
 
   /** Decides no more. */
@@ -107,7 +107,7 @@
     });
   }
 
-  #tick(): void {
+  #onTick(): void {
     const now = performance.now();
     this.#dispatch({ kind: "tick", now });
     const settings = this.#options.trySettings();
--- a/src/group/coordinator_effects.ts
+++ b/src/group/coordinator_effects.ts
@@ -48,30 +48,30 @@
   }
 
   /** Asks a rank what it has, and binds it to this decider. */
-  bind(rank: number): void {
-    this.#say(rank, { kind: "bind", ...this.#signature() });
+  sendBind(rank: number): void {
+    this.#send(rank, { kind: "bind", ...this.#signature() });
   }
 
   /** Asks a rank to load a map. */
-  stage(rank: number, { version, map, assemble }: Staging): void {
+  sendStage(rank: number, { version, map, assemble }: Staging): void {
     const place = { ...this.#signature(), version };
-    this.#say(rank, { kind: "stage", ...place, map, assemble });
+    this.#send(rank, { kind: "stage", ...place, map, assemble });
   }
 
   /** Asks a rank not to begin a step before the decision. */
-  prepare(rank: number, { version, step }: Preparing): void {
-    this.#say(rank, { kind: "prepare", ...this.#signature(), version, step });
+  sendPrepare(rank: number, { version, step }: Preparing): void {
+    this.#send(rank, { kind: "prepare", ...this.#signature(), version, step });
   }
 
   /** Tells a rank what was decided upon a version. */
-  decision(rank: number, { version, step }: Decision): void {
-    if (step === undefined) return this.abort(rank, version);
-    this.#say(rank, { kind: "commit", ...this.#signature(), version, step });
+  sendDecision(rank: number, { version, step }: Decision): void {
+    if (step === undefined) return this.sendAbort(rank, version);
+    this.#send(rank, { kind: "commit", ...this.#signature(), version, step });
   }
 
   /** Tells a rank that a version was given up. */
-  abort(rank: number, version: number): void {
-    this.#say(rank, { kind: "abort", ...this.#signature(), version });
+  sendAbort(rank: number, version: number): void {
+    this.#send(rank, { kind: "abort", ...this.#signature(), version });
   }
 
   /** Calls back with every rank, in order. */
@@ -83,7 +83,7 @@
     return { epoch: this.epoch, decider: this.#decider };
   }
 
-  #say(rank: number, message: CoordinatorMessage): void {
+  #send(rank: number, message: CoordinatorMessage): void {
     this.#effects.push({ kind: "say", rank, message });
   }
 }
--- a/src/group/coordinator_recovery.ts
+++ b/src/group/coordinator_recovery.ts
@@ -35,11 +35,11 @@
  */
 export function recoverGroup(engines: readonly EngineState[]): RecoveredGroup {
   const incarnation = Math.max(...engines.map((one) => one.incarnation));
-  const committed = newestActivation(engines);
+  const committed = findNewestActivation(engines);
   const known = engines.flatMap((one) => one.maps)
     .find((one) => one.version === committed?.version);
   return {
-    version: Math.max(...engines.map(highestVersionOf)),
+    version: Math.max(...engines.map(getHighestVersion)),
     incarnation,
     isOneRun: engines.every((one) => one.incarnation === incarnation),
     committed,
@@ -48,7 +48,7 @@
   };
 }
 
-function highestVersionOf(engine: EngineState): number {
+function getHighestVersion(engine: EngineState): number {
   return Math.max(
     engine.activeVersion,
     engine.stagedVersion ?? 0,
@@ -56,7 +56,7 @@
   );
 }
 
-function newestActivation(
+function findNewestActivation(
   engines: readonly EngineState[],
 ): Activation | undefined {
   return engines
--- a/src/group/coordinator_types.ts
+++ b/src/group/coordinator_types.ts
@@ -31,7 +31,7 @@
 }
 
 /** A message of a rank arrived. */
-export interface MemberSaid {
+export interface MemberMessageReceived {
   readonly kind: "member_said";
   readonly now: number;
   readonly rank: number;
@@ -60,13 +60,13 @@
 
 /** Everything that can happen to a decider. */
 export type CoordinatorEvent =
-  | MemberSaid
+  | MemberMessageReceived
   | MemberConnected
   | MapProposed
   | CoordinatorTick;
 
 /** Say something to a rank. */
-export interface SayToMember {
+export interface SendToMember {
   readonly kind: "say";
   readonly rank: number;
   readonly message: CoordinatorMessage;
@@ -85,7 +85,7 @@
 }
 
 /** Everything that a decider can ask for. */
-export type CoordinatorEffect = SayToMember | SwitchDecided | ProposalDropped;
+export type CoordinatorEffect = SendToMember | SwitchDecided | ProposalDropped;
 
 /** Every rank is asked what it has. @internal */
 export interface Binding {
--- a/src/group/formed/base_maps.ts
+++ b/src/group/formed/base_maps.ts
@@ -8,17 +8,17 @@
 import type { ExpertMap } from "../../messages/group_types.ts";
 
 /** Part of the decider's link for maps that are told ahead. */
-const LINK_PART = 0.2;
+const LINK_SHARE = 0.2;
 /** Bytes of an expert's number in a map. */
-const NUMBER_BYTES = 1.6;
+const BYTES_PER_EXPERT = 1.6;
 
 /** Paces maps that are told ahead of orders. */
-export class BaseMaps {
+export class BaseMapPacer {
   readonly #pacer: LinkPacer;
 
   /** Takes the bytes that the decider's link carries in a second. */
   constructor(bytesPerSecond: number) {
-    this.#pacer = new LinkPacer({ bytesPerSecond, part: LINK_PART });
+    this.#pacer = new LinkPacer({ bytesPerSecond, part: LINK_SHARE });
   }
 
   /**
@@ -39,5 +39,5 @@
     (sum, { experts }) => sum + experts.flat().length,
     0,
   );
-  return numbers * NUMBER_BYTES;
+  return numbers * BYTES_PER_EXPERT;
 }
--- a/src/group/formed/base_maps_test.ts
+++ b/src/group/formed/base_maps_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { BaseMaps } from "./base_maps.ts";
+import { BaseMapPacer } from "./base_maps.ts";
 
 /** 4.2 Mbit/s, as machines beside engines of the largest groups have. */
 const LINK_BYTES_PER_SECOND = 525_000;
@@ -10,7 +10,7 @@
     const row = [0, 1, 2, 3].map((place) => 64 * place);
     const experts = Array.from({ length: 64 }, () => row);
     const layers = Array.from({ length: 12 }, () => ({ experts }));
-    const baseMaps = new BaseMaps(LINK_BYTES_PER_SECOND);
+    const baseMaps = new BaseMapPacer(LINK_BYTES_PER_SECOND);
     let told = 0;
     let now = 0;
     for (; told < 64; now += 25) {
--- a/src/group/formed/copies_per_rank.ts
+++ b/src/group/formed/copies_per_rank.ts
@@ -5,7 +5,7 @@
  */
 
 /** What the number of copies depends on. */
-export interface CopyFacts {
+export interface CopyLimitInput {
   /** Milliseconds in which a rank loads one expert. */
   readonly loadMs: number;
   /** Milliseconds that a pass takes, if that is known. */
@@ -26,7 +26,7 @@
  */
 const PLANNING_MS_PER_COPY = 1;
 /** Experts that a rank loads for one map when passes take long, at most. */
-const MOST_NEW_EXPERTS_PER_RANK = 6;
+const MAX_NEW_EXPERTS_PER_RANK = 6;
 /**
  * Passes that a switch takes beside the loading. While one rank slows them all to
  * a second each, several copies fit into that time.
@@ -41,11 +41,13 @@
  * getCopiesPerRank({ loadMs: 76, passMs: 60, ranks: 24 }); // 2
  * ```
  */
-export function getCopiesPerRank({ loadMs, passMs, ranks }: CopyFacts): number {
+export function getCopiesPerRank(
+  { loadMs, passMs, ranks }: CopyLimitInput,
+): number {
   const overheadMs = PASSES_PER_SWITCH * (passMs ?? 0);
   const allowedMs = Math.max(COPYING_MS_PER_MAP, overheadMs);
   const fitting = Math.round(
     allowedMs / (loadMs + ranks * PLANNING_MS_PER_COPY),
   );
-  return Math.min(MOST_NEW_EXPERTS_PER_RANK, Math.max(1, fitting));
+  return Math.min(MAX_NEW_EXPERTS_PER_RANK, Math.max(1, fitting));
 }
--- a/src/group/formed/counts_memory.ts
+++ b/src/group/formed/counts_memory.ts
@@ -12,9 +12,9 @@
 } from "../../messages/formed_group_types.ts";
 
 /** Remembers the counts that were told last. */
-export class CountsMemory {
+export class CountsEncoder {
   #serial = 0;
-  #told: ExpertCounts | undefined;
+  #lastSent: ExpertCounts | undefined;
 
   /**
    * The counts for a decider that has those with the number `known`; in full if it
@@ -25,19 +25,19 @@
    * const report = memory.tell(await engine.readCounts(), query.knownCounts);
    * ```
    */
-  tell(counts: ExpertCounts, known: number | undefined): CountsReport {
-    const told = known === this.#serial ? this.#told : undefined;
+  encode(counts: ExpertCounts, known: number | undefined): CountsReport {
+    const told = known === this.#serial ? this.#lastSent : undefined;
     const since = this.#serial;
     this.#serial++;
-    this.#told = counts;
-    const added = told === undefined ? undefined : tryAdded(counts, told);
+    this.#lastSent = counts;
+    const added = told === undefined ? undefined : tryGetIncrease(counts, told);
     if (added === undefined) return { serial: this.#serial, counts };
     return { serial: this.#serial, since, counts: added };
   }
 }
 
 /** Undefined when some count is lower than it was. */
-function tryAdded(
+function tryGetIncrease(
   counts: ExpertCounts,
   before: ExpertCounts,
 ): ExpertCounts | undefined {
--- a/src/group/formed/counts_memory_test.ts
+++ b/src/group/formed/counts_memory_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { encodeFrame } from "../../messages/codec.ts";
-import { CountsMemory } from "./counts_memory.ts";
+import { CountsEncoder } from "./counts_memory.ts";
 import { Popularity } from "./popularity.ts";
 import type {
   CountsReport,
@@ -36,38 +36,38 @@
 
 describe("counts as told to a decider", () => {
   it("are what was added, if it has those told before", () => {
-    const memory = new CountsMemory();
-    const first = memory.tell([[10, 20]], undefined);
+    const memory = new CountsEncoder();
+    const first = memory.encode([[10, 20]], undefined);
     assert.deepEqual(first, { serial: 1, counts: [[10, 20]] });
-    const second = memory.tell([[13, 20]], 1);
+    const second = memory.encode([[13, 20]], 1);
     assert.deepEqual(second, { serial: 2, since: 1, counts: [[3, 0]] });
   });
 
   it("are told in full to a decider that missed some", () => {
-    const memory = new CountsMemory();
-    memory.tell([[10]], undefined);
-    memory.tell([[11]], 1);
-    assert.deepEqual(memory.tell([[12]], 1), { serial: 3, counts: [[12]] });
+    const memory = new CountsEncoder();
+    memory.encode([[10]], undefined);
+    memory.encode([[11]], 1);
+    assert.deepEqual(memory.encode([[12]], 1), { serial: 3, counts: [[12]] });
   });
 
   it("are told in full when the engine has started anew", () => {
-    const memory = new CountsMemory();
-    memory.tell([[10, 10]], undefined);
-    assert.deepEqual(memory.tell([[2, 11]], 1), {
+    const memory = new CountsEncoder();
+    memory.encode([[10, 10]], undefined);
+    assert.deepEqual(memory.encode([[2, 11]], 1), {
       serial: 2,
       counts: [[2, 11]],
     });
   });
 
   it("take less than half of the bytes", () => {
-    const memory = new CountsMemory();
-    const full = sizeOf(memory.tell(createCounts(40_000), undefined));
-    const added = sizeOf(memory.tell(createCounts(40_050), 1));
+    const memory = new CountsEncoder();
+    const full = sizeOf(memory.encode(createCounts(40_000), undefined));
+    const added = sizeOf(memory.encode(createCounts(40_050), 1));
     assert.ok(added < full / 2, `${added} and ${full} bytes`);
   });
 
   it("make the same popularity either way", () => {
-    const memory = new CountsMemory();
+    const memory = new CountsEncoder();
     const inFull = new Popularity();
     const added = new Popularity();
     let known: number | undefined;
@@ -76,11 +76,11 @@
       const now = index * 200;
       inFull.observe(0, counts, now);
       // One answer is lost, so the next comes in full.
-      const report = memory.tell(counts, known);
+      const report = memory.encode(counts, known);
       if (index === 2) continue;
       known = report.serial;
       if (report.since === undefined) added.observe(0, report.counts, now);
-      else added.observeAdded(0, report.counts, now);
+      else added.observeIncrease(0, report.counts, now);
     }
     assert.equal(added.isKnown, true);
     const sum = (rows: readonly (readonly number[])[]) =>
--- a/src/group/formed/decider.ts
+++ b/src/group/formed/decider.ts
@@ -29,10 +29,10 @@
   Releasing,
   SwitchAtPass,
 } from "./decider_types.ts";
-import { noteGathered, trySettle } from "./gathered_ranks.ts";
+import { recordGathered, tryGetSettledMap } from "./gathered_ranks.ts";
 import { readHeldPass } from "./held_pass.ts";
 import { HoldMargin } from "./hold_margin.ts";
-import { hasStrayHold, judgeRejection } from "./judge_report.ts";
+import { classifyRejection, hasStrayHold } from "./judge_report.ts";
 import { MapVersions } from "./map_versions.ts";
 import { OpenOrders } from "./open_orders.ts";
 import { PassTimes } from "./pass_times.ts";
@@ -43,9 +43,9 @@
 } from "../../messages/formed_group_types.ts";
 
 /** Milliseconds between two questions to ranks of which it is unknown what they hold. */
-const GATHERING_LOOK_MS = 250;
+const GATHERING_QUERY_INTERVAL_MS = 250;
 /** Milliseconds between two looks at a group that has yet to begin a pass. */
-const SWITCHING_LOOK_MS = 40;
+const SWITCHING_QUERY_INTERVAL_MS = 40;
 /** Weight of the newest report in the mean time of a pass. */
 const PASS_SMOOTHING = 0.4;
 
@@ -57,7 +57,7 @@
   /** The last pass of this epoch that any rank is known to have begun. */
   #lastPass: number;
   /** The same of each rank by itself. */
-  readonly #lastPassOf = new Map<number, number>();
+  readonly #lastPassByRank = new Map<number, number>();
   #phase: DeciderPhase;
   #phaseEnteredAt: number;
   readonly #versions: MapVersions;
@@ -66,7 +66,7 @@
   /** When the pass of the switch under way was to be held; undefined: by another. */
   #heldAt: number | undefined;
   readonly #orders: OpenOrders;
-  #askedAt = Number.NEGATIVE_INFINITY;
+  #queriedAt = Number.NEGATIVE_INFINITY;
   readonly #effects = new DeciderEffects();
 
   /** Knows nothing of the other ranks yet: the first tick asks them. */
@@ -108,13 +108,13 @@
     this.#effects.clear();
     switch (event.kind) {
       case "rank_reported":
-        this.#reported(event);
+        this.#onRankReport(event);
         break;
       case "map_proposed":
-        this.#proposed(event);
+        this.#onMapProposed(event);
         break;
       case "tick":
-        this.#tick(event.now);
+        this.#onTick(event.now);
         break;
       default:
         assertNever(event);
@@ -122,77 +122,77 @@
     return this.#effects.all;
   }
 
-  #reported(event: RankReported): void {
+  #onRankReport(event: RankReported): void {
     const { rank, report, now } = event;
     const { state } = report;
     if (state.epoch < this.#epoch) return;
     if (state.epoch > this.#epoch) {
       this.#epoch = state.epoch;
       this.#lastPass = state.pass;
-      this.#lastPassOf.clear();
+      this.#lastPassByRank.clear();
       this.#passTimes.clear();
-      return this.#gather(now);
+      return this.#startGathering(now);
     }
-    if (this.#isOvertaken(rank, state)) return;
-    this.#lastPassOf.set(rank, state.pass);
+    if (this.#isStale(rank, state)) return;
+    this.#lastPassByRank.set(rank, state.pass);
     this.#lastPass = Math.max(this.#lastPass, state.pass);
     if (rank === 0) this.#passTimes.observe(state, now);
-    this.#versions.note(state);
+    this.#versions.record(state);
     const open = this.#orders.tryGet(rank);
-    this.#orders.closeIfDone(rank, state);
+    this.#orders.closeIfExecuted(rank, state);
     if (hasStrayHold(this.#phase, state)) return this.#startOver(event);
     const isRejected = this.#orders.tryGet(rank) !== undefined &&
       report.orderId === open?.id && report.isDone === false;
-    if (isRejected) return this.#rejected(event);
-    this.#progress(event);
+    if (isRejected) return this.#onOrderRejected(event);
+    this.#advance(event);
   }
 
   /**
    * An engine tells other machines its state as it was a while ago, and the process
    * beside it as it is. What an older state holds may have ended since.
    */
-  #isOvertaken(rank: number, state: RankState): boolean {
-    return state.pass < (this.#lastPassOf.get(rank) ?? 0);
+  #isStale(rank: number, state: RankState): boolean {
+    return state.pass < (this.#lastPassByRank.get(rank) ?? 0);
   }
 
   /** Asks all ranks, and takes what this one says of a held pass. */
   #startOver(event: RankReported): void {
-    this.#gather(event.now);
-    this.#progress(event);
+    this.#startGathering(event.now);
+    this.#advance(event);
   }
 
-  #progress(event: RankReported): void {
+  #advance(event: RankReported): void {
     const { report: { state }, now } = event;
     const phase = this.#phase;
-    const isDone = this.#orders.areDone;
+    const isDone = this.#orders.isEmpty;
     switch (phase.kind) {
       case "gathering":
-        return this.#gathered(phase, event);
+        return this.#onGatheringReport(phase, event);
       case "switching":
         if (state.activeVersion === phase.version) {
-          this.#switched(phase, now);
+          this.#onSwitched(phase, now);
         }
         return;
       case "preparing":
-        if (isDone) this.#hold(phase, now);
+        if (isDone) this.#startHolding(phase, now);
         return;
       case "holding":
-        if (isDone) this.#decide(phase, now);
+        if (isDone) this.#startDeciding(phase, now);
         return;
       case "deciding":
-        if (isDone) this.#armOthers(phase, now);
+        if (isDone) this.#startArming(phase, now);
         return;
       case "arming":
-        if (isDone) this.#armed(phase, now);
+        if (isDone) this.#onAllArmed(phase, now);
         return;
       case "fencing":
         if (!isDone) return;
-        return this.#release(
+        return this.#startReleasing(
           { pass: phase.pass, version: undefined, map: undefined },
           now,
         );
       case "releasing":
-        if (isDone) this.#released(phase, now);
+        if (isDone) this.#onReleased(phase, now);
         return;
       case "settled":
         return;
@@ -202,7 +202,7 @@
   }
 
   /** A held pass is dealt with first; without one, every rank is to be known. */
-  #gathered(phase: Gathering, event: RankReported): void {
+  #onGatheringReport(phase: Gathering, event: RankReported): void {
     const { rank, report, now } = event;
     if (rank === this.#holder) {
       const held = readHeldPass(report.state);
@@ -210,34 +210,34 @@
         case "nothing_held":
           break;
         case "decided":
-          return this.#armOthers({ ...held, map: undefined }, now);
+          return this.#startArming({ ...held, map: undefined }, now);
         case "in_vain":
-          return this.#release(
+          return this.#startReleasing(
             { pass: held.pass, version: undefined, map: undefined },
             now,
           );
         case "undecided":
           // Another pass may still be held for another switch meanwhile.
-          if (held.isAwaited) this.#fence(held.pass, now);
+          if (held.isAwaited) this.#startFencing(held.pass, now);
           return;
         default:
           assertNever(held);
       }
     }
-    noteGathered(phase, event);
-    const map = trySettle(phase, this.#ranks);
-    if (map !== undefined) this.#enter({ kind: "settled", map }, now);
+    recordGathered(phase, event);
+    const map = tryGetSettledMap(phase, this.#ranks);
+    if (map !== undefined) this.#enterPhase({ kind: "settled", map }, now);
   }
 
-  #proposed({ map, passPart, now }: MapProposed): void {
+  #onMapProposed({ map, passPauseRatio: passPart, now }: MapProposed): void {
     if (this.#phase.kind !== "settled") return;
     const version = this.#versions.next();
-    this.#margin.begin(this.#passTimes.meanMs, passPart);
+    this.#margin.startSwitch(this.#passTimes.meanMs, passPart);
     const before = this.#phase.map;
-    this.#enter({ kind: "preparing", version, map, before }, now);
+    this.#enterPhase({ kind: "preparing", version, map, before }, now);
     for (let rank = 0; rank < this.#ranks; rank++) {
       const { epoch } = this;
-      this.#order(rank, { kind: "prepare", epoch, version, map }, now);
+      this.#sendOrder(rank, { kind: "prepare", epoch, version, map }, now);
     }
   }
 
@@ -245,87 +245,100 @@
    * Two passes ahead at least. A pass that was given up had all before it begun, so it
    * is never held for another switch, which a late order to let it go could harm.
    */
-  #hold(
+  #startHolding(
     { version, map }: Pick<SwitchAtPass, "version" | "map">,
     now: number,
   ): void {
     const pass = this.#lastPass + this.#margin.passes;
     this.#heldAt = now;
-    this.#enter({ kind: "holding", version, pass, map }, now);
-    this.#order(this.#holder, { kind: "hold", ...this.#at(pass) }, now);
+    this.#enterPhase({ kind: "holding", version, pass, map }, now);
+    this.#sendOrder(this.#holder, {
+      kind: "hold",
+      ...this.#createPassFields(pass),
+    }, now);
   }
 
-  #decide({ version, pass, map }: SwitchAtPass, now: number): void {
-    this.#enter({ kind: "deciding", version, pass, map }, now);
-    this.#arm(this.#holder, { version, pass, map }, now);
+  #startDeciding({ version, pass, map }: SwitchAtPass, now: number): void {
+    this.#enterPhase({ kind: "deciding", version, pass, map }, now);
+    this.#sendArm(this.#holder, { version, pass, map }, now);
   }
 
-  #armOthers(planned: SwitchAtPass, now: number): void {
+  #startArming(planned: SwitchAtPass, now: number): void {
     const { version, pass, map } = planned;
     this.#orders.clear();
-    this.#enter({ kind: "arming", version, pass, map }, now);
+    this.#enterPhase({ kind: "arming", version, pass, map }, now);
     for (let rank = 0; rank < this.#ranks; rank++) {
-      if (rank !== this.#holder) this.#arm(rank, planned, now);
+      if (rank !== this.#holder) this.#sendArm(rank, planned, now);
     }
-    if (this.#orders.areDone) this.#armed(planned, now);
+    if (this.#orders.isEmpty) this.#onAllArmed(planned, now);
   }
 
-  #armed(planned: SwitchAtPass, now: number): void {
-    this.#margin.noteArmed(planned.pass - this.#lastPass);
-    this.#release(planned, now);
+  #onAllArmed(planned: SwitchAtPass, now: number): void {
+    this.#margin.recordArmed(planned.pass - this.#lastPass);
+    this.#startReleasing(planned, now);
   }
 
-  #arm(rank: number, { version, pass }: SwitchAtPass, now: number): void {
-    this.#order(rank, { kind: "arm", ...this.#at(pass), version }, now);
+  #sendArm(rank: number, { version, pass }: SwitchAtPass, now: number): void {
+    this.#sendOrder(rank, {
+      kind: "arm",
+      ...this.#createPassFields(pass),
+      version,
+    }, now);
   }
 
-  #fence(pass: number, now: number): void {
+  #startFencing(pass: number, now: number): void {
     const version = this.#versions.next();
-    this.#enter({ kind: "fencing", version, pass }, now);
+    this.#enterPhase({ kind: "fencing", version, pass }, now);
     const { epoch } = this;
-    this.#order(this.#holder, { kind: "fence", epoch, version }, now);
+    this.#sendOrder(this.#holder, { kind: "fence", epoch, version }, now);
   }
 
-  #release(phase: Omit<Releasing, "kind">, now: number): void {
+  #startReleasing(phase: Omit<Releasing, "kind">, now: number): void {
     const { version, pass, map } = phase;
     this.#orders.clear();
-    this.#enter({ kind: "releasing", version, pass, map }, now);
-    this.#order(this.#holder, { kind: "go", ...this.#at(pass) }, now);
+    this.#enterPhase({ kind: "releasing", version, pass, map }, now);
+    this.#sendOrder(this.#holder, {
+      kind: "go",
+      ...this.#createPassFields(pass),
+    }, now);
   }
 
-  #released({ version, map }: Releasing, now: number): void {
-    if (this.#heldAt !== undefined) this.#margin.noteTook(now - this.#heldAt);
+  #onReleased({ version, map }: Releasing, now: number): void {
+    if (this.#heldAt !== undefined) this.#margin.recordHold(now - this.#heldAt);
     this.#heldAt = undefined;
-    if (version === undefined) return this.#gather(now);
-    this.#enter({ kind: "switching", version, map }, now);
+    if (version === undefined) return this.#startGathering(now);
+    this.#enterPhase({ kind: "switching", version, map }, now);
   }
 
-  #switched(
+  #onSwitched(
     { version, map }: Pick<SwitchAtPass, "version" | "map">,
     now: number,
   ): void {
-    this.#effects.putMapInForce(version);
-    if (map === undefined) return this.#gather(now);
-    this.#enter({ kind: "settled", map }, now);
+    this.#effects.recordMapInForce(version);
+    if (map === undefined) return this.#startGathering(now);
+    this.#enterPhase({ kind: "settled", map }, now);
   }
 
-  #rejected(event: RankReported): void {
+  #onOrderRejected(event: RankReported): void {
     const { rank, report: { state }, now } = event;
-    const rejection = judgeRejection(this.#phase, state);
+    const rejection = classifyRejection(this.#phase, state);
     switch (rejection.kind) {
       case "give_up_map":
         this.#orders.clear();
-        return this.#enter({ kind: "settled", map: rejection.before }, now);
+        return this.#enterPhase(
+          { kind: "settled", map: rejection.before },
+          now,
+        );
       case "hold_later":
         this.#orders.clear();
         this.#margin.widen();
-        return this.#hold(rejection, now);
+        return this.#startHolding(rejection, now);
       case "start_over":
         return this.#startOver(event);
       case "postpone":
         return this.#orders.postpone(rank, now);
       case "fence_higher":
-        return this.#fenceHigher(rank, now);
+        return this.#raiseFenceVersion(rank, now);
       case "ignore":
         return;
       default:
@@ -334,39 +347,41 @@
   }
 
   /** A version that the rank loads is not told yet, and was higher. */
-  #fenceHigher(rank: number, now: number): void {
+  #raiseFenceVersion(rank: number, now: number): void {
     this.#versions.skip();
     const { epoch } = this;
     const version = this.#versions.next();
     this.#orders.open(rank, { kind: "fence", epoch, version }, now);
   }
 
-  #tick(now: number): void {
+  #onTick(now: number): void {
     for (const open of this.#orders.takeDue(now)) {
       this.#effects.sendOrder(open, true);
     }
     const { kind } = this.#phase;
     const isGathering = kind === "gathering";
-    const lookMs = isGathering ? GATHERING_LOOK_MS : SWITCHING_LOOK_MS;
+    const lookMs = isGathering
+      ? GATHERING_QUERY_INTERVAL_MS
+      : SWITCHING_QUERY_INTERVAL_MS;
     const isLooking = isGathering || kind === "switching";
-    if (!isLooking || now - this.#askedAt < lookMs) return;
-    this.#askedAt = now;
-    if (isGathering) return this.#askUnknown();
+    if (!isLooking || now - this.#queriedAt < lookMs) return;
+    this.#queriedAt = now;
+    if (isGathering) return this.#queryUnknownRanks();
     this.#effects.sendQuery(0);
   }
 
-  #gather(now: number): void {
+  #startGathering(now: number): void {
     this.#heldAt = undefined;
     this.#orders.clear();
-    this.#enter(
+    this.#enterPhase(
       { kind: "gathering", states: new Map(), experts: new Map() },
       now,
     );
-    this.#askedAt = now;
-    this.#askUnknown();
+    this.#queriedAt = now;
+    this.#queryUnknownRanks();
   }
 
-  #askUnknown(): void {
+  #queryUnknownRanks(): void {
     const phase = this.#phase;
     if (phase.kind !== "gathering") return;
     for (let rank = 0; rank < this.#ranks; rank++) {
@@ -375,18 +390,18 @@
     }
   }
 
-  #enter(phase: DeciderPhase, now: number): void {
+  #enterPhase(phase: DeciderPhase, now: number): void {
     this.#phase = phase;
     const tookMs = now - this.#phaseEnteredAt;
-    this.#effects.enterPhase({ phase, epoch: this.#epoch, tookMs });
+    this.#effects.recordPhase({ phase, epoch: this.#epoch, tookMs });
     this.#phaseEnteredAt = now;
   }
 
-  #order(rank: number, order: RankOrder, now: number): void {
+  #sendOrder(rank: number, order: RankOrder, now: number): void {
     this.#effects.sendOrder(this.#orders.open(rank, order, now), false);
   }
 
-  #at(pass: number) {
+  #createPassFields(pass: number) {
     return { epoch: this.#epoch, pass };
   }
 }
--- a/src/group/formed/decider_driver.ts
+++ b/src/group/formed/decider_driver.ts
@@ -12,7 +12,7 @@
 import type { GroupSettings } from "../../external/operator_settings.ts";
 import type { LinkIdentity } from "../../links/link_server.ts";
 import { tryPlanIncrement } from "../../policy/placement/incremental_planner.ts";
-import { BaseMaps } from "./base_maps.ts";
+import { BaseMapPacer } from "./base_maps.ts";
 import { getCopiesPerRank } from "./copies_per_rank.ts";
 import { FormedGroupDecider } from "./decider.ts";
 import type {
@@ -45,7 +45,7 @@
 /** Milliseconds between two lines of the log on how the group worked. */
 const WORK_LOG_INTERVAL_MS = 1000;
 /** Orders of a decider are numbered from a random number below this. */
-const FIRST_ORDER_IDS = 2 ** 31;
+const MAX_FIRST_ORDER_ID = 2 ** 31;
 
 /** Options of a {@link DeciderDriver}. */
 export interface DeciderDriverOptions {
@@ -70,16 +70,16 @@
   readonly #decider: FormedGroupDecider;
   readonly #popularity = new Popularity();
   readonly #links: RankLinks;
-  readonly #questions: RankQuestions;
-  readonly #baseMaps: BaseMaps;
+  readonly #queries: RankQuestions;
+  readonly #baseMapPacer: BaseMapPacer;
   /** Ranks that were counted since the last plan, or since a map came into force. */
-  readonly #answered = new Set<number>();
+  readonly #countedRanks = new Set<number>();
   readonly #timer: NodeJS.Timeout;
-  #loadToldAt = 0;
+  #loadSentAt = 0;
   /** When a plan last found nothing worth a copy, and for which popularity. */
-  #idlePlan = { at: Number.NEGATIVE_INFINITY, changes: 0 };
+  #lastEmptyPlan = { at: Number.NEGATIVE_INFINITY, changes: 0 };
   #workLoggedAt = 0;
-  #passLogged = 0;
+  #lastLoggedPass = 0;
   #epoch: number;
 
   /** Begins at once; members are told by {@link setMembers}. */
@@ -90,7 +90,7 @@
       state: options.state,
       random: options.random,
       now: performance.now(),
-      firstOrderId: options.random.nextBelow(FIRST_ORDER_IDS),
+      firstOrderId: options.random.nextBelow(MAX_FIRST_ORDER_ID),
     });
     const { identity, log, createEngine, state } = options;
     this.#links = new RankLinks({
@@ -100,12 +100,12 @@
       group: state.group,
       onReport: (member, report) => this.#onReport(member, report),
     });
-    this.#questions = new RankQuestions({
+    this.#queries = new RankQuestions({
       ranks: state.ranks,
       bytesPerSecond: options.linkBytesPerSecond,
     });
-    this.#baseMaps = new BaseMaps(options.linkBytesPerSecond);
-    this.#timer = setInterval(() => this.#tick(), TICK_MS);
+    this.#baseMapPacer = new BaseMapPacer(options.linkBytesPerSecond);
+    this.#timer = setInterval(() => this.#onTick(), TICK_MS);
   }
 
   /** Decides no more. */
@@ -120,10 +120,10 @@
   }
 
   #onReport(member: RankMember, report: RankReportMessage): void {
-    this.#questions.answered(report);
+    this.#queries.answered(report);
     const now = performance.now();
-    if (report.state.rank === 0) this.#tellHolder(report);
-    this.#takeCounts(member, report);
+    if (report.state.rank === 0) this.#forwardArmedReport(report);
+    this.#recordCounts(member, report);
     const { rank } = report.state;
     this.#dispatch({ kind: "rank_reported", now, rank, report });
     this.#planIfCounted();
@@ -133,13 +133,13 @@
    * That rank 0 is armed: if this machine stands still now, so does that rank's engine
    * towards all others, and the process beside the holder can still end the switch.
    */
-  #tellHolder(report: RankReportMessage): void {
+  #forwardArmedReport(report: RankReportMessage): void {
     const { state, orderId } = report;
     if (orderId === undefined || state.armed === undefined) return;
-    this.#links.tell(getHolderRank(state.ranks), report);
+    this.#links.forwardReport(getHolderRank(state.ranks), report);
   }
 
-  #takeCounts(member: RankMember, report: RankReportMessage): void {
+  #recordCounts(member: RankMember, report: RankReportMessage): void {
     const { state, counts } = report;
     if (state.epoch > this.#epoch) {
       this.#epoch = state.epoch;
@@ -152,55 +152,55 @@
     if (counts.since === undefined) {
       this.#popularity.observe(state.rank, counts.counts, now);
     } else if (counts.since === knownCounts) {
-      this.#popularity.observeAdded(state.rank, counts.counts, now);
+      this.#popularity.observeIncrease(state.rank, counts.counts, now);
     } else {
       // Added to counts that never came: the next ones are wanted in full.
       member.knownCounts = undefined;
       return;
     }
-    this.#answered.add(state.rank);
+    this.#countedRanks.add(state.rank);
   }
 
-  #tick(): void {
+  #onTick(): void {
     const now = performance.now();
     this.#dispatch({ kind: "tick", now });
-    this.#tellLoad(now);
+    this.#publishLoad(now);
     this.#logWork(now);
-    this.#askRanks(now);
-    this.#tellBaseMap(now);
+    this.#queryRanks(now);
+    this.#sendBaseMap(now);
   }
 
-  #tellBaseMap(now: number): void {
+  #sendBaseMap(now: number): void {
     const map = this.#decider.settledMap;
     const member = map &&
-      this.#links.members.find(({ link, sentMap }) =>
+      this.#links.members.find(({ link, mapEncoder: sentMap }) =>
         link !== undefined && !sentMap.hasBase
       );
     if (map === undefined || member === undefined) return;
-    if (!this.#baseMaps.tryTake(map, now)) return;
-    member.link?.send(member.sentMap.encodeBase(map));
+    if (!this.#baseMapPacer.tryTake(map, now)) return;
+    member.link?.send(member.mapEncoder.encodeBase(map));
   }
 
-  #askRanks(now: number): void {
+  #queryRanks(now: number): void {
     const reachable = new Set(
       this.#links.members.flatMap(({ link, rank }) =>
         link === undefined ? [] : [rank]
       ),
     );
-    for (const question of this.#questions.take(now, reachable)) {
-      this.#ask(question);
+    for (const question of this.#queries.take(now, reachable)) {
+      this.#sendQuery(question);
     }
   }
 
-  #ask({ rank, ...wanted }: RankQuestion): void {
+  #sendQuery({ rank, ...wanted }: RankQuestion): void {
     const member = this.#links.tryMember(rank);
     const { knownCounts } = member ?? {};
     member?.link?.send({ kind: "rank_query", ...wanted, knownCounts });
   }
 
-  #tellLoad(now: number): void {
-    if (now - this.#loadToldAt < LOAD_INTERVAL_MS) return;
-    this.#loadToldAt = now;
+  #publishLoad(now: number): void {
+    if (now - this.#loadSentAt < LOAD_INTERVAL_MS) return;
+    this.#loadSentAt = now;
     const { onLoad, pool, state } = this.#options;
     const members = this.#links.members;
     const own = members.find(({ rank }) => rank === 0);
@@ -209,7 +209,7 @@
       pool,
       group: state.group,
       isOpen: own.state.isOpen,
-      ageMs: now - own.stateAt,
+      ageMs: now - own.stateReceivedAt,
       passMs: this.#decider.passMs,
       epoch: this.#decider.epoch,
       loads: members.flatMap((member) =>
@@ -229,9 +229,9 @@
     const { ranks, group } = this.#options.state;
     const states = this.#links.members.flatMap(({ state }) => state ?? []);
     const pass = Math.max(0, ...states.map((state) => state.pass));
-    const passes = pass - this.#passLogged;
+    const passes = pass - this.#lastLoggedPass;
     this.#workLoggedAt = now;
-    this.#passLogged = pass;
+    this.#lastLoggedPass = pass;
     if (passes <= 0) return;
     const running = states.map((state) => state.running);
     this.#options.log.write("GROUP_WORKED", {
@@ -243,23 +243,24 @@
       mostRunning: Math.max(...running),
       queued: states.reduce((sum, state) => sum + state.queued, 0),
       heard: `${states.length} of ${ranks}`,
-      counted: this.#answered.size,
+      counted: this.#countedRanks.size,
     });
   }
 
   #planIfCounted(): void {
     const map = this.#decider.settledMap;
     const settings = this.#options.trySettings();
-    const isCounted = this.#answered.size >= this.#questions.countedForPlan;
+    const isCounted =
+      this.#countedRanks.size >= this.#queries.minCountedForPlan;
     if (map === undefined || settings === undefined || !isCounted) return;
-    if (!this.#popularity.isKnown || this.#isIdle()) return;
-    this.#answered.clear();
+    if (!this.#popularity.isKnown || this.#isPlanningDeferred()) return;
+    this.#countedRanks.clear();
     const startedAt = performance.now();
-    const passPart = this.#passPart(settings);
+    const passPart = this.#getPassPauseRatio(settings);
     const plan = tryPlanIncrement({
       current: map,
       tokens: this.#popularity.tokens,
-      paces: this.#paces(),
+      paces: this.#getPaces(),
     }, {
       slotsPerRank: settings.slotsPerRank,
       mostNewPerRank: getCopiesPerRank({
@@ -273,7 +274,7 @@
     });
     if (plan === undefined) {
       const { changes } = this.#popularity;
-      this.#idlePlan = { at: startedAt, changes };
+      this.#lastEmptyPlan = { at: startedAt, changes };
       return;
     }
     this.#options.log.write("MAP_PROPOSED", {
@@ -284,17 +285,22 @@
       planningMs: Math.round(performance.now() - startedAt),
     });
     const now = performance.now();
-    this.#dispatch({ kind: "map_proposed", now, map: plan.map, passPart });
+    this.#dispatch({
+      kind: "map_proposed",
+      now,
+      map: plan.map,
+      passPauseRatio: passPart,
+    });
   }
 
-  #isIdle(): boolean {
-    const { at, changes } = this.#idlePlan;
+  #isPlanningDeferred(): boolean {
+    const { at, changes } = this.#lastEmptyPlan;
     return changes === this.#popularity.changes &&
       performance.now() - at < IDLE_PLAN_INTERVAL_MS;
   }
 
   /** Pace of each rank by its last report. */
-  #paces(): readonly number[] {
+  #getPaces(): readonly number[] {
     const paces = new Array<number>(this.#options.state.ranks).fill(1);
     for (const { rank, state } of this.#links.members) {
       if (rank !== undefined && state !== undefined) paces[rank] = state.pace;
@@ -303,7 +309,7 @@
   }
 
   /** Time of a pass over the pause that callers bear. */
-  #passPart({ pauseObjectiveMs }: GroupSettings): number | undefined {
+  #getPassPauseRatio({ pauseObjectiveMs }: GroupSettings): number | undefined {
     const { passMs } = this.#decider;
     if (passMs === undefined || pauseObjectiveMs === undefined) {
       return undefined;
@@ -318,7 +324,7 @@
   #perform(effect: DeciderEffect): void {
     match(effect)
       .with({ kind: "send_order" }, (order) => this.#sendOrder(order))
-      .with({ kind: "send_query" }, ({ rank }) => this.#questions.want(rank))
+      .with({ kind: "send_query" }, ({ rank }) => this.#queries.want(rank))
       .with({ kind: "phase_entered" }, ({ kind: _, ...details }) => {
         this.#options.log.write("MAP_PHASE", {
           ...details,
@@ -327,7 +333,7 @@
       })
       .with({ kind: "map_in_force" }, ({ version }) => {
         this.#options.log.write("MAP_DECIDED", { version, isCommitted: true });
-        this.#answered.clear();
+        this.#countedRanks.clear();
       })
       .exhaustive();
   }
@@ -339,7 +345,7 @@
   #sendOrder(effect: SendOrder): void {
     const { kind } = effect.order;
     const isRemote = effect.rank !== 0 && (kind === "hold" || kind === "go");
-    if (isRemote) return this.#links.sendRemoteOrder(effect);
+    if (isRemote) return this.#links.sendOrderToEngine(effect);
     this.#links.sendOrder(effect);
   }
 }
--- a/src/group/formed/decider_effects.ts
+++ b/src/group/formed/decider_effects.ts
@@ -45,7 +45,7 @@
   }
 
   /** Notes that a phase begins. */
-  enterPhase({ phase, epoch, tookMs }: NewPhase): void {
+  recordPhase({ phase, epoch, tookMs }: NewPhase): void {
     this.#effects.push({
       kind: "phase_entered",
       phase: phase.kind,
@@ -57,7 +57,7 @@
   }
 
   /** Notes that a map came into force. */
-  putMapInForce(version: number): void {
+  recordMapInForce(version: number): void {
     this.#effects.push({ kind: "map_in_force", version });
   }
 }
--- a/src/group/formed/decider_types.ts
+++ b/src/group/formed/decider_types.ts
@@ -36,7 +36,7 @@
   readonly now: number;
   readonly map: ExpertMap;
   /** Time of a pass over the pause that callers bear, if both are known. */
-  readonly passPart?: number;
+  readonly passPauseRatio?: number;
 }
 
 /** Time passed. */
--- a/src/group/formed/gathered_ranks.ts
+++ b/src/group/formed/gathered_ranks.ts
@@ -8,7 +8,7 @@
 import type { Gathering, RankReported } from "./decider_types.ts";
 
 /** Takes in what one rank holds. */
-export function noteGathered(
+export function recordGathered(
   { states, experts }: Gathering,
   { rank, report }: RankReported,
 ): void {
@@ -30,7 +30,7 @@
  * const map = trySettle(phase, ranks);
  * ```
  */
-export function trySettle(
+export function tryGetSettledMap(
   phase: Gathering,
   ranks: number,
 ): ExpertMap | undefined {
@@ -41,7 +41,7 @@
   const isSettled = versions.size === 1 &&
     states.every((state) => state.armed === undefined);
   if (isSettled) return assembleMap(phase.experts);
-  forgetOutdated(phase);
+  removeOutdated(phase);
   return undefined;
 }
 
@@ -49,7 +49,7 @@
  * The ranks were seen at different times: those that had yet to switch are asked again.
  * With all of them asked again at once, a large group was never whole.
  */
-function forgetOutdated({ states, experts }: Gathering): void {
+function removeOutdated({ states, experts }: Gathering): void {
   const newest = Math.max(
     ...[...states.values()].map(({ activeVersion }) => activeVersion),
   );
--- a/src/group/formed/give_until_answered.ts
+++ b/src/group/formed/give_until_answered.ts
@@ -10,7 +10,7 @@
 } from "../../messages/formed_group_types.ts";
 
 /** Times that one order is given, at most: its sender looks then what became of it. */
-const MOST_TRIES = 4;
+const MAX_SENDS = 4;
 
 /**
  * What became of an order, as soon as the engine says so.
@@ -25,12 +25,12 @@
  * await giveUntilAnswered(engine, { kind: "go", epoch: 1, pass: 7 });
  * ```
  */
-export async function giveUntilAnswered(
+export async function sendUntilAnswered(
   engine: FormedEngine,
   order: EngineOrder,
 ): Promise<OrderOutcome> {
   let outcome: OrderOutcome = "unanswered";
-  for (let tries = 0; tries < MOST_TRIES; tries++) {
+  for (let tries = 0; tries < MAX_SENDS; tries++) {
     outcome = await engine.give(order);
     if (outcome !== "unanswered") break;
   }
--- a/src/group/formed/give_until_answered_test.ts
+++ b/src/group/formed/give_until_answered_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { FormedEngineFixture } from "../../testing/formed_engine_fixture.ts";
-import { giveUntilAnswered } from "./give_until_answered.ts";
+import { sendUntilAnswered } from "./give_until_answered.ts";
 
 const HOLD = { kind: "hold", epoch: 1, pass: 3 } as const;
 
@@ -18,21 +18,21 @@
 describe("an order to an engine of another machine", () => {
   it("is given again as soon as it has got no answer", async () => {
     const engine = createEngine(2);
-    assert.equal(await giveUntilAnswered(engine, HOLD), "accepted");
+    assert.equal(await sendUntilAnswered(engine, HOLD), "accepted");
     assert.equal(engine.given.length, 3);
   });
 
   it("is given once when it is answered, also when it is refused", async () => {
     const engine = createEngine(0);
-    await giveUntilAnswered(engine, HOLD);
+    await sendUntilAnswered(engine, HOLD);
     const later = { ...HOLD, pass: 4 };
-    assert.equal(await giveUntilAnswered(engine, later), "rejected");
+    assert.equal(await sendUntilAnswered(engine, later), "rejected");
     assert.equal(engine.given.length, 2);
   });
 
   it("is left to its sender's next look when the engine stays silent", async () => {
     const engine = createEngine(100);
-    assert.equal(await giveUntilAnswered(engine, HOLD), "unanswered");
+    assert.equal(await sendUntilAnswered(engine, HOLD), "unanswered");
     assert.ok(engine.given.length < 10);
   });
 });
--- a/src/group/formed/held_pass.ts
+++ b/src/group/formed/held_pass.ts
@@ -11,14 +11,14 @@
 }
 
 /** The holder is armed for the pass that it holds: every rank is to switch. */
-export interface HeldAndDecided {
+export interface DecidedHold {
   readonly kind: "decided";
   readonly version: number;
   readonly pass: number;
 }
 
 /** The holder is not armed, so no rank is: the switch can be given up. */
-export interface HeldAndUndecided {
+export interface UndecidedHold {
   readonly kind: "undecided";
   readonly pass: number;
   /** Whether the group has come to the pass and waits for it. */
@@ -29,7 +29,7 @@
  * The holder is armed for a later pass: a hold of this one was carried out late, and
  * no rank will ever be armed for it.
  */
-export interface HeldInVain {
+export interface StaleHold {
   readonly kind: "in_vain";
   readonly pass: number;
 }
@@ -37,9 +37,9 @@
 /** How far the switch of a held pass has come. */
 export type HeldPass =
   | NothingHeld
-  | HeldAndDecided
-  | HeldAndUndecided
-  | HeldInVain;
+  | DecidedHold
+  | UndecidedHold
+  | StaleHold;
 
 /**
  * Reads the state of the holder's engine.
--- a/src/group/formed/held_pass_watch.ts
+++ b/src/group/formed/held_pass_watch.ts
@@ -11,7 +11,7 @@
  * ended from beside the holder. A decider takes some 50 with 24 ranks, and 120 more for
  * each order that has to be given again.
  */
-const SUSPICIOUS_MS = 250;
+const RECOVERY_DELAY_MS = 250;
 
 /** How long a group has been waiting before a held pass. */
 export class HeldPassWatch {
@@ -37,6 +37,6 @@
     if (this.#heldPass !== held.pass || !isAwaited) this.#awaitedSince = now;
     this.#heldPass = held.pass;
     const awaitedMs = now - this.#awaitedSince;
-    return awaitedMs < SUSPICIOUS_MS ? undefined : awaitedMs;
+    return awaitedMs < RECOVERY_DELAY_MS ? undefined : awaitedMs;
   }
 }
--- a/src/group/formed/hold_margin.ts
+++ b/src/group/formed/hold_margin.ts
@@ -10,34 +10,34 @@
  * pass is rarely held in fact. More ranks take longer: the margin follows from
  * whether the group had to wait.
  */
-const FIRST_MARGIN_PASSES = 2;
-const LARGEST_MARGIN_PASSES = 64;
+const MIN_MARGIN_PASSES = 2;
+const MAX_MARGIN_PASSES = 64;
 /** Milliseconds from a hold until the pass may begin, until one was seen. */
-const FIRST_TOOK_MS = 120;
+const INITIAL_HOLD_MS = 120;
 /**
  * Milliseconds that count for a switch at most: one that took longer waited for a machine
  * that stood still, which no margin helps.
  */
-const LONGEST_TOOK_MS = 300;
+const MAX_HOLD_MS = 300;
 /** Milliseconds of the shortest pass that is believed. */
-const SHORTEST_PASS_MS = 5;
+const MIN_PASS_MS = 5;
 /** Part of a longer time before that still counts with each switch that took less. */
-const TOOK_MEMORY = 0.8;
+const HOLD_DECAY = 0.8;
 /**
  * Time kept ahead over that which switches took lately. A margin that is too long has the
  * map come some passes later; with one that is too short the group waits, and each answer
  * under way is late.
  */
-const TIME_MARGIN = 2.5;
+const HOLD_TIME_FACTOR = 2.5;
 /** The same while passes are longer than callers bear: all answers are late until then. */
-const URGENT_TIME_MARGIN = 1.5;
+const URGENT_HOLD_TIME_FACTOR = 1.5;
 
 /** How far ahead the pass of a switch is held. */
 export class HoldMargin {
-  #passes = FIRST_MARGIN_PASSES;
+  #passes = MIN_MARGIN_PASSES;
   /** With which a switch begins. */
-  #usual = FIRST_MARGIN_PASSES;
-  #tookMs = FIRST_TOOK_MS;
+  #basePasses = MIN_MARGIN_PASSES;
+  #holdMs = INITIAL_HOLD_MS;
 
   /** Passes from the last one begun to the one that is to be held. */
   get passes(): number {
@@ -48,15 +48,15 @@
    * A switch begins, while passes take so many milliseconds and so large a part of the
    * pause that callers bear, as far as that is known.
    */
-  begin(passMs?: number, passPart = 0): void {
+  startSwitch(passMs?: number, passPart = 0): void {
     const isUrgent = passPart > 1;
-    const margin = isUrgent ? URGENT_TIME_MARGIN : TIME_MARGIN;
-    const forTime = passMs === undefined || passMs < SHORTEST_PASS_MS
+    const margin = isUrgent ? URGENT_HOLD_TIME_FACTOR : HOLD_TIME_FACTOR;
+    const forTime = passMs === undefined || passMs < MIN_PASS_MS
       ? 0
-      : Math.ceil(margin * this.#tookMs / passMs);
+      : Math.ceil(margin * this.#holdMs / passMs);
     this.#passes = Math.min(
-      LARGEST_MARGIN_PASSES,
-      Math.max(this.#usual, forTime),
+      MAX_MARGIN_PASSES,
+      Math.max(this.#basePasses, forTime),
     );
   }
 
@@ -70,15 +70,15 @@
    * margin.passes; // 7
    * ```
    */
-  noteTook(milliseconds: number): void {
-    const tookMs = Math.min(LONGEST_TOOK_MS, milliseconds);
-    const faded = TOOK_MEMORY * this.#tookMs + (1 - TOOK_MEMORY) * tookMs;
-    this.#tookMs = Math.max(tookMs, faded);
+  recordHold(milliseconds: number): void {
+    const tookMs = Math.min(MAX_HOLD_MS, milliseconds);
+    const faded = HOLD_DECAY * this.#holdMs + (1 - HOLD_DECAY) * tookMs;
+    this.#holdMs = Math.max(tookMs, faded);
   }
 
   /** The pass had begun before it was held: the next try is further ahead. */
   widen(): void {
-    this.#passes = Math.min(LARGEST_MARGIN_PASSES, 2 * this.#passes);
+    this.#passes = Math.min(MAX_MARGIN_PASSES, 2 * this.#passes);
   }
 
   /**
@@ -92,12 +92,12 @@
    * margin.passes; // 3
    * ```
    */
-  noteArmed(passesToGo: number): void {
+  recordArmed(passesToGo: number): void {
     if (passesToGo <= 1) {
-      this.#usual = Math.min(LARGEST_MARGIN_PASSES, this.#usual + 1);
+      this.#basePasses = Math.min(MAX_MARGIN_PASSES, this.#basePasses + 1);
     }
     if (passesToGo > 2) {
-      this.#usual = Math.max(FIRST_MARGIN_PASSES, this.#usual - 1);
+      this.#basePasses = Math.max(MIN_MARGIN_PASSES, this.#basePasses - 1);
     }
   }
 }
--- a/src/group/formed/hold_margin_test.ts
+++ b/src/group/formed/hold_margin_test.ts
@@ -8,10 +8,10 @@
 function marginAfter(tookMs: number): number {
   const margin = new HoldMargin();
   for (let switches = 0; switches < 3; switches++) {
-    margin.begin(PASS_MS);
-    margin.noteTook(tookMs);
+    margin.startSwitch(PASS_MS);
+    margin.recordHold(tookMs);
   }
-  margin.begin(PASS_MS);
+  margin.startSwitch(PASS_MS);
   return margin.passes;
 }
 
@@ -37,33 +37,33 @@
    */
   it("bears a switch of twice the usual time while passes are short", () => {
     const margin = new HoldMargin();
-    for (let switches = 0; switches < 10; switches++) margin.noteTook(120);
-    margin.begin(PASS_MS, PASS_MS / 120);
+    for (let switches = 0; switches < 10; switches++) margin.recordHold(120);
+    margin.startSwitch(PASS_MS, PASS_MS / 120);
     assert.ok(margin.passes * PASS_MS >= 240);
   });
 
   it("is shorter while passes are longer than callers bear", () => {
     const margin = new HoldMargin();
-    margin.begin(PASS_MS, 1.2);
+    margin.startSwitch(PASS_MS, 1.2);
     const urgent = margin.passes;
-    margin.begin(PASS_MS, 0.9);
+    margin.startSwitch(PASS_MS, 0.9);
     assert.ok(urgent < margin.passes);
   });
 
   it("remembers one that took long for some switches", () => {
     const margin = new HoldMargin();
-    margin.noteTook(400);
-    margin.noteTook(50);
-    margin.begin(PASS_MS);
+    margin.recordHold(400);
+    margin.recordHold(50);
+    margin.startSwitch(PASS_MS);
     assert.ok(margin.passes * PASS_MS >= 300);
   });
 
   it("follows whether the group waited, while passes are not timed", () => {
     const margin = new HoldMargin();
-    margin.begin();
+    margin.startSwitch();
     const first = margin.passes;
-    margin.noteArmed(1);
-    margin.begin();
+    margin.recordArmed(1);
+    margin.startSwitch();
     assert.ok(margin.passes > first);
   });
 });
--- a/src/group/formed/judge_report.ts
+++ b/src/group/formed/judge_report.ts
@@ -10,7 +10,7 @@
 import type { RankState } from "../../messages/formed_group_types.ts";
 
 /** The map is given up, and the one before stays in force. */
-export interface GiveUpMap {
+export interface AbandonMap {
   readonly kind: "give_up_map";
   readonly before: ExpertMap;
 }
@@ -36,7 +36,7 @@
 }
 
 /** What follows from an order that a rank did not carry out. */
-export type Rejection = GiveUpMap | HoldLater | PlainRejection;
+export type Rejection = AbandonMap | HoldLater | PlainRejection;
 
 /**
  * Judges a report that an order was not carried out.
@@ -46,7 +46,7 @@
  * if (judgeRejection(phase, state).kind === "start_over") gather();
  * ```
  */
-export function judgeRejection(
+export function classifyRejection(
   phase: DeciderPhase,
   state: RankState,
 ): Rejection {
--- a/src/group/formed/load_columns.ts
+++ b/src/group/formed/load_columns.ts
@@ -12,7 +12,7 @@
 
 /** Writes loads for one connection, which keeps the order of its messages. */
 export class LoadWriter {
-  #told: readonly string[] | undefined;
+  #lastAddresses: readonly string[] | undefined;
 
   /**
    * The message that tells a load, without addresses that were told before.
@@ -24,9 +24,9 @@
    */
   write({ loads, ...group }: GroupLoad): GroupLoadMessage {
     const addresses = loads.map(({ engineAddress }) => engineAddress);
-    const isTold = this.#told !== undefined &&
-      areSame(addresses, this.#told);
-    this.#told = addresses;
+    const isTold = this.#lastAddresses !== undefined &&
+      areEqual(addresses, this.#lastAddresses);
+    this.#lastAddresses = addresses;
     return {
       kind: "group_load",
       ...group,
@@ -63,7 +63,7 @@
   }
 }
 
-function areSame(one: readonly string[], other: readonly string[]): boolean {
+function areEqual(one: readonly string[], other: readonly string[]): boolean {
   return one.length === other.length &&
     one.every((address, place) => address === other[place]);
 }
--- a/src/group/formed/map_changes.ts
+++ b/src/group/formed/map_changes.ts
@@ -16,7 +16,7 @@
 } from "../../messages/formed_group_types.ts";
 
 /** Remembers the map that was sent last on one link, which keeps the order. */
-export class SentMap {
+export class MapEncoder {
   #last: ExpertMap | undefined;
 
   /** Whether the other side has a map, from which the next ones differ. */
@@ -45,9 +45,9 @@
     this.#last = order.map;
     if (before === undefined) return message;
     const { epoch, version, map } = order;
-    const rows = tryChangedRows(before, map);
+    const rows = tryGetChangedRows(before, map);
     if (rows === undefined) return message;
-    const checksum = checksumOf(map);
+    const checksum = getChecksum(map);
     return { kind: "map_change", orderId, epoch, version, rows, checksum };
   }
 }
@@ -69,34 +69,41 @@
     if (this.#last === undefined) return undefined;
     const { orderId, epoch, version, rows, checksum } = message;
     const map = applyRows(this.#last, rows);
-    if (checksumOf(map) !== checksum) return undefined;
+    if (getChecksum(map) !== checksum) return undefined;
     this.#last = map;
     const order: PrepareOrder = { kind: "prepare", epoch, version, map };
     return { kind: "rank_order", orderId, order };
   }
 }
 
-interface KnownRows {
+interface RowComparison {
   readonly before: ExpertMap;
   readonly after: ExpertMap;
   readonly rows: MapRows | undefined;
 }
 
 /** The rows that were compared last: most ranks were told the same map before. */
-let lastRows: KnownRows | undefined;
+let lastComparison: RowComparison | undefined;
 
 /** Undefined where a row does not follow from the one before by what it drops and gains. */
-function tryChangedRows(
+function tryGetChangedRows(
   before: ExpertMap,
   after: ExpertMap,
 ): MapRows | undefined {
-  if (lastRows?.before !== before || lastRows.after !== after) {
-    lastRows = { before, after, rows: tryCompare(before, after) };
+  if (lastComparison?.before !== before || lastComparison.after !== after) {
+    lastComparison = {
+      before,
+      after,
+      rows: tryComputeChangedRows(before, after),
+    };
   }
-  return lastRows.rows;
+  return lastComparison.rows;
 }
 
-function tryCompare(before: ExpertMap, after: ExpertMap): MapRows | undefined {
+function tryComputeChangedRows(
+  before: ExpertMap,
+  after: ExpertMap,
+): MapRows | undefined {
   const layers: number[] = [];
   const ranks: number[] = [];
   const dropped: (readonly number[])[] = [];
@@ -107,7 +114,7 @@
       if (isSameRow(known, row)) continue;
       const lost = known.filter((expert) => !row.includes(expert));
       const added = row.filter((expert) => !known.includes(expert));
-      if (!isSameRow(rowAfter(known, lost, added), row)) return undefined;
+      if (!isSameRow(applyRowChange(known, lost, added), row)) return undefined;
       layers.push(layer);
       ranks.push(rank);
       dropped.push(lost);
@@ -122,7 +129,7 @@
     one.every((expert, place) => expert === other[place]);
 }
 
-function rowAfter(
+function applyRowChange(
   known: readonly number[],
   dropped: readonly number[],
   gained: readonly number[],
@@ -138,7 +145,11 @@
     const known = experts?.[rank];
     if (experts === undefined || known === undefined) continue;
     const { dropped, gained } = rows;
-    experts[rank] = rowAfter(known, dropped[index] ?? [], gained[index] ?? []);
+    experts[rank] = applyRowChange(
+      known,
+      dropped[index] ?? [],
+      gained[index] ?? [],
+    );
   }
   return { layers };
 }
@@ -146,7 +157,7 @@
 const checksums = new WeakMap<ExpertMap, string>();
 
 /** Remembered, since one map goes to all ranks. */
-function checksumOf(map: ExpertMap): string {
+function getChecksum(map: ExpertMap): string {
   const known = checksums.get(map);
   if (known !== undefined) return known;
   const rows = map.layers.map(({ experts }) => experts);
--- a/src/group/formed/map_changes_test.ts
+++ b/src/group/formed/map_changes_test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { encodeFrame } from "../../messages/codec.ts";
 import type { ExpertMap } from "../../messages/group_types.ts";
-import { ReceivedMap, SentMap } from "./map_changes.ts";
+import { MapEncoder, ReceivedMap } from "./map_changes.ts";
 import type {
   MapChangeMessage,
   RankOrderMessage,
@@ -22,7 +22,7 @@
 
 /** What differs between two maps, for a link on which the first was sent. */
 function createChange(): MapChangeMessage {
-  const sent = new SentMap();
+  const sent = new MapEncoder();
   sent.encode(createPrepare(1, FIRST));
   const change = sent.encode(createPrepare(2, SECOND));
   assert.ok(change.kind === "map_change");
@@ -31,7 +31,7 @@
 
 describe("maps on a link", () => {
   it("are sent whole first, then as rows that differ", () => {
-    const sent = new SentMap();
+    const sent = new MapEncoder();
     const whole = createPrepare(1, FIRST);
     assert.equal(sent.encode(whole), whole);
     const change = sent.encode(createPrepare(2, SECOND));
@@ -47,7 +47,7 @@
   });
 
   it("come out whole on the other side, also when sent again", () => {
-    const sent = new SentMap();
+    const sent = new MapEncoder();
     const received = new ReceivedMap();
     const first = sent.encode(createPrepare(1, FIRST));
     assert.ok(first.kind === "rank_order" && first.order.kind === "prepare");
@@ -89,14 +89,14 @@
           : row
       ),
     }));
-    const sent = new SentMap();
+    const sent = new MapEncoder();
     const whole = encodeFrame([sent.encode(createPrepare(1, before))]).length;
     const change = encodeFrame([sent.encode(createPrepare(2, { layers }))]);
     assert.ok(change.length * 4 < whole, `${change.length} of ${whole}`);
   });
 
   it("are sent whole where the order of a rank's experts matters", () => {
-    const sent = new SentMap();
+    const sent = new MapEncoder();
     sent.encode(createPrepare(1, FIRST));
     const unsorted: ExpertMap = {
       layers: [{ experts: [[0, 1], [2, 0]] }, { experts: [[0], [1, 2]] }],
@@ -106,7 +106,7 @@
   });
 
   it("differ from a map that was told ahead of the first order", () => {
-    const sent = new SentMap();
+    const sent = new MapEncoder();
     const received = new ReceivedMap();
     assert.equal(sent.hasBase, false);
     received.note(sent.encodeBase(FIRST).map);
@@ -119,6 +119,6 @@
   it("leave other orders as they are", () => {
     const order = { kind: "go", epoch: 1, pass: 3 } as const;
     const message = { kind: "rank_order", orderId: 1, order } as const;
-    assert.equal(new SentMap().encode(message), message);
+    assert.equal(new MapEncoder().encode(message), message);
   });
 });
--- a/src/group/formed/map_versions.ts
+++ b/src/group/formed/map_versions.ts
@@ -12,13 +12,13 @@
  * deciders that know nothing of each other do not give one number to two maps.
  */
 const VERSION_BLOCK = 2 ** 16;
-const RANDOM_PLACES = 2 ** 14;
+const RANDOM_OFFSETS = 2 ** 14;
 
 /** Versions that one decider gives. */
 export class MapVersions {
   readonly #random: RandomSource;
   #highest = 0;
-  #own: number | undefined;
+  #lastIssued: number | undefined;
 
   /** No version has been seen yet. */
   constructor(random: RandomSource) {
@@ -26,7 +26,7 @@
   }
 
   /** Takes in the versions that a rank knows. */
-  note(state: RankState): void {
+  record(state: RankState): void {
     this.#highest = Math.max(
       this.#highest,
       state.activeVersion,
@@ -49,12 +49,13 @@
    * ```
    */
   next(): number {
-    const isAhead = this.#own !== undefined && this.#own >= this.#highest;
+    const isAhead = this.#lastIssued !== undefined &&
+      this.#lastIssued >= this.#highest;
     const block = Math.floor(this.#highest / VERSION_BLOCK) + 1;
     const version = isAhead
-      ? Debug.getDefined(this.#own, "Ahead of all others") + 1
-      : block * VERSION_BLOCK + this.#random.nextBelow(RANDOM_PLACES);
-    this.#own = version;
+      ? Debug.getDefined(this.#lastIssued, "Ahead of all others") + 1
+      : block * VERSION_BLOCK + this.#random.nextBelow(RANDOM_OFFSETS);
+    this.#lastIssued = version;
     return version;
   }
 }
--- a/src/group/formed/open_orders.ts
+++ b/src/group/formed/open_orders.ts
@@ -40,7 +40,7 @@
   }
 
   /** Whether every order was carried out. */
-  get areDone(): boolean {
+  get isEmpty(): boolean {
     return this.#byRank.size === 0;
   }
 
@@ -57,7 +57,7 @@
   }
 
   /** Closes the rank's order if its state shows that it was carried out. */
-  closeIfDone(rank: number, state: RankState): void {
+  closeIfExecuted(rank: number, state: RankState): void {
     const sent = this.#byRank.get(rank);
     if (sent !== undefined && isCarriedOut(sent.order, state)) {
       this.#byRank.delete(rank);
@@ -85,13 +85,13 @@
    */
   takeDue(now: number): readonly OpenOrder[] {
     const due = [...this.#byRank.values()].filter(({ order, sentAt }) =>
-      now - sentAt >= resendMsOf(order)
+      now - sentAt >= getResendIntervalMs(order)
     );
     for (const { rank } of due) this.postpone(rank, now);
     return due;
   }
 }
 
-function resendMsOf(order: RankOrder): number {
+function getResendIntervalMs(order: RankOrder): number {
   return order.kind === "prepare" ? PREPARE_RESEND_MS : RESEND_MS;
 }
--- a/src/group/formed/open_orders_test.ts
+++ b/src/group/formed/open_orders_test.ts
@@ -21,10 +21,10 @@
   it("are closed by a state that shows their effect", () => {
     const orders = new OpenOrders(1);
     orders.open(1, GO, 0);
-    orders.closeIfDone(1, createRankState({ heldPass: GO.pass }));
-    assert.equal(orders.areDone, false);
-    orders.closeIfDone(1, createRankState({ heldPass: undefined }));
-    assert.equal(orders.areDone, true);
+    orders.closeIfExecuted(1, createRankState({ heldPass: GO.pass }));
+    assert.equal(orders.isEmpty, false);
+    orders.closeIfExecuted(1, createRankState({ heldPass: undefined }));
+    assert.equal(orders.isEmpty, true);
   });
 
   it("have numbers of their own, also when one takes another's place", () => {
--- a/src/group/formed/pass_times.ts
+++ b/src/group/formed/pass_times.ts
@@ -6,7 +6,7 @@
 import type { RankState } from "../../messages/formed_group_types.ts";
 
 /** Longest gap between two looks that tells of passes, in milliseconds. */
-const LONGEST_GAP_MS = 10_000;
+const MAX_OBSERVATION_GAP_MS = 10_000;
 
 /** How long a group's passes take. */
 export class PassTimes {
@@ -35,7 +35,8 @@
   observe(state: RankState, now: number): void {
     const passes = state.pass - this.#pass;
     const gapMs = now - this.#at;
-    const isKnown = this.#pass >= 0 && passes > 0 && gapMs < LONGEST_GAP_MS;
+    const isKnown = this.#pass >= 0 && passes > 0 &&
+      gapMs < MAX_OBSERVATION_GAP_MS;
     if (passes === 0 && state.running > 0) return;
     this.#pass = state.pass;
     this.#at = now;
--- a/src/group/formed/popularity.ts
+++ b/src/group/formed/popularity.ts
@@ -10,17 +10,17 @@
  * Milliseconds in which a choice counts for a third as much. Popularity changes
  * every few seconds, and a copy made for it is in force half a second later.
  */
-const MEMORY_MS = 350;
+const DECAY_MS = 350;
 /** Milliseconds of choices that are compared with those before them. */
-const COMPARED_MS = 100;
+const COMPARISON_INTERVAL_MS = 100;
 /** Choices of each expert, in the mean, from which chance does not look like a change. */
-const COMPARED_CHOICES = 20;
+const MIN_COMPARED_TOKENS = 20;
 /**
  * Likeness, the cosine of the angle between choices by expert, below which popularity is
  * taken for changed, and what was counted before for worthless. Counts of an unchanged
  * popularity differ by chance alone.
  */
-const LEAST_LIKENESS = 0.9;
+const MIN_SIMILARITY = 0.9;
 
 /** Which experts the requests of a group choose now. */
 export class Popularity {
@@ -65,7 +65,7 @@
    * ```
    */
   observe(rank: number, counts: ExpertCounts, now: number): void {
-    this.#compare(now);
+    this.#compareRecent(now);
     const before = this.#counts.get(rank);
     this.#counts.set(rank, counts);
     // The first counts of a rank may be of any age.
@@ -81,8 +81,8 @@
   }
 
   /** Takes in what a rank counted since it was observed last. */
-  observeAdded(rank: number, added: ExpertCounts, now: number): void {
-    this.#compare(now);
+  observeIncrease(rank: number, added: ExpertCounts, now: number): void {
+    this.#compareRecent(now);
     this.#add(added);
     const before = this.#counts.get(rank);
     if (before === undefined) return;
@@ -102,26 +102,27 @@
   }
 
   /** What was counted lately either adds to what was before, or takes its place. */
-  #compare(now: number): void {
+  #compareRecent(now: number): void {
     this.#comparedAt ??= now;
     const elapsedMs = now - this.#comparedAt;
-    if (elapsedMs < COMPARED_MS) return;
+    if (elapsedMs < COMPARISON_INTERVAL_MS) return;
     this.#comparedAt = now;
-    const hasChanged = areEnough(this.#recent) && areEnough(this.#tokens) &&
-      likenessOf(this.#recent, this.#tokens) < LEAST_LIKENESS;
+    const hasChanged = areComparable(this.#recent) &&
+      areComparable(this.#tokens) &&
+      getSimilarity(this.#recent, this.#tokens) < MIN_SIMILARITY;
     if (hasChanged) this.#changes++;
-    const before = hasChanged ? [] : fadedBy(this.#tokens, elapsedMs);
-    const lately = fadedBy(this.#recent, elapsedMs - COMPARED_MS);
+    const before = hasChanged ? [] : decay(this.#tokens, elapsedMs);
+    const lately = decay(this.#recent, elapsedMs - COMPARISON_INTERVAL_MS);
     this.#tokens = sumOf(before, lately);
     this.#recent = [];
   }
 }
 
-function fadedBy(
+function decay(
   tokens: readonly (readonly number[])[],
   milliseconds: number,
 ): number[][] {
-  const factor = Math.exp(-milliseconds / MEMORY_MS);
+  const factor = Math.exp(-milliseconds / DECAY_MS);
   return tokens.map((row) => row.map((count) => count * factor));
 }
 
@@ -136,23 +137,25 @@
   );
 }
 
-function areEnough(tokens: readonly (readonly number[])[]): boolean {
+function areComparable(tokens: readonly (readonly number[])[]): boolean {
   const [first] = tokens;
   if (first === undefined) return false;
   const choices = first.reduce((sum, count) => sum + count, 0);
-  return choices >= COMPARED_CHOICES * first.length;
+  return choices >= MIN_COMPARED_TOKENS * first.length;
 }
 
 /** Mean over the layers; 1: the same parts, 0: no expert in common. */
-function likenessOf(
+function getSimilarity(
   one: readonly (readonly number[])[],
   other: readonly (readonly number[])[],
 ): number {
-  const likenesses = one.map((row, layer) => cosineOf(row, other[layer] ?? []));
+  const likenesses = one.map((row, layer) =>
+    getCosine(row, other[layer] ?? [])
+  );
   return likenesses.reduce((sum, likeness) => sum + likeness, 0) / one.length;
 }
 
-function cosineOf(one: readonly number[], other: readonly number[]): number {
+function getCosine(one: readonly number[], other: readonly number[]): number {
   const product = one.reduce(
     (sum, count, expert) => sum + count * (other[expert] ?? 0),
     0,
--- a/src/group/formed/rank_agent.ts
+++ b/src/group/formed/rank_agent.ts
@@ -7,7 +7,7 @@
 import { performance } from "node:perf_hooks";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { FormedEngine } from "../../external/formed_engine.ts";
-import { CountsMemory } from "./counts_memory.ts";
+import { CountsEncoder } from "./counts_memory.ts";
 import { createFenceMap } from "./fence_map.ts";
 import {
   type EngineOrder,
@@ -22,19 +22,19 @@
 } from "../../messages/formed_group_types.ts";
 
 /** Milliseconds between two looks at an engine that loads a map. */
-const LOADING_LOOK_MS = 12;
+const LOADING_POLL_INTERVAL_MS = 12;
 /** Part of the shortest load in which no look is worth its cost. */
-const UNWATCHED_PART_OF_LOAD = 0.92;
+const UNPOLLED_LOAD_FRACTION = 0.92;
 /** Milliseconds for which an engine may load one map. */
-const LOADING_LIMIT_MS = 10_000;
+const LOADING_TIMEOUT_MS = 10_000;
 /** How an engine's state is watched for the effect of an order. */
-export interface EffectWatch {
+export interface EffectPolling {
   /** Milliseconds between two looks at an order that should have taken effect. */
-  readonly lookMs: number;
+  readonly intervalMs: number;
   /** Milliseconds for which an order that was accepted is watched. */
-  readonly limitMs: number;
+  readonly timeoutMs: number;
   /** The same for one without an answer, before it is given again. */
-  readonly unansweredLimitMs: number;
+  readonly unansweredTimeoutMs: number;
 }
 
 /**
@@ -42,19 +42,19 @@
  * whether an order without an answer was carried out. With 63 ranks some order of each
  * switch has to be given a third time where a tenth of them gets no answer.
  */
-export const LOCAL_ENGINE_WATCH: EffectWatch = {
-  lookMs: 5,
-  limitMs: 60,
-  unansweredLimitMs: 0,
+export const LOCAL_ENGINE_POLLING: EffectPolling = {
+  intervalMs: 5,
+  timeoutMs: 60,
+  unansweredTimeoutMs: 0,
 };
 /**
  * To other machines an engine tells its state as it was some 200 ms before, and each
  * look has its price.
  */
-export const REMOTE_ENGINE_WATCH: EffectWatch = {
-  lookMs: 120,
-  limitMs: 480,
-  unansweredLimitMs: 480,
+export const REMOTE_ENGINE_POLLING: EffectPolling = {
+  intervalMs: 120,
+  timeoutMs: 480,
+  unansweredTimeoutMs: 480,
 };
 
 /** Sends a report to the decider. */
@@ -63,17 +63,20 @@
 /** Gives a decider's orders to the engine of one rank. */
 export class RankAgent {
   readonly #engine: FormedEngine;
-  readonly #watch: EffectWatch;
+  readonly #polling: EffectPolling;
   /** The order under way; a repeated one is not given twice at once. */
   #current: RankOrderMessage | undefined;
-  readonly #counts = new CountsMemory();
+  readonly #countsEncoder = new CountsEncoder();
   /** Shortest time that a map took to load, in milliseconds. */
   #shortestLoadMs = Number.POSITIVE_INFINITY;
 
   /** Takes the engine, and how to watch it. */
-  constructor(engine: FormedEngine, watch: EffectWatch = LOCAL_ENGINE_WATCH) {
+  constructor(
+    engine: FormedEngine,
+    watch: EffectPolling = LOCAL_ENGINE_POLLING,
+  ) {
     this.#engine = engine;
-    this.#watch = watch;
+    this.#polling = watch;
   }
 
   /**
@@ -86,7 +89,10 @@
     send: ReportSender,
   ): Promise<void> {
     const counts = query.withCounts
-      ? this.#counts.tell(await this.#engine.readCounts(), query.knownCounts)
+      ? this.#countsEncoder.encode(
+        await this.#engine.readCounts(),
+        query.knownCounts,
+      )
       : undefined;
     const experts = query.withExperts
       ? await this.#engine.readExperts()
@@ -126,25 +132,25 @@
     if (isRepeated) return;
     this.#current = message;
     try {
-      await this.#giveUntilSettled(message, send);
+      await this.#sendUntilSettled(message, send);
     } finally {
       if (this.#current === message) this.#current = undefined;
     }
   }
 
-  async #giveUntilSettled(
+  async #sendUntilSettled(
     message: RankOrderMessage,
     send: ReportSender,
   ): Promise<void> {
     const { order, orderId } = message;
-    const engineOrder = await this.#tryEngineOrderOf(order);
+    const engineOrder = await this.#tryCreateEngineOrder(order);
     if (engineOrder === undefined) return;
     let wasUnanswered = false;
     while (this.#current === message) {
       const outcome = await this.#engine.give(engineOrder);
       wasUnanswered ||= outcome === "unanswered";
-      const limitMs = this.#watchLimitOf(order, outcome, wasUnanswered);
-      const state = await this.#watchEffect(order, limitMs);
+      const limitMs = this.#getPollTimeoutMs(order, outcome, wasUnanswered);
+      const state = await this.#pollEffect(order, limitMs);
       if (state === undefined) return;
       const isDone = isCarriedOut(order, state);
       const isSettled = isDone || outcome !== "unanswered" ||
@@ -156,7 +162,9 @@
   }
 
   /** An engine knows no fences: it prepares a map that changes nothing for it. */
-  async #tryEngineOrderOf(order: RankOrder): Promise<EngineOrder | undefined> {
+  async #tryCreateEngineOrder(
+    order: RankOrder,
+  ): Promise<EngineOrder | undefined> {
     if (order.kind !== "fence") return order;
     const state = await this.#engine.tryReadState();
     if (state === undefined) return undefined;
@@ -170,7 +178,7 @@
   }
 
   /** Looks until the order shows, or for so long. */
-  async #watchEffect(
+  async #pollEffect(
     order: RankOrder,
     limitMs: number,
   ): Promise<RankState | undefined> {
@@ -182,24 +190,24 @@
       const isOver = state === undefined || state.epoch !== order.epoch ||
         isDone || waitedMs >= limitMs;
       if (isOver) {
-        if (isDone && look > 0) this.#noteLoad(order, waitedMs);
+        if (isDone && look > 0) this.#recordLoadTime(order, waitedMs);
         return state;
       }
-      await sleep(this.#lookMs(order, look), undefined, { ref: false });
+      await sleep(this.#getPollDelayMs(order, look), undefined, { ref: false });
     }
   }
 
   /** One copy takes as long as the next: most of it need not be looked at. */
-  #lookMs(order: RankOrder, look: number): number {
-    if (order.kind !== "prepare") return this.#watch.lookMs;
+  #getPollDelayMs(order: RankOrder, look: number): number {
+    if (order.kind !== "prepare") return this.#polling.intervalMs;
     const isKnown = Number.isFinite(this.#shortestLoadMs);
     const isFirst = look === 0 && isKnown;
     return isFirst
-      ? this.#shortestLoadMs * UNWATCHED_PART_OF_LOAD
-      : Math.max(LOADING_LOOK_MS, this.#watch.lookMs);
+      ? this.#shortestLoadMs * UNPOLLED_LOAD_FRACTION
+      : Math.max(LOADING_POLL_INTERVAL_MS, this.#polling.intervalMs);
   }
 
-  #noteLoad(order: RankOrder, tookMs: number): void {
+  #recordLoadTime(order: RankOrder, tookMs: number): void {
     if (order.kind !== "prepare") return;
     this.#shortestLoadMs = Math.min(this.#shortestLoadMs, tookMs);
   }
@@ -208,17 +216,17 @@
    * How long an order may take to show. One that was refused shows at once if an
    * earlier giving of it was carried out without an answer.
    */
-  #watchLimitOf(
+  #getPollTimeoutMs(
     order: RankOrder,
     outcome: OrderOutcome,
     wasUnanswered: boolean,
   ): number {
     const isLoading = order.kind === "prepare" &&
       (outcome === "accepted" || (outcome === "rejected" && wasUnanswered));
-    if (isLoading) return LOADING_LIMIT_MS;
+    if (isLoading) return LOADING_TIMEOUT_MS;
     if (outcome === "rejected") return 0;
     return outcome === "unanswered"
-      ? this.#watch.unansweredLimitMs
-      : this.#watch.limitMs;
+      ? this.#polling.unansweredTimeoutMs
+      : this.#polling.timeoutMs;
   }
 }
--- a/src/group/formed/rank_links.ts
+++ b/src/group/formed/rank_links.ts
@@ -12,9 +12,9 @@
 import type { LinkIdentity } from "../../links/link_server.ts";
 import type { Message } from "../../messages/types.ts";
 import type { SendOrder } from "./decider_types.ts";
-import { giveUntilAnswered } from "./give_until_answered.ts";
-import { SentMap } from "./map_changes.ts";
-import { RankAgent, REMOTE_ENGINE_WATCH } from "./rank_agent.ts";
+import { sendUntilAnswered } from "./give_until_answered.ts";
+import { MapEncoder } from "./map_changes.ts";
+import { RankAgent, REMOTE_ENGINE_POLLING } from "./rank_agent.ts";
 import type {
   RankOrderMessage,
   RankReportMessage,
@@ -36,14 +36,14 @@
   rank: number;
   link: Link | undefined;
   /** What the process was sent of maps on this link. */
-  sentMap = new SentMap();
+  mapEncoder = new MapEncoder();
   state: RankState | undefined;
   /** When that state was told, in milliseconds. */
-  stateAt = Number.NEGATIVE_INFINITY;
+  stateReceivedAt = Number.NEGATIVE_INFINITY;
   /** Number of the last counts that it told. */
   knownCounts: number | undefined;
   /** The last order that was given to its engine from here. */
-  lastRemoteOrder: number | undefined;
+  lastDirectOrderId: number | undefined;
 
   /** Nothing was heard of it yet. */
   constructor({ rank, engineAddress }: GroupMemberAddress) {
@@ -116,7 +116,7 @@
   }
 
   /** Tells a rank's process how another rank's engine stands. */
-  tell(rank: number, report: RankReportMessage): void {
+  forwardReport(rank: number, report: RankReportMessage): void {
     this.tryMember(rank)?.link?.send(report);
   }
 
@@ -131,47 +131,47 @@
     const member = this.tryMember(rank);
     const message: RankOrderMessage = { kind: "rank_order", orderId, order };
     if (member?.link !== undefined) {
-      member.link.send(member.sentMap.encode(message));
+      member.link.send(member.mapEncoder.encode(message));
     }
-    this.#giveRemotelyIfSilent(member, effect);
+    this.#sendDirectlyIfUnanswered(member, effect);
   }
 
   /**
    * Gives an order to a rank's engine from this machine and has it checked by the
    * process beside it: what an engine tells other machines is old.
    */
-  sendRemoteOrder(effect: SendOrder): void {
+  sendOrderToEngine(effect: SendOrder): void {
     const { rank, orderId, order } = effect;
     const member = this.tryMember(rank);
     const { link } = member ?? {};
     if (member !== undefined && link !== undefined && order.kind !== "fence") {
-      void giveUntilAnswered(this.#engineAt(member.engineAddress), order)
+      void sendUntilAnswered(this.#getEngine(member.engineAddress), order)
         // Whatever the answer, the process there knows what became of it.
         .then(() => link.send({ kind: "rank_check", orderId, order }));
     }
-    this.#giveRemotelyIfSilent(member, effect);
+    this.#sendDirectlyIfUnanswered(member, effect);
   }
 
-  #giveRemotelyIfSilent(
+  #sendDirectlyIfUnanswered(
     member: RankMember | undefined,
     effect: SendOrder,
   ): void {
     const isSilent = member?.link === undefined || effect.isRepeated;
-    if (member !== undefined && isSilent) this.#giveRemotely(member, effect);
+    if (member !== undefined && isSilent) this.#sendDirectly(member, effect);
   }
 
-  #giveRemotely(member: RankMember, effect: SendOrder): void {
+  #sendDirectly(member: RankMember, effect: SendOrder): void {
     const { rank, orderId, order } = effect;
     const { log, onReport } = this.#options;
-    if (member.lastRemoteOrder !== orderId) {
+    if (member.lastDirectOrderId !== orderId) {
       log.write("REMOTE_ORDER", {
         rank,
         order: order.kind,
         isConnected: member.link !== undefined,
       });
     }
-    member.lastRemoteOrder = orderId;
-    this.#remoteAgentOf(member.engineAddress)
+    member.lastDirectOrderId = orderId;
+    this.#getRemoteAgent(member.engineAddress)
       .carryOut({ kind: "rank_order", orderId, order }, (report) => {
         onReport(member, report);
       })
@@ -180,16 +180,16 @@
       });
   }
 
-  #remoteAgentOf(address: string): RankAgent {
+  #getRemoteAgent(address: string): RankAgent {
     let agent = this.#remoteAgents.get(address);
     if (agent === undefined) {
-      agent = new RankAgent(this.#engineAt(address), REMOTE_ENGINE_WATCH);
+      agent = new RankAgent(this.#getEngine(address), REMOTE_ENGINE_POLLING);
       this.#remoteAgents.set(address, agent);
     }
     return agent;
   }
 
-  #engineAt(address: string): FormedEngine {
+  #getEngine(address: string): FormedEngine {
     let engine = this.#engines.get(address);
     if (engine === undefined) {
       engine = this.#options.createEngine(address);
@@ -208,7 +208,7 @@
       listener: {
         onConnected: (link) => {
           member.link = link;
-          member.sentMap = new SentMap();
+          member.mapEncoder = new MapEncoder();
         },
         onMessage: (message) => this.#onMessage(member, message),
         onDisconnected: () => {
@@ -228,7 +228,7 @@
     if (message.state.group !== this.#options.group) return;
     member.rank = message.state.rank;
     member.state = message.state;
-    member.stateAt = performance.now();
+    member.stateReceivedAt = performance.now();
     this.#options.onReport(member, message);
   }
 }
--- a/src/group/formed/rank_questions.ts
+++ b/src/group/formed/rank_questions.ts
@@ -17,32 +17,32 @@
  * Counted ranks are asked in turn by halves: what one half counts shows that popularity
  * changed, half an interval sooner.
  */
-const TURNS = 2;
+const COUNT_BATCHES = 2;
 /** Milliseconds between two questions for the state of a rank that is not counted. */
 const STATE_INTERVAL_MS = 500;
 /** Milliseconds for which a first question is waited for, with counts. */
-const COUNTS_LIMIT_MS = 1000;
+const COUNTS_TIMEOUT_MS = 1000;
 /**
  * The same without counts: the answer is small, and while what a rank holds is unknown no
  * map is changed. A process that starts may find its engine too busy for its first answer.
  */
-const STATE_LIMIT_MS = 300;
+const STATE_TIMEOUT_MS = 300;
 /** Questions without an answer after which the wait doubles no more. */
-const MOST_DOUBLINGS = 5;
+const MAX_TIMEOUT_DOUBLINGS = 5;
 /** Part of the link for all answers: orders, maps and heartbeats need the rest. */
-const LINK_PART = 0.4;
+const LINK_SHARE = 0.4;
 /** Part of the link for counts. */
-const COUNTS_LINK_PART = 0.3;
+const COUNTS_LINK_SHARE = 0.3;
 /** Milliseconds of its part of the link that a decider may ask for at once. */
 const BURST_MS = 250;
 /** Ranks that are counted even if their answers fill the link: two a turn. */
-const FEWEST_COUNTED = 4;
+const MIN_COUNTED_RANKS = 4;
 /** Bytes of an answer with nothing but a state, with the headers around it. */
 const STATE_BYTES = 300;
 /** Bytes of a count of what was added since the last, and of an expert's number. */
-const NUMBER_BYTES = 1.1;
+const BYTES_PER_COUNT = 1.1;
 /** Bytes of counts until some have come. */
-const FIRST_COUNTS_BYTES = 4000;
+const INITIAL_COUNTS_BYTES = 4000;
 const MS_PER_SECOND = 1000;
 
 /** What a rank is asked beside the state of its engine. */
@@ -53,7 +53,7 @@
 }
 
 /** Options of {@link RankQuestions}. */
-export interface RankQuestionsOptions {
+export interface RankQueriesOptions {
   readonly ranks: number;
   /** Bytes that the decider's link carries in a second. */
   readonly bytesPerSecond: number;
@@ -63,62 +63,62 @@
 interface ExpectedAnswer {
   readonly bytes: number;
   /** Milliseconds for which it is waited for. */
-  readonly limitMs: number;
+  readonly timeoutMs: number;
 }
 
 const STATE_ANSWER: ExpectedAnswer = {
   bytes: STATE_BYTES,
-  limitMs: STATE_LIMIT_MS,
+  timeoutMs: STATE_TIMEOUT_MS,
 };
 
-interface AskedRank {
-  askedAt: number;
-  isOpen: boolean;
+interface QueriedRank {
+  queriedAt: number;
+  isPending: boolean;
   /** Milliseconds for which that question is waited for. */
-  limitMs: number;
+  timeoutMs: number;
   /** Questions in a row without an answer. */
-  misses: number;
+  unansweredCount: number;
 }
 
 /** Which ranks a decider asks what, and when. */
 export class RankQuestions {
   readonly #bytesPerSecond: number;
-  readonly #asked: readonly AskedRank[];
+  readonly #ranks: readonly QueriedRank[];
   /** Ranks of which it is wanted what they hold. */
-  readonly #wanted = new Set<number>();
+  readonly #expertsWanted = new Set<number>();
   /** Ranks that are counted. */
   #counted: readonly number[] = [];
-  #countsBytes = FIRST_COUNTS_BYTES;
+  #countsBytes = INITIAL_COUNTS_BYTES;
   /** Bytes that may be asked for now; negative after a large answer was asked for. */
   #budget = 0;
   #budgetAt: number | undefined;
 
   /** Nobody was asked yet. */
-  constructor({ ranks, bytesPerSecond }: RankQuestionsOptions) {
+  constructor({ ranks, bytesPerSecond }: RankQueriesOptions) {
     this.#bytesPerSecond = bytesPerSecond;
-    this.#asked = Array.from({ length: ranks }, createAskedRank);
+    this.#ranks = Array.from({ length: ranks }, createQueriedRank);
   }
 
   /** Ranks of which so many have to be counted before a plan. */
-  get countedForPlan(): number {
-    return Math.ceil(this.#counted.length / TURNS);
+  get minCountedForPlan(): number {
+    return Math.ceil(this.#counted.length / COUNT_BATCHES);
   }
 
   /** What a rank holds is wanted. */
   want(rank: number): void {
-    this.#wanted.add(rank);
+    this.#expertsWanted.add(rank);
   }
 
   /** A rank told how it stands; what it tells of an order answers no question. */
   answered({ state, orderId, counts, experts }: RankReportMessage): void {
-    const asked = this.#asked[state.rank];
+    const asked = this.#ranks[state.rank];
     if (asked === undefined || orderId !== undefined) return;
-    asked.isOpen = false;
-    asked.misses = 0;
-    if (experts !== undefined) this.#wanted.delete(state.rank);
+    asked.isPending = false;
+    asked.unansweredCount = 0;
+    if (experts !== undefined) this.#expertsWanted.delete(state.rank);
     if (counts?.since === undefined) return;
     const numbers = counts.counts.reduce((sum, row) => sum + row.length, 0);
-    this.#countsBytes = STATE_BYTES + numbers * NUMBER_BYTES;
+    this.#countsBytes = STATE_BYTES + numbers * BYTES_PER_COUNT;
   }
 
   /**
@@ -130,37 +130,40 @@
    * ```
    */
   take(now: number, reachable: ReadonlySet<number>): readonly RankQuestion[] {
-    this.#refill(now);
-    this.#forgetLost(reachable);
-    this.#chooseCounted(reachable);
+    this.#refillBudget(now);
+    this.#resetDisconnected(reachable);
+    this.#selectCounted(reachable);
     return [
-      ...this.#takeWanted(now, reachable),
-      ...this.#takeCounts(now),
-      ...this.#takeStates(now, reachable),
+      ...this.#takeExpertQueries(now, reachable),
+      ...this.#takeCountQueries(now),
+      ...this.#takeStateQueries(now, reachable),
     ];
   }
 
-  #takeWanted(
+  #takeExpertQueries(
     now: number,
     reachable: ReadonlySet<number>,
   ): readonly RankQuestion[] {
-    const wanted = [...this.#wanted].filter((rank) => reachable.has(rank));
-    return this.#takeSome(wanted, STATE_ANSWER, now)
+    const wanted = [...this.#expertsWanted].filter((rank) =>
+      reachable.has(rank)
+    );
+    return this.#takeWithinBudget(wanted, STATE_ANSWER, now)
       .map((rank) => ({ rank, withExperts: true, withCounts: false }));
   }
 
-  #takeCounts(now: number): readonly RankQuestion[] {
-    const turn = Math.floor(now * TURNS / COUNT_INTERVAL_MS) % TURNS;
+  #takeCountQueries(now: number): readonly RankQuestion[] {
+    const turn = Math.floor(now * COUNT_BATCHES / COUNT_INTERVAL_MS) %
+      COUNT_BATCHES;
     const due = this.#counted.filter((rank, place) =>
-      place % TURNS === turn &&
-      this.#isDue(rank, now, COUNT_INTERVAL_MS / TURNS)
+      place % COUNT_BATCHES === turn &&
+      this.#isDue(rank, now, COUNT_INTERVAL_MS / COUNT_BATCHES)
     );
-    const answer = { bytes: this.#countsBytes, limitMs: COUNTS_LIMIT_MS };
-    return this.#takeSome(due, answer, now)
+    const answer = { bytes: this.#countsBytes, timeoutMs: COUNTS_TIMEOUT_MS };
+    return this.#takeWithinBudget(due, answer, now)
       .map((rank) => ({ rank, withExperts: false, withCounts: true }));
   }
 
-  #takeStates(
+  #takeStateQueries(
     now: number,
     reachable: ReadonlySet<number>,
   ): readonly RankQuestion[] {
@@ -169,26 +172,28 @@
       this.#isDue(rank, now, STATE_INTERVAL_MS)
     );
     // Who was asked the longest ago is first, if not all can be asked.
-    due.sort((left, right) => this.#askedAt(left) - this.#askedAt(right));
-    return this.#takeSome(due, STATE_ANSWER, now)
+    due.sort((left, right) =>
+      this.#getQueriedAt(left) - this.#getQueriedAt(right)
+    );
+    return this.#takeWithinBudget(due, STATE_ANSWER, now)
       .map((rank) => ({ rank, withExperts: false, withCounts: false }));
   }
 
   /** As many as the budget allows, of those that have no open question. */
-  #takeSome(
+  #takeWithinBudget(
     ranks: readonly number[],
-    { bytes, limitMs }: ExpectedAnswer,
+    { bytes, timeoutMs: limitMs }: ExpectedAnswer,
     now: number,
   ): readonly number[] {
     const taken: number[] = [];
     for (const rank of ranks) {
       if (this.#budget <= 0) break;
-      const asked = this.#asked[rank];
-      if (asked === undefined || !this.#mayAsk(asked, now)) continue;
-      if (asked.isOpen) asked.misses++;
-      asked.isOpen = true;
-      asked.limitMs = limitMs;
-      asked.askedAt = now;
+      const asked = this.#ranks[rank];
+      if (asked === undefined || !this.#canQuery(asked, now)) continue;
+      if (asked.isPending) asked.unansweredCount++;
+      asked.isPending = true;
+      asked.timeoutMs = limitMs;
+      asked.queriedAt = now;
       this.#budget -= bytes;
       taken.push(rank);
     }
@@ -196,27 +201,32 @@
   }
 
   /** A question without an answer is not repeated at once, and then ever later. */
-  #mayAsk(
-    { isOpen, askedAt, limitMs, misses }: AskedRank,
+  #canQuery(
+    {
+      isPending: isOpen,
+      queriedAt: askedAt,
+      timeoutMs: limitMs,
+      unansweredCount: misses,
+    }: QueriedRank,
     now: number,
   ): boolean {
     if (!isOpen) return true;
-    const longer = 2 ** Math.min(misses, MOST_DOUBLINGS);
+    const longer = 2 ** Math.min(misses, MAX_TIMEOUT_DOUBLINGS);
     return now - askedAt >= limitMs * longer;
   }
 
   #isDue(rank: number, now: number, intervalMs: number): boolean {
-    return now - this.#askedAt(rank) >= intervalMs;
+    return now - this.#getQueriedAt(rank) >= intervalMs;
   }
 
-  #askedAt(rank: number): number {
-    return this.#asked[rank]?.askedAt ?? Number.POSITIVE_INFINITY;
+  #getQueriedAt(rank: number): number {
+    return this.#ranks[rank]?.queriedAt ?? Number.POSITIVE_INFINITY;
   }
 
-  #refill(now: number): void {
+  #refillBudget(now: number): void {
     const elapsedMs = now - (this.#budgetAt ?? now - BURST_MS);
     this.#budgetAt = now;
-    const bytesPerMs = this.#bytesPerSecond * LINK_PART / MS_PER_SECOND;
+    const bytesPerMs = this.#bytesPerSecond * LINK_SHARE / MS_PER_SECOND;
     this.#budget = Math.min(
       BURST_MS * bytesPerMs,
       this.#budget + elapsedMs * bytesPerMs,
@@ -224,18 +234,18 @@
   }
 
   /** An answer that was on its way over a lost connection does not come any more. */
-  #forgetLost(reachable: ReadonlySet<number>): void {
-    for (const [rank, asked] of this.#asked.entries()) {
-      if (!reachable.has(rank)) Object.assign(asked, createAskedRank());
+  #resetDisconnected(reachable: ReadonlySet<number>): void {
+    for (const [rank, asked] of this.#ranks.entries()) {
+      if (!reachable.has(rank)) Object.assign(asked, createQueriedRank());
     }
   }
 
   /** Who is counted stays so, since only what was added since the last count is known. */
-  #chooseCounted(reachable: ReadonlySet<number>): void {
+  #selectCounted(reachable: ReadonlySet<number>): void {
     const able = [...reachable].filter((rank) =>
-      this.#asked[rank]?.misses === 0
+      this.#ranks[rank]?.unansweredCount === 0
     );
-    const size = Math.min(this.#mostCounted, able.length);
+    const size = Math.min(this.#maxCounted, able.length);
     const kept = this.#counted.filter((rank) => able.includes(rank));
     if (kept.length === size && kept.length === this.#counted.length) return;
     const stride = able.length / size;
@@ -247,19 +257,19 @@
     this.#counted = [...new Set([...kept, ...others])].slice(0, size);
   }
 
-  get #mostCounted(): number {
-    const bytes = this.#bytesPerSecond * COUNTS_LINK_PART *
+  get #maxCounted(): number {
+    const bytes = this.#bytesPerSecond * COUNTS_LINK_SHARE *
       COUNT_INTERVAL_MS / MS_PER_SECOND;
     const fitting = Math.floor(bytes / this.#countsBytes);
-    return Math.max(FEWEST_COUNTED, fitting);
+    return Math.max(MIN_COUNTED_RANKS, fitting);
   }
 }
 
-function createAskedRank(): AskedRank {
+function createQueriedRank(): QueriedRank {
   return {
-    askedAt: Number.NEGATIVE_INFINITY,
-    isOpen: false,
-    limitMs: 0,
-    misses: 0,
+    queriedAt: Number.NEGATIVE_INFINITY,
+    isPending: false,
+    timeoutMs: 0,
+    unansweredCount: 0,
   };
 }
--- a/src/group/formed/switch_rescuer.ts
+++ b/src/group/formed/switch_rescuer.ts
@@ -26,11 +26,11 @@
 
 const TICK_MS = 25;
 /** Orders from here are numbered from a random number above this, unlike deciders'. */
-const FIRST_ORDER_IDS = 2 ** 40;
+const MIN_FIRST_ORDER_ID = 2 ** 40;
 const ORDER_ID_RANGE = 2 ** 31;
 
 /** Options of a {@link SwitchRescuer}. */
-export interface SwitchRescuerOptions {
+export interface SwitchRecoveryOptions {
   readonly identity: LinkIdentity;
   readonly random: RandomSource;
   readonly log: EventLog;
@@ -42,18 +42,18 @@
 
 /** Ends a held switch that its decider does not. */
 export class SwitchRescuer {
-  readonly #options: SwitchRescuerOptions;
+  readonly #options: SwitchRecoveryOptions;
   #addresses: readonly GroupMemberAddress[] = [];
   #rank: number | undefined;
   readonly #watch = new HeldPassWatch();
   /** That rank 0 is armed, as the decider told it last. */
-  #told: RankReportMessage | undefined;
+  #armedReport: RankReportMessage | undefined;
   #decider: FormedGroupDecider | undefined;
   #links: RankLinks | undefined;
   #timer: NodeJS.Timeout | undefined;
 
   /** Knows no other ranks yet. */
-  constructor(options: SwitchRescuerOptions) {
+  constructor(options: SwitchRecoveryOptions) {
     this.#options = options;
   }
 
@@ -73,7 +73,7 @@
 
   /** The decider told that its own rank is armed, which lasts until the pass begins. */
   note(report: RankReportMessage): void {
-    this.#told = report;
+    this.#armedReport = report;
   }
 
   /** Takes in how the holder's own engine stands. */
@@ -84,11 +84,11 @@
     if (isOver) return this.stop();
     if (awaitedMs === undefined) return;
     this.#decider ??= this.#start(state, awaitedMs);
-    this.#take({ kind: "rank_report", state });
-    if (this.#told !== undefined) this.#take(this.#told);
+    this.#onReport({ kind: "rank_report", state });
+    if (this.#armedReport !== undefined) this.#onReport(this.#armedReport);
   }
 
-  #take(report: RankReportMessage): void {
+  #onReport(report: RankReportMessage): void {
     const { rank } = report.state;
     const now = performance.now();
     this.#dispatch({ kind: "rank_reported", now, rank, report });
@@ -107,7 +107,7 @@
       log,
       createEngine,
       group: state.group,
-      onReport: (_member, report) => this.#take(report),
+      onReport: (_member, report) => this.#onReport(report),
     });
     this.#links.setMembers(this.#addresses);
     this.#timer = setInterval(
@@ -118,7 +118,7 @@
       state,
       random,
       now: performance.now(),
-      firstOrderId: FIRST_ORDER_IDS + random.nextBelow(ORDER_ID_RANGE),
+      firstOrderId: MIN_FIRST_ORDER_ID + random.nextBelow(ORDER_ID_RANGE),
     });
   }
 
@@ -130,7 +130,7 @@
 
   /** What it would ask, the looks at the holder's own engine answer. */
   #perform(effect: DeciderEffect): void {
-    if (effect.kind === "send_order") this.#order(effect);
+    if (effect.kind === "send_order") this.#sendOrder(effect);
     if (effect.kind !== "phase_entered") return;
     const { kind: _, tookMs, ...details } = effect;
     this.#options.log.write("MAP_PHASE", {
@@ -140,13 +140,13 @@
     });
   }
 
-  #order(effect: SendOrder): void {
+  #sendOrder(effect: SendOrder): void {
     const { rank, orderId, order } = effect;
     if (rank !== this.#rank) return this.#links?.sendOrder(effect);
     this.#options.agent
       .carryOut(
         { kind: "rank_order", orderId, order },
-        (report) => this.#take(report),
+        (report) => this.#onReport(report),
       )
       .catch((error) => {
         const cause = String(error);
--- a/src/group/group_part.ts
+++ b/src/group/group_part.ts
@@ -21,7 +21,7 @@
 }
 
 /** Options of a {@link GroupPart}. */
-export interface GroupPartOptions {
+export interface GroupParticipantOptions {
   readonly group: GroupRank;
   readonly identity: LinkIdentity;
   readonly engine: RankEngine;
@@ -37,11 +37,11 @@
   #link: Link | undefined;
 
   /** Begins at once. */
-  constructor(options: GroupPartOptions) {
+  constructor(options: GroupParticipantOptions) {
     const { group } = options;
     this.#member = new MemberDriver({
       engine: options.engine,
-      say: (report) => this.#link?.send({ kind: "group_report", report }),
+      send: (report) => this.#link?.send({ kind: "group_report", report }),
     });
     if (group.rank !== 0) return;
     this.#coordinator = new CoordinatorDriver({
@@ -71,7 +71,7 @@
   }
 
   async #sendLoad(link: Link): Promise<void> {
-    const load = await this.#member.tryLoad();
+    const load = await this.#member.tryReadLoad();
     if (load !== undefined) link.send({ kind: "rank_load", load });
   }
 }
--- a/src/group/map_planner.ts
+++ b/src/group/map_planner.ts
@@ -63,7 +63,7 @@
     for (const [layer, estimator] of this.#estimators.entries()) {
       const tokens = Array.from(
         { length: this.#shape.experts },
-        (_, expert) => isWhole ? sumOver(loads, layer, expert) : undefined,
+        (_, expert) => isWhole ? sumTokens(loads, layer, expert) : undefined,
       );
       estimator.observe({ tokens, slowdowns });
     }
@@ -90,7 +90,7 @@
   }
 }
 
-function sumOver(
+function sumTokens(
   loads: readonly (RankLoad | undefined)[],
   layer: number,
   expert: number,
--- a/src/group/member.ts
+++ b/src/group/member.ts
@@ -17,17 +17,17 @@
 } from "../messages/group_types.ts";
 
 /** Milliseconds between two questions for a decision. */
-export const ASK_INTERVAL_MS = 200;
+export const DECISION_REQUEST_INTERVAL_MS = 200;
 
 /** A message of rank 0 arrived. */
-export interface CoordinatorSaid {
+export interface CoordinatorMessageReceived {
   readonly kind: "coordinator_said";
   readonly now: number;
   readonly message: CoordinatorMessage;
 }
 
 /** The engine answered an order, or said how it stands. */
-export interface EngineSaid {
+export interface EngineStateReceived {
   readonly kind: "engine_said";
   readonly now: number;
   readonly engine: EngineState;
@@ -42,23 +42,26 @@
 }
 
 /** Everything that can happen to a member. */
-export type MemberEvent = CoordinatorSaid | EngineSaid | MemberTick;
+export type MemberEvent =
+  | CoordinatorMessageReceived
+  | EngineStateReceived
+  | MemberTick;
 
 /** Say something to rank 0. */
-export interface SayToCoordinator {
+export interface SendToCoordinator {
   readonly kind: "say";
   readonly message: MemberMessage;
 }
 
 /** Give the engine an order, with a number that grows with each decider. */
-export interface GiveOrder {
+export interface SendEngineOrder {
   readonly kind: "order";
   readonly order: EngineOrder;
   readonly fencingNumber: number;
 }
 
 /** Everything that a member can ask for. */
-export type MemberEffect = SayToCoordinator | GiveOrder;
+export type MemberEffect = SendToCoordinator | SendEngineOrder;
 
 /** A rank's member of its group. */
 export class GroupMember {
@@ -66,11 +69,11 @@
   #decider: Decider = { epoch: 0, decider: "" };
   #engine: EngineState | undefined;
   /** The order that the engine has not answered; orders go one by one. */
-  #outstanding: EngineOrder | undefined;
-  #waiting: EngineOrder[] = [];
+  #pendingOrder: EngineOrder | undefined;
+  #queuedOrders: EngineOrder[] = [];
   /** A bind that is answered once the engine's state is certain. */
-  #isBindOpen = false;
-  #askedAt = Number.NEGATIVE_INFINITY;
+  #isBindPending = false;
+  #decisionRequestedAt = Number.NEGATIVE_INFINITY;
   #effects: MemberEffect[] = [];
 
   /** Number of the decider that is followed. */
@@ -90,13 +93,13 @@
     this.#effects = [];
     switch (event.kind) {
       case "coordinator_said":
-        this.#coordinatorSaid(event.message);
+        this.#onCoordinatorMessage(event.message);
         break;
       case "engine_said":
-        this.#engineSaid(event);
+        this.#onEngineState(event);
         break;
       case "tick":
-        this.#askIfHeld(event.now);
+        this.#requestDecisionIfHeld(event.now);
         break;
       default:
         assertNever(event);
@@ -104,34 +107,37 @@
     return this.#effects;
   }
 
-  #coordinatorSaid(message: CoordinatorMessage): void {
-    if (message.kind === "bind") return this.#bind(message);
-    if (!this.#isFollowed(message)) {
-      return this.#say({ kind: "outdated", ...this.#decider });
+  #onCoordinatorMessage(message: CoordinatorMessage): void {
+    if (message.kind === "bind") return this.#onBind(message);
+    if (!this.#isCurrentDecider(message)) {
+      return this.#send({ kind: "outdated", ...this.#decider });
     }
     switch (message.kind) {
       case "stage":
-        return this.#order(stageOrderOf(message));
+        return this.#enqueueOrder(createStageOrder(message));
       case "prepare":
-        return this.#order({
+        return this.#enqueueOrder({
           kind: "hold",
           version: message.version,
           step: message.step,
         });
       case "commit":
-        return this.#order({
+        return this.#enqueueOrder({
           kind: "activate",
           version: message.version,
           step: message.step,
         });
       case "abort":
-        return this.#order({ kind: "release", version: message.version });
+        return this.#enqueueOrder({
+          kind: "release",
+          version: message.version,
+        });
       default:
         assertNever(message);
     }
   }
 
-  #isFollowed(message: Decider): boolean {
+  #isCurrentDecider(message: Decider): boolean {
     return message.epoch === this.epoch &&
       message.decider === this.#decider.decider;
   }
@@ -141,41 +147,41 @@
    * that the engine has not answered may still take effect, so the answer to
    * the bind waits for it: what we tell must not change behind our back.
    */
-  #bind(message: BindMessage): void {
+  #onBind(message: BindMessage): void {
     const isLater = message.epoch > this.epoch;
-    if (!isLater && !this.#isFollowed(message)) {
-      return this.#say({ kind: "outdated", ...this.#decider });
+    if (!isLater && !this.#isCurrentDecider(message)) {
+      return this.#send({ kind: "outdated", ...this.#decider });
     }
     const { epoch, decider } = message;
     this.#decider = { epoch, decider };
-    if (isLater) this.#waiting = [];
-    this.#isBindOpen = true;
-    this.#answerBind();
+    if (isLater) this.#queuedOrders = [];
+    this.#isBindPending = true;
+    this.#tryAnswerBind();
   }
 
-  #answerBind(): void {
-    if (!this.#isBindOpen || this.#outstanding !== undefined) return;
+  #tryAnswerBind(): void {
+    if (!this.#isBindPending || this.#pendingOrder !== undefined) return;
     if (this.#engine === undefined) return;
-    this.#isBindOpen = false;
-    this.#sayBound(this.#engine);
+    this.#isBindPending = false;
+    this.#sendBound(this.#engine);
   }
 
-  #engineSaid(event: EngineSaid): void {
+  #onEngineState(event: EngineStateReceived): void {
     const before = this.#engine;
     this.#engine = event.engine;
     const isAnswer = event.order !== undefined &&
-      event.order === this.#outstanding;
-    if (isAnswer) this.#outstanding = undefined;
-    if (isAnswer && !this.#isBindOpen) this.#answered(event);
+      event.order === this.#pendingOrder;
+    if (isAnswer) this.#pendingOrder = undefined;
+    if (isAnswer && !this.#isBindPending) this.#onOrderAnswered(event);
     const isReplaced = before !== undefined && event.order === undefined &&
       before.incarnation !== event.engine.incarnation;
     // Only rank 0 can begin a new run with the new engine.
-    if (isReplaced) this.#sayBound(event.engine);
-    this.#answerBind();
-    this.#giveNext();
+    if (isReplaced) this.#sendBound(event.engine);
+    this.#tryAnswerBind();
+    this.#sendNextOrder();
   }
 
-  #answered(event: EngineSaid): void {
+  #onOrderAnswered(event: EngineStateReceived): void {
     const order = event.order as EngineOrder;
     const { engine } = event;
     const place = { epoch: this.epoch, version: order.version };
@@ -183,61 +189,61 @@
       case "stage":
       case "assemble":
         if (engine.stagedVersion !== order.version) return;
-        return this.#say({ kind: "staged", ...place, step: engine.step });
+        return this.#send({ kind: "staged", ...place, step: engine.step });
       case "hold":
-        return this.#heldOrTooLate(order, engine);
+        return this.#sendHoldResult(order, engine);
       case "activate":
       case "release":
-        return this.#say({ kind: "applied", ...place });
+        return this.#send({ kind: "applied", ...place });
       default:
         assertNever(order);
     }
   }
 
-  #heldOrTooLate(order: HoldOrder, engine: EngineState): void {
+  #sendHoldResult(order: HoldOrder, engine: EngineState): void {
     const { version, step } = order;
     const place = { epoch: this.epoch, version, step };
     const isHeld = engine.holdBefore === step &&
       engine.stagedVersion === version;
-    if (isHeld) return this.#say({ kind: "prepared", ...place });
-    this.#say({ kind: "too_late", ...place, engineStep: engine.step });
+    if (isHeld) return this.#send({ kind: "prepared", ...place });
+    this.#send({ kind: "too_late", ...place, engineStep: engine.step });
   }
 
   /** A rank that stands at its promise asks until it knows the decision. */
-  #askIfHeld(now: number): void {
+  #requestDecisionIfHeld(now: number): void {
     const engine = this.#engine;
     if (engine?.holdBefore === undefined) return;
     if (engine.stagedVersion === undefined) return;
-    if (now - this.#askedAt < ASK_INTERVAL_MS) return;
-    this.#askedAt = now;
-    this.#say({
+    if (now - this.#decisionRequestedAt < DECISION_REQUEST_INTERVAL_MS) return;
+    this.#decisionRequestedAt = now;
+    this.#send({
       kind: "ask",
       epoch: this.epoch,
       version: engine.stagedVersion,
     });
   }
 
-  #order(order: EngineOrder): void {
-    const last = this.#waiting.at(-1) ?? this.#outstanding;
+  #enqueueOrder(order: EngineOrder): void {
+    const last = this.#queuedOrders.at(-1) ?? this.#pendingOrder;
     const isRepeated = last !== undefined && isSameOrder(last, order);
     if (isRepeated) return;
-    this.#waiting.push(order);
-    this.#giveNext();
+    this.#queuedOrders.push(order);
+    this.#sendNextOrder();
   }
 
-  #giveNext(): void {
-    if (this.#outstanding !== undefined || this.#engine === undefined) return;
-    const order = this.#waiting.shift();
+  #sendNextOrder(): void {
+    if (this.#pendingOrder !== undefined || this.#engine === undefined) return;
+    const order = this.#queuedOrders.shift();
     if (order === undefined) return;
-    this.#outstanding = order;
+    this.#pendingOrder = order;
     this.#effects.push({ kind: "order", order, fencingNumber: this.epoch });
   }
 
-  #sayBound(engine: EngineState): void {
-    this.#say({ kind: "bound", epoch: this.epoch, engine });
+  #sendBound(engine: EngineState): void {
+    this.#send({ kind: "bound", epoch: this.epoch, engine });
   }
 
-  #say(message: MemberMessage): void {
+  #send(message: MemberMessage): void {
     this.#effects.push({ kind: "say", message });
   }
 }
@@ -249,7 +255,7 @@
   return !hasStep || left.step === (right as HoldOrder).step;
 }
 
-function stageOrderOf(message: StageMessage): EngineOrder {
+function createStageOrder(message: StageMessage): EngineOrder {
   const { version, map, assemble } = message;
   if (assemble === undefined) return { kind: "stage", version, map };
   return { kind: "assemble", incarnation: assemble, version, map };
--- a/src/group/member_driver.ts
+++ b/src/group/member_driver.ts
@@ -17,26 +17,26 @@
 import { GroupMember, type MemberEffect, type MemberEvent } from "./member.ts";
 
 const TICK_MS = 50;
-const RETRY_PAUSE_MS = 100;
+const RETRY_DELAY_MS = 100;
 
 /** Options of a {@link MemberDriver}. */
 export interface MemberDriverOptions {
   readonly engine: RankEngine;
   /** Sends to rank 0, if it is connected. */
-  readonly say: (message: MemberMessage) => void;
+  readonly send: (message: MemberMessage) => void;
 }
 
 /** A running member. */
 export class MemberDriver {
   readonly #options: MemberDriverOptions;
   readonly #member = new GroupMember();
-  #turn: Promise<void> = Promise.resolve();
+  #lastEngineCall: Promise<void> = Promise.resolve();
   #isStopped = false;
 
   /** Begins to watch the engine at once. */
   constructor(options: MemberDriverOptions) {
     this.#options = options;
-    void this.#watch();
+    void this.#pollEngine();
   }
 
   /** Rank 0 said something. */
@@ -46,7 +46,7 @@
   }
 
   /** What the engine counted; undefined when it does not answer. */
-  async tryLoad(): Promise<RankLoad | undefined> {
+  async tryReadLoad(): Promise<RankLoad | undefined> {
     try {
       return await this.#options.engine.readLoad();
     } catch {
@@ -59,9 +59,9 @@
     this.#isStopped = true;
   }
 
-  async #watch(): Promise<void> {
+  async #pollEngine(): Promise<void> {
     while (!this.#isStopped) {
-      await this.#inTurn(() => this.#readState());
+      await this.#enqueueEngineCall(() => this.#readState());
       this.#dispatch({ kind: "tick", now: performance.now() });
       await sleep(TICK_MS, undefined, { ref: false });
     }
@@ -76,7 +76,7 @@
     }
   }
 
-  async #giveOrder(order: EngineOrder, fencingNumber: number): Promise<void> {
+  async #sendOrder(order: EngineOrder, fencingNumber: number): Promise<void> {
     while (!this.#isStopped) {
       try {
         const engine = await this.#options.engine
@@ -85,14 +85,14 @@
         this.#dispatch({ kind: "engine_said", now, engine, order });
         return;
       } catch {
-        await sleep(RETRY_PAUSE_MS, undefined, { ref: false });
+        await sleep(RETRY_DELAY_MS, undefined, { ref: false });
       }
     }
   }
 
-  #inTurn(work: () => Promise<void>): Promise<void> {
-    this.#turn = this.#turn.then(work);
-    return this.#turn;
+  #enqueueEngineCall(work: () => Promise<void>): Promise<void> {
+    this.#lastEngineCall = this.#lastEngineCall.then(work);
+    return this.#lastEngineCall;
   }
 
   #dispatch(event: MemberEvent): void {
@@ -100,8 +100,8 @@
   }
 
   #perform(effect: MemberEffect): void {
-    if (effect.kind === "say") return this.#options.say(effect.message);
+    if (effect.kind === "say") return this.#options.send(effect.message);
     const { order, fencingNumber } = effect;
-    void this.#inTurn(() => this.#giveOrder(order, fencingNumber));
+    void this.#enqueueEngineCall(() => this.#sendOrder(order, fencingNumber));
   }
 }
