--- a/src/group/coordinator.ts
+++ b/src/group/coordinator.ts
@@ -1,11 +1,12 @@
 /**
- * Rank 0's decider: switches the group's expert map so that no step sees two.
+ * The decider at rank 0: switches the group's expert map so that all ranks run each
+ * step with the same map.
  *
- * A switch goes through binding, staging and preparing; when every rank has
- * promised not to begin the switch step without the decision, it is decided,
- * once. A decider that starts without memory binds every rank first: any
- * activation that one of them has means that it was decided so; none means that
- * it was not, and can no longer be.
+ * A switch passes through binding, staging and preparing. It is committed, exactly once,
+ * after every rank has promised not to begin the switch step without the decision. A
+ * decider keeps no state across restarts, so it binds every rank first: an activation at
+ * any rank means that the switch was committed; no activation at any rank means that it
+ * was not and that no earlier decider can commit it any more.
  *
  * @module
  */
@@ -32,36 +33,36 @@
   Staging,
 } from "./coordinator_types.ts";
 
-/** Milliseconds after which an unanswered message is sent again. */
+/** Milliseconds after which an unanswered message is resent. */
 export const RESEND_MS = 200;
-/** Milliseconds after which a switch that is not prepared is given up. */
+/** Milliseconds after which a switch that is not prepared is aborted. */
 const SWITCH_TIMEOUT_MS = 30_000;
 const INITIAL_MARGIN_STEPS = 16;
 const MAX_MARGIN_STEPS = 4096;
 /**
- * Versions carry the epoch of their decider, so that none is used twice even by
- * deciders that know nothing of each other.
+ * Number of versions reserved for each epoch. The epoch is part of the version, so two
+ * deciders never use the same version, even if neither knows of the other.
  */
 const VERSIONS_PER_EPOCH = 2 ** 20;
 
-/** Rank 0's decider. */
+/** Decides the switches of a group's expert map at rank 0. */
 export class GroupCoordinator {
   readonly #ranks: number;
   readonly #decider: string;
   #phase: Phase = { kind: "binding", engines: new Map() };
   #map: ExpertMap;
-  /** Number of the lock-step run. */
+  /** Number of the current lock-step run. */
   #incarnation = 0;
-  /** Newest version that is known. */
+  /** Highest version that is known. */
   #version = 0;
   #last: Decision | undefined;
-  /** Ranks that have not carried out the last decision. */
+  /** Ranks that have not executed the last decision. */
   readonly #pending = new Set<number>();
   #marginSteps: number;
   #lastSentAt = Number.NEGATIVE_INFINITY;
   readonly #effects: CoordinatorEffects;
 
-  /** Begins without memory: the first tick binds every rank. */
+  /** Starts without any state of the ranks: the first tick binds every rank. */
   constructor(options: GroupCoordinatorOptions) {
     this.#ranks = options.ranks;
     this.#decider = options.decider;
@@ -74,23 +75,23 @@
     this.#map = options.firstMap;
   }
 
-  /** Whether a proposal would be taken up. */
+  /** Whether a proposed map would be accepted. */
   get isIdle(): boolean {
     return this.#phase.kind === "idle" && this.#pending.size === 0;
   }
 
-  /** The map decided upon last. */
+  /** The map of the last committed switch. */
   get map(): ExpertMap {
     return this.#map;
   }
 
-  /** The decider's number among those of its group. */
+  /** Epoch of this decider, which orders the deciders of a group. */
   get epoch(): number {
     return this.#effects.epoch;
   }
 
   /**
-   * Takes in one event and returns what is to be done, in order.
+   * Processes one event and returns the resulting effects in order.
    *
    * @example
    * ```ts
@@ -142,8 +143,8 @@
   }
 
   /**
-   * The rank follows another decider, or one of ours from before. If its number
-   * is as high as ours, an earlier decider of the group came further.
+   * Handles a rank that follows another decider or an earlier epoch of this one. If its
+   * epoch is at least as high as the current one, this decider continues above it.
    */
   #onOutdated(followed: Decider, rank: number): void {
     const { epoch, decider } = followed;
@@ -155,7 +156,7 @@
     this.#startBinding();
   }
 
-  /** A new number makes every message sent so far, either way, worthless. */
+  /** Starts a new epoch, which invalidates all earlier messages in both directions. */
   #startBinding(): void {
     this.#effects.epoch++;
     this.#phase = { kind: "binding", engines: new Map() };
@@ -207,7 +208,7 @@
     this.#effects.sendPrepare(rank, phase);
   }
 
-  /** Every rank is bound: what was decided before can be known now. */
+  /** Recovers the last decision from the engine states once every rank is bound. */
   #recover(phase: Binding, now: number): void {
     const group = recoverGroup([...phase.engines.values()]);
     const { committed, stagedVersion } = group;
@@ -227,7 +228,7 @@
     this.#decide(committed.version, committed.step);
   }
 
-  /** A group with a new engine among its ranks begins a new run. */
+  /** Starts a new lock-step run, since at least one engine is not part of the last. */
   #startRun(now: number): void {
     this.#incarnation = Math.max(this.#incarnation + 1, this.#effects.epoch);
     this.#startStaging(this.#map, { assemble: this.#incarnation, now });
@@ -267,9 +268,9 @@
     if (phase.kind !== "staging" || message.version !== phase.version) return;
     phase.steps.set(rank, message.step);
     if (phase.steps.size < this.#ranks) return;
-    const furthest = Math.max(...phase.steps.values());
+    const highestStep = Math.max(...phase.steps.values());
     const isNewRun = phase.assemble !== undefined;
-    const step = isNewRun ? 0 : furthest + this.#marginSteps;
+    const step = isNewRun ? 0 : highestStep + this.#marginSteps;
     this.#startPreparing(phase, step, now);
   }
 
@@ -304,7 +305,7 @@
     this.#decide(phase.version, phase.step);
   }
 
-  /** The group was faster than the messages: the switch moves further ahead. */
+  /** Moves the switch to a later step, since a rank had already begun the planned one. */
   #onTooLate(message: TooLateMessage, now: number): void {
     const phase = this.#phase;
     if (phase.kind !== "preparing" || message.version !== phase.version) return;
@@ -314,11 +315,11 @@
     this.#startPreparing(phase, step, now);
   }
 
-  /** Decides, once: a version that was decided is never used again. */
+  /** Commits a version, or aborts it if `step` is undefined; once for each version. */
   #decide(version: number, step: number | undefined): void {
     Debug.assert(
       this.#last === undefined || version > this.#last.version,
-      "A version is decided once",
+      "Each version is decided only once",
     );
     this.#last = { version, step };
     for (let rank = 0; rank < this.#ranks; rank++) {
@@ -361,7 +362,10 @@
     }
   }
 
-  /** A new run is never given up: the group cannot step without it anyway. */
+  /**
+   * Resends to the ranks that have not answered; aborts the switch after its timeout. A
+   * new run is never aborted, because the group cannot step without it.
+   */
   #resendOrAbort(phase: Staging | Preparing, now: number): void {
     const isLate = now - phase.startedAt >= SWITCH_TIMEOUT_MS;
     if (isLate && phase.assemble === undefined) {
@@ -379,7 +383,7 @@
   }
 
   #sendDecision(rank: number): void {
-    const decision = Debug.getDefined(this.#last, "Decided before");
+    const decision = Debug.getDefined(this.#last, "A decision exists");
     this.#effects.sendDecision(rank, decision);
   }
 }
--- a/src/group/coordinator_driver.ts
+++ b/src/group/coordinator_driver.ts
@@ -1,6 +1,6 @@
 /**
- * Runs rank 0's decider: dials every rank, its own process included, and
- * proposes maps from what the ranks count.
+ * Runs the decider at rank 0: connects to the target of every rank, including its own,
+ * and proposes maps from the load that the ranks report.
  *
  * @module
  */
@@ -31,15 +31,15 @@
 /** Options of a {@link CoordinatorDriver}. */
 export interface CoordinatorDriverOptions {
   readonly identity: LinkIdentity;
-  /** Addresses of the targets before the ranks, in the order of the ranks. */
+  /** Addresses of the targets in front of the ranks, in rank order. */
   readonly memberAddresses: readonly string[];
   readonly shape: GroupShape;
-  /** The group's settings, once there are any. */
+  /** Returns the group's settings; undefined while there are none. */
   readonly trySettings: () => GroupDocument | undefined;
   readonly log: EventLog;
 }
 
-/** Runs rank 0's decider. */
+/** Runs the decider at rank 0. */
 export class CoordinatorDriver {
   readonly #options: CoordinatorDriverOptions;
   readonly #coordinator: GroupCoordinator;
@@ -50,7 +50,7 @@
   #plannedAt = performance.now();
   readonly #timer: NodeJS.Timeout;
 
-  /** Dials at once. */
+  /** Starts connecting immediately. */
   constructor(options: CoordinatorDriverOptions) {
     this.#options = options;
     this.#planner = new MapPlanner(options.shape);
@@ -66,7 +66,7 @@
     this.#timer = setInterval(() => this.#onTick(), TICK_MS);
   }
 
-  /** Decides no more. */
+  /** Stops the decider and closes its connections. */
   stop(): void {
     clearInterval(this.#timer);
     for (const client of this.#clients) client.stop();
@@ -120,7 +120,7 @@
     }
   }
 
-  /** Plans with what the ranks answered since the last interval. */
+  /** Plans a map from the loads that the ranks reported during the last interval. */
   async #plan(preset: GroupDocument["preset"]): Promise<void> {
     const { ranks } = this.#options.shape;
     const loads = Array.from({ length: ranks }, (_, rank) => this.#loads[rank]);
@@ -153,7 +153,7 @@
         ({ version, isCommitted }) =>
           this.#options.log.write("MAP_DECIDED", { version, isCommitted }),
       )
-      // The planner asks again in its next interval.
+      // The planner proposes a map again in its next interval.
       .with({ kind: "proposal_dropped" }, () => undefined)
       .exhaustive();
   }
--- a/src/group/coordinator_effects.ts
+++ b/src/group/coordinator_effects.ts
@@ -1,6 +1,6 @@
 /**
- * What rank 0's decider asks for while it takes in one event: messages to ranks, signed
- * with its number, and what is to be noted.
+ * Collects the effects of rank 0's decider for one event: messages to ranks, which carry
+ * the decider's epoch, and log records.
  *
  * @module
  */
@@ -19,62 +19,62 @@
 
 /** Collects the effects of one event, in order. */
 export class CoordinatorEffects {
-  /** Number that signs every message from now on. */
+  /** Epoch that all further messages carry. */
   epoch: number;
   readonly #ranks: number;
   readonly #decider: string;
   #effects: CoordinatorEffect[] = [];
 
-  /** Has no effect yet. */
+  /** Creates an empty collection. */
   constructor({ ranks, decider, epoch }: CoordinatorEffectsOptions) {
     this.#ranks = ranks;
     this.#decider = decider;
     this.epoch = epoch;
   }
 
-  /** The effects since they were cleared. */
+  /** The effects that were added since the last {@link clear}. */
   get all(): readonly CoordinatorEffect[] {
     return this.#effects;
   }
 
-  /** Begins anew; effects that were handed out stay as they are. */
+  /** Starts a new list of effects; lists that were returned earlier do not change. */
   clear(): void {
     this.#effects = [];
   }
 
-  /** Adds what is no message. */
+  /** Adds an effect other than a message. */
   add(effect: CoordinatorEffect): void {
     this.#effects.push(effect);
   }
 
-  /** Asks a rank what it has, and binds it to this decider. */
+  /** Binds a rank to this decider and requests the state of its engine. */
   sendBind(rank: number): void {
     this.#send(rank, { kind: "bind", ...this.#signature() });
   }
 
-  /** Asks a rank to load a map. */
+  /** Requests that a rank load a map. */
   sendStage(rank: number, { version, map, assemble }: Staging): void {
-    const place = { ...this.#signature(), version };
-    this.#send(rank, { kind: "stage", ...place, map, assemble });
+    const header = { ...this.#signature(), version };
+    this.#send(rank, { kind: "stage", ...header, map, assemble });
   }
 
-  /** Asks a rank not to begin a step before the decision. */
+  /** Requests that a rank not begin a step before the decision. */
   sendPrepare(rank: number, { version, step }: Preparing): void {
     this.#send(rank, { kind: "prepare", ...this.#signature(), version, step });
   }
 
-  /** Tells a rank what was decided upon a version. */
+  /** Sends the decision about a version to a rank. */
   sendDecision(rank: number, { version, step }: Decision): void {
     if (step === undefined) return this.sendAbort(rank, version);
     this.#send(rank, { kind: "commit", ...this.#signature(), version, step });
   }
 
-  /** Tells a rank that a version was given up. */
+  /** Notifies a rank that a version was aborted. */
   sendAbort(rank: number, version: number): void {
     this.#send(rank, { kind: "abort", ...this.#signature(), version });
   }
 
-  /** Calls back with every rank, in order. */
+  /** Calls a function for every rank in order. */
   forEachRank(callback: (rank: number) => void): void {
     for (let rank = 0; rank < this.#ranks; rank++) callback(rank);
   }
--- a/src/group/coordinator_recovery.ts
+++ b/src/group/coordinator_recovery.ts
@@ -1,5 +1,5 @@
 /**
- * What a decider that starts without memory learns from the engines of all ranks.
+ * Recovers the state of a group from the engines of all ranks when a decider starts.
  *
  * @module
  */
@@ -9,24 +9,24 @@
   ExpertMap,
 } from "../messages/group_types.ts";
 
-/** What the engines of a group say together. */
+/** State of a group as its engines report it together. */
 export interface RecoveredGroup {
-  /** Newest version that any engine knows. */
+  /** Highest version that any engine knows. */
   readonly version: number;
   /** Number of the newest lock-step run. */
   readonly incarnation: number;
   /** Whether all engines belong to that run. */
   readonly isOneRun: boolean;
-  /** Newest switch that was decided; undefined: none that an engine knows. */
+  /** Newest committed switch; undefined if no engine knows one. */
   readonly committed: Activation | undefined;
-  /** Its map, if an engine has it. */
+  /** Map of the newest committed switch, if an engine has it. */
   readonly map: ExpertMap | undefined;
-  /** Newest version that an engine has staged; 0: none. */
+  /** Highest version that an engine has staged; 0 if there is none. */
   readonly stagedVersion: number;
 }
 
 /**
- * Reads the engines of all ranks.
+ * Combines the states of all engines of a group.
  *
  * @example
  * ```ts
@@ -34,17 +34,20 @@
  * ```
  */
 export function recoverGroup(engines: readonly EngineState[]): RecoveredGroup {
-  const incarnation = Math.max(...engines.map((one) => one.incarnation));
+  const incarnation = Math.max(...engines.map((engine) => engine.incarnation));
   const committed = findNewestActivation(engines);
-  const known = engines.flatMap((one) => one.maps)
-    .find((one) => one.version === committed?.version);
+  const newest = engines.flatMap((engine) => engine.maps)
+    .find((candidate) => candidate.version === committed?.version);
   return {
     version: Math.max(...engines.map(getHighestVersion)),
     incarnation,
-    isOneRun: engines.every((one) => one.incarnation === incarnation),
+    isOneRun: engines.every((engine) => engine.incarnation === incarnation),
     committed,
-    map: known?.map,
-    stagedVersion: Math.max(0, ...engines.map((one) => one.stagedVersion ?? 0)),
+    map: newest?.map,
+    stagedVersion: Math.max(
+      0,
+      ...engines.map((engine) => engine.stagedVersion ?? 0),
+    ),
   };
 }
 
@@ -60,6 +63,8 @@
   engines: readonly EngineState[],
 ): Activation | undefined {
   return engines
-    .flatMap((one) => one.activation === undefined ? [] : [one.activation])
+    .flatMap((engine) =>
+      engine.activation === undefined ? [] : [engine.activation]
+    )
     .sort((left, right) => right.version - left.version)[0];
 }
--- a/src/group/coordinator_types.ts
+++ b/src/group/coordinator_types.ts
@@ -1,5 +1,5 @@
 /**
- * The vocabulary of rank 0's decider: its events, effects and phases.
+ * Types of the decider at rank 0: its events, effects and phases.
  *
  * @module
  */
@@ -10,27 +10,27 @@
   MemberMessage,
 } from "../messages/group_types.ts";
 
-/** Options of the decider of rank 0. */
+/** Options of a `GroupCoordinator`. */
 export interface GroupCoordinatorOptions {
   readonly ranks: number;
-  /** Incarnation of this process. */
+  /** Incarnation of this decider's process. */
   readonly decider: string;
-  /** Map for a group that has none yet. */
+  /** Initial map of a group that has none yet. */
   readonly firstMap: ExpertMap;
   /**
-   * Epoch to begin with; later starts should give a higher one (seconds of the
-   * wall clock do). Nothing depends on it but that runs and versions keep
-   * distinct numbers after all engines of a group were replaced at once.
+   * Initial epoch. Later starts should pass a higher one, such as the seconds of the wall
+   * clock. It only ensures that the numbers of runs and versions stay distinct after all
+   * engines of a group were replaced at once.
    */
   readonly firstEpoch: number;
   /**
-   * Steps between the furthest rank and the step of a switch; doubled each time
-   * that the group proves faster than the messages.
+   * Steps between the most advanced rank and the step of a switch. Doubles each time that
+   * a rank begins the switch step before it receives the message to prepare it.
    */
   readonly marginSteps?: number;
 }
 
-/** A message of a rank arrived. */
+/** A message of a rank was received. */
 export interface MemberMessageReceived {
   readonly kind: "member_said";
   readonly now: number;
@@ -38,7 +38,7 @@
   readonly message: MemberMessage;
 }
 
-/** The connection to a rank was made anew; its process may be another. */
+/** A connection to a rank was established; the rank's process may be a new one. */
 export interface MemberConnected {
   readonly kind: "member_connected";
   readonly now: number;
@@ -58,42 +58,42 @@
   readonly now: number;
 }
 
-/** Everything that can happen to a decider. */
+/** Input events of a decider. */
 export type CoordinatorEvent =
   | MemberMessageReceived
   | MemberConnected
   | MapProposed
   | CoordinatorTick;
 
-/** Say something to a rank. */
+/** Sends a message to a rank. */
 export interface SendToMember {
   readonly kind: "say";
   readonly rank: number;
   readonly message: CoordinatorMessage;
 }
 
-/** A switch was decided, one way or the other. */
+/** A switch was committed or aborted. */
 export interface SwitchDecided {
   readonly kind: "switch_decided";
   readonly version: number;
   readonly isCommitted: boolean;
 }
 
-/** A proposal came while another was under way, and is not taken up. */
+/** A proposed map was rejected because another switch is in progress. */
 export interface ProposalDropped {
   readonly kind: "proposal_dropped";
 }
 
-/** Everything that a decider can ask for. */
+/** Output effects of a decider. */
 export type CoordinatorEffect = SendToMember | SwitchDecided | ProposalDropped;
 
-/** Every rank is asked what it has. @internal */
+/** Every rank is asked for the state of its engine. @internal */
 export interface Binding {
   readonly kind: "binding";
   readonly engines: Map<number, EngineState>;
 }
 
-/** No switch is under way. @internal */
+/** No switch is in progress. @internal */
 export interface Idle {
   readonly kind: "idle";
 }
@@ -108,7 +108,7 @@
   readonly steps: Map<number, number>;
 }
 
-/** The ranks promise to hold. @internal */
+/** The ranks promise to hold before the switch step. @internal */
 export interface Preparing {
   readonly kind: "preparing";
   readonly version: number;
@@ -119,10 +119,10 @@
   readonly prepared: Set<number>;
 }
 
-/** Where a decider stands. @internal */
+/** Phase of a decider. @internal */
 export type Phase = Binding | Idle | Staging | Preparing;
 
-/** What was decided upon a version. @internal */
+/** The decision about a version. @internal */
 export interface Decision {
   readonly version: number;
   /** Step of the switch; undefined when it was aborted. */
--- a/src/group/group_part.ts
+++ b/src/group/group_part.ts
@@ -1,5 +1,5 @@
 /**
- * A target's part in a rank group: the member, and at rank 0 the decider.
+ * Runs a target's share of a rank group: the member and, at rank 0, the decider.
  *
  * @module
  */
@@ -13,10 +13,10 @@
 import type { GroupShape } from "./map_planner.ts";
 import { MemberDriver } from "./member_driver.ts";
 
-/** The rank that a target's engine is, and the group that it belongs to. */
+/** Rank of a target's engine and the group that it belongs to. */
 export interface GroupRank extends Omit<GroupShape, "ranks"> {
   readonly rank: number;
-  /** At rank 0: the targets before all ranks, in their order. */
+  /** At rank 0, the addresses of the targets in front of all ranks, in rank order. */
   readonly memberAddresses: readonly string[];
 }
 
@@ -29,14 +29,14 @@
   readonly log: EventLog;
 }
 
-/** A target's part in a rank group. */
+/** Runs the member of a target's rank and, at rank 0, the decider of the group. */
 export class GroupPart {
   readonly #member: MemberDriver;
   readonly #coordinator: CoordinatorDriver | undefined;
-  /** The newest connection of rank 0; an older one is another process's. */
+  /** Newest connection of rank 0; an older one belongs to an earlier process. */
   #link: Link | undefined;
 
-  /** Begins at once. */
+  /** Starts immediately. */
   constructor(options: GroupParticipantOptions) {
     const { group } = options;
     this.#member = new MemberDriver({
@@ -51,20 +51,20 @@
     });
   }
 
-  /** Rank 0 connected. */
+  /** Uses a new connection of rank 0 and closes the previous one. */
   addLink(link: Link): void {
     this.#link?.close();
     this.#link = link;
   }
 
-  /** Takes in a message of rank 0. */
+  /** Processes a message of rank 0. */
   receive(link: Link, message: Message): void {
     if (link !== this.#link) return;
     if (message.kind === "group_order") this.#member.receive(message.order);
     if (message.kind === "rank_load_request") void this.#sendLoad(link);
   }
 
-  /** Takes part no more. */
+  /** Stops the member and the decider. */
   stop(): void {
     this.#member.stop();
     this.#coordinator?.stop();
--- a/src/group/group_process_test.ts
+++ b/src/group/group_process_test.ts
@@ -16,7 +16,7 @@
 const EVEN = [10, 10, 10, 10, 10, 10];
 const HOT = [100, 10, 10, 10, 10, 10];
 
-describe("a rank group as processes", () => {
+describe("a rank group whose members run as processes", () => {
   let cluster: ProcessCluster;
   let group: RankGroupStandIn;
   const addresses: string[] = [];
@@ -45,8 +45,8 @@
   }
 
   async function waitForSteps(): Promise<void> {
-    const wanted = group.steps + 20;
-    await waitUntil("the group steps", () => group.steps >= wanted);
+    const targetSteps = group.steps + 20;
+    await waitUntil("the group steps", () => group.steps >= targetSteps);
   }
 
   async function waitForMap(): Promise<void> {
@@ -81,19 +81,19 @@
     await cluster.close();
   });
 
-  it("begins once every rank has the map", async () => {
+  it("starts stepping once every rank has the map", async () => {
     await waitForSteps();
     assert.equal(group.versions, 1);
   });
 
-  it("switches the map when popularity shifts, between two steps", async () => {
+  it("switches the map between two steps when expert popularity changes", async () => {
     group.tokens = HOT;
     await waitForMap();
     await waitForSteps();
     assert.deepEqual(group.faults, []);
   });
 
-  it("goes on when rank 0's process is killed and restarted", async () => {
+  it("keeps stepping when the process at rank 0 is killed and restarted", async () => {
     const [first] = targets as [RunningProcess];
     first.child.kill("SIGKILL");
     await exitOf(first.child);
@@ -109,7 +109,7 @@
 
   it("takes orders from rank 0's target only, secret or not", async () => {
     const faults: (LinkFault | undefined)[] = [];
-    const stranger = new LinkClient({
+    const unauthorized = new LinkClient({
       address: addresses[1] as string,
       role: "target",
       identity: {
@@ -129,19 +129,20 @@
               decider: "x",
             },
           }),
-        onMessage: (message) => assert.fail(`It answered ${message.kind}`),
+        onMessage: (message) =>
+          assert.fail(`Unexpected answer: ${message.kind}`),
         onDisconnected: (fault) => faults.push(fault),
         onDialFailed: () => undefined,
       },
     });
-    await waitUntil("the stranger is shut out", () => faults.length > 0);
-    stranger.stop();
+    await waitUntil("the client is rejected", () => faults.length > 0);
+    unauthorized.stop();
     await waitForSteps();
     assert.match(targets[1]?.readLog() ?? "", /NOT_COORDINATOR/);
     assert.deepEqual(group.faults, []);
   });
 
-  it("begins a new run when a rank's engine is replaced", async () => {
+  it("starts a new run when the engine of a rank is replaced", async () => {
     const before = group.incarnationOf(0);
     group.replace(2);
     await waitForSteps();
@@ -150,7 +151,7 @@
     assert.deepEqual(group.faults, []);
   });
 
-  it("asks again after a member's process was killed", async () => {
+  it("switches maps again after a member's process was killed and restarted", async () => {
     const last = targets[2] as RunningProcess;
     last.child.kill("SIGKILL");
     await exitOf(last.child);
--- a/src/group/map_planner.ts
+++ b/src/group/map_planner.ts
@@ -1,9 +1,9 @@
 /**
- * Proposes expert maps to rank 0 from what the ranks count.
+ * Plans expert maps for the decider at rank 0 from the load that the ranks report.
  *
  * @module
  */
-import { setImmediate as nextTurn } from "node:timers/promises";
+import { setImmediate as yieldToEventLoop } from "node:timers/promises";
 import { packGreedily } from "../policy/placement/greedy_packer.ts";
 import { LoadEstimator } from "../policy/placement/load_estimator.ts";
 import type { PlacementPlanner } from "../policy/placement/types.ts";
@@ -13,7 +13,7 @@
   RankLoad,
 } from "../messages/group_types.ts";
 
-/** Size of a group. */
+/** Dimensions of a group. */
 export interface GroupShape {
   readonly ranks: number;
   readonly layers: number;
@@ -21,7 +21,7 @@
   readonly slotsPerRank: number;
 }
 
-/** The map of a group of which nothing is known. */
+/** Creates the initial map of a group whose load is unknown. */
 export function createFirstMap(shape: GroupShape): ExpertMap {
   const slots = new Array<number>(shape.ranks).fill(shape.slotsPerRank);
   const load = {
@@ -32,18 +32,18 @@
   return { layers: Array.from({ length: shape.layers }, () => layer) };
 }
 
-/** A proposed map, and what it costs to get there. */
+/** A proposed map and the number of experts that move for it. */
 export interface MapProposal {
   readonly map: ExpertMap;
   readonly moves: number;
 }
 
-/** Proposes expert maps. */
+/** Plans expert maps. */
 export class MapPlanner {
   readonly #shape: GroupShape;
   readonly #estimators: readonly LoadEstimator[];
 
-  /** Begins without counts. */
+  /** Starts without any observed load. */
   constructor(shape: GroupShape) {
     this.#shape = shape;
     this.#estimators = Array.from(
@@ -53,25 +53,25 @@
   }
 
   /**
-   * Takes in what the ranks counted in an interval. Without every rank the sum
-   * over replicas would be short, so the counts of such an interval are left
-   * out; speeds are taken as far as they are known.
+   * Records the loads of one interval. Token counts are used only if every rank reported,
+   * because the sum over an expert's replicas would otherwise be too low. Slowdowns are
+   * used for each rank that reported.
    */
   observe(loads: readonly (RankLoad | undefined)[]): void {
     const slowdowns = loads.map((load) => load?.slowdown);
-    const isWhole = loads.every((load) => load !== undefined);
+    const isComplete = loads.every((load) => load !== undefined);
     for (const [layer, estimator] of this.#estimators.entries()) {
       const tokens = Array.from(
         { length: this.#shape.experts },
-        (_, expert) => isWhole ? sumTokens(loads, layer, expert) : undefined,
+        (_, expert) => isComplete ? sumTokens(loads, layer, expert) : undefined,
       );
       estimator.observe({ tokens, slowdowns });
     }
   }
 
   /**
-   * A better map than the present one; undefined when none is worth it. Other
-   * work of the process gets its turn between two layers.
+   * Returns a better map than the current one; undefined if no change is worthwhile.
+   * Yields to the event loop after each layer, so that planning does not block the process.
    */
   async tryPlan(
     current: ExpertMap,
@@ -84,7 +84,7 @@
       const planned = planner.plan(placement, estimator.load);
       moves += planned.moves;
       layers.push(planned.placement);
-      await nextTurn();
+      await yieldToEventLoop();
     }
     return moves === 0 ? undefined : { map: { layers }, moves };
   }
--- a/src/group/member.ts
+++ b/src/group/member.ts
@@ -1,6 +1,6 @@
 /**
- * A rank's member of its group: follows rank 0's decisions and gives the engine
- * its orders. Whatever must survive the process lives in the engine.
+ * The member at each rank of a group: executes the decisions of rank 0 by sending orders
+ * to the rank's engine. All state that must survive a restart is kept by the engine.
  *
  * @module
  */
@@ -16,22 +16,22 @@
   StageMessage,
 } from "../messages/group_types.ts";
 
-/** Milliseconds between two questions for a decision. */
+/** Milliseconds between two requests for a decision. */
 export const DECISION_REQUEST_INTERVAL_MS = 200;
 
-/** A message of rank 0 arrived. */
+/** A message of rank 0 was received. */
 export interface CoordinatorMessageReceived {
   readonly kind: "coordinator_said";
   readonly now: number;
   readonly message: CoordinatorMessage;
 }
 
-/** The engine answered an order, or said how it stands. */
+/** The engine answered an order or reported its state. */
 export interface EngineStateReceived {
   readonly kind: "engine_said";
   readonly now: number;
   readonly engine: EngineState;
-  /** The order that was answered; undefined for a mere report. */
+  /** The order that was answered; undefined for a state that was polled. */
   readonly order?: EngineOrder;
 }
 
@@ -41,48 +41,48 @@
   readonly now: number;
 }
 
-/** Everything that can happen to a member. */
+/** Input events of a member. */
 export type MemberEvent =
   | CoordinatorMessageReceived
   | EngineStateReceived
   | MemberTick;
 
-/** Say something to rank 0. */
+/** Sends a message to rank 0. */
 export interface SendToCoordinator {
   readonly kind: "say";
   readonly message: MemberMessage;
 }
 
-/** Give the engine an order, with a number that grows with each decider. */
+/** Sends an order to the engine, with the epoch of its decider as fencing number. */
 export interface SendEngineOrder {
   readonly kind: "order";
   readonly order: EngineOrder;
   readonly fencingNumber: number;
 }
 
-/** Everything that a member can ask for. */
+/** Output effects of a member. */
 export type MemberEffect = SendToCoordinator | SendEngineOrder;
 
-/** A rank's member of its group. */
+/** Executes the decisions of rank 0 at one rank. */
 export class GroupMember {
-  /** The decider that is followed; epoch 0 before the first. */
+  /** The decider that this member follows; epoch 0 before the first. */
   #decider: Decider = { epoch: 0, decider: "" };
   #engine: EngineState | undefined;
-  /** The order that the engine has not answered; orders go one by one. */
+  /** The order that the engine has not answered; only one is sent at a time. */
   #pendingOrder: EngineOrder | undefined;
   #queuedOrders: EngineOrder[] = [];
-  /** A bind that is answered once the engine's state is certain. */
+  /** Whether a bind message is to be answered once no order is pending. */
   #isBindPending = false;
   #decisionRequestedAt = Number.NEGATIVE_INFINITY;
   #effects: MemberEffect[] = [];
 
-  /** Number of the decider that is followed. */
+  /** Epoch of the decider that this member follows. */
   get epoch(): number {
     return this.#decider.epoch;
   }
 
   /**
-   * Takes in one event and returns what is to be done, in order.
+   * Processes one event and returns the resulting effects in order.
    *
    * @example
    * ```ts
@@ -143,9 +143,9 @@
   }
 
   /**
-   * From here on an earlier decider's late word is refused. An order of its
-   * that the engine has not answered may still take effect, so the answer to
-   * the bind waits for it: what we tell must not change behind our back.
+   * Follows a new decider and rejects late messages of earlier ones from now on. An
+   * earlier decider's order that the engine has not answered may still take effect, so
+   * the bind is answered only after it: the reported state must not change afterwards.
    */
   #onBind(message: BindMessage): void {
     const isLater = message.epoch > this.epoch;
@@ -167,15 +167,15 @@
   }
 
   #onEngineState(event: EngineStateReceived): void {
-    const before = this.#engine;
+    const previous = this.#engine;
     this.#engine = event.engine;
     const isAnswer = event.order !== undefined &&
       event.order === this.#pendingOrder;
     if (isAnswer) this.#pendingOrder = undefined;
     if (isAnswer && !this.#isBindPending) this.#onOrderAnswered(event);
-    const isReplaced = before !== undefined && event.order === undefined &&
-      before.incarnation !== event.engine.incarnation;
-    // Only rank 0 can begin a new run with the new engine.
+    const isReplaced = previous !== undefined && event.order === undefined &&
+      previous.incarnation !== event.engine.incarnation;
+    // Rank 0 has to start a new run with the new engine.
     if (isReplaced) this.#sendBound(event.engine);
     this.#tryAnswerBind();
     this.#sendNextOrder();
@@ -184,17 +184,17 @@
   #onOrderAnswered(event: EngineStateReceived): void {
     const order = event.order as EngineOrder;
     const { engine } = event;
-    const place = { epoch: this.epoch, version: order.version };
+    const header = { epoch: this.epoch, version: order.version };
     switch (order.kind) {
       case "stage":
       case "assemble":
         if (engine.stagedVersion !== order.version) return;
-        return this.#send({ kind: "staged", ...place, step: engine.step });
+        return this.#send({ kind: "staged", ...header, step: engine.step });
       case "hold":
         return this.#sendHoldResult(order, engine);
       case "activate":
       case "release":
-        return this.#send({ kind: "applied", ...place });
+        return this.#send({ kind: "applied", ...header });
       default:
         assertNever(order);
     }
@@ -202,14 +202,14 @@
 
   #sendHoldResult(order: HoldOrder, engine: EngineState): void {
     const { version, step } = order;
-    const place = { epoch: this.epoch, version, step };
+    const header = { epoch: this.epoch, version, step };
     const isHeld = engine.holdBefore === step &&
       engine.stagedVersion === version;
-    if (isHeld) return this.#send({ kind: "prepared", ...place });
-    this.#send({ kind: "too_late", ...place, engineStep: engine.step });
+    if (isHeld) return this.#send({ kind: "prepared", ...header });
+    this.#send({ kind: "too_late", ...header, engineStep: engine.step });
   }
 
-  /** A rank that stands at its promise asks until it knows the decision. */
+  /** Requests the decision repeatedly while the engine holds before a switch step. */
   #requestDecisionIfHeld(now: number): void {
     const engine = this.#engine;
     if (engine?.holdBefore === undefined) return;
@@ -248,7 +248,7 @@
   }
 }
 
-/** Messages are sent again while the engine works; one order is enough. */
+/** Detects orders of resent messages, which need not be sent to the engine again. */
 function isSameOrder(left: EngineOrder, right: EngineOrder): boolean {
   if (left.kind !== right.kind || left.version !== right.version) return false;
   const hasStep = left.kind === "hold" || left.kind === "activate";
--- a/src/group/member_driver.ts
+++ b/src/group/member_driver.ts
@@ -1,7 +1,6 @@
 /**
- * Performs the effects of a member and feeds it events. Calls of the engine go
- * one after the other, so that what it says of itself is never older than the
- * last order that it answered.
+ * Performs the effects of a member and dispatches events to it. Calls of the engine are
+ * serialized, so that a reported state is never older than the last answered order.
  *
  * @module
  */
@@ -22,30 +21,30 @@
 /** Options of a {@link MemberDriver}. */
 export interface MemberDriverOptions {
   readonly engine: RankEngine;
-  /** Sends to rank 0, if it is connected. */
+  /** Sends a message to rank 0 if it is connected. */
   readonly send: (message: MemberMessage) => void;
 }
 
-/** A running member. */
+/** Runs the member of a rank. */
 export class MemberDriver {
   readonly #options: MemberDriverOptions;
   readonly #member = new GroupMember();
   #lastEngineCall: Promise<void> = Promise.resolve();
   #isStopped = false;
 
-  /** Begins to watch the engine at once. */
+  /** Starts polling the engine immediately. */
   constructor(options: MemberDriverOptions) {
     this.#options = options;
     void this.#pollEngine();
   }
 
-  /** Rank 0 said something. */
+  /** Processes a message of rank 0. */
   receive(message: CoordinatorMessage): void {
     const now = performance.now();
     this.#dispatch({ kind: "coordinator_said", now, message });
   }
 
-  /** What the engine counted; undefined when it does not answer. */
+  /** Reads the load that the engine counted; undefined if it does not answer. */
   async tryReadLoad(): Promise<RankLoad | undefined> {
     try {
       return await this.#options.engine.readLoad();
@@ -54,7 +53,7 @@
     }
   }
 
-  /** Watches no more. */
+  /** Stops polling the engine. */
   stop(): void {
     this.#isStopped = true;
   }
@@ -72,7 +71,7 @@
       const engine = await this.#options.engine.readState();
       this.#dispatch({ kind: "engine_said", now: performance.now(), engine });
     } catch {
-      // The next look tells whether it answers again.
+      // The next poll retries.
     }
   }
 
@@ -90,8 +89,8 @@
     }
   }
 
-  #enqueueEngineCall(work: () => Promise<void>): Promise<void> {
-    this.#lastEngineCall = this.#lastEngineCall.then(work);
+  #enqueueEngineCall(call: () => Promise<void>): Promise<void> {
+    this.#lastEngineCall = this.#lastEngineCall.then(call);
     return this.#lastEngineCall;
   }
 
--- a/src/group/member_test.ts
+++ b/src/group/member_test.ts
@@ -12,7 +12,7 @@
 const FIRST: Decider = { epoch: 1, decider: "first" };
 const SECOND: Decider = { epoch: 2, decider: "second" };
 
-/** A member whose engine holds before step 5 with version 7 staged. */
+/** A member whose engine holds before step 5 and has version 7 staged. */
 class HeldMember {
   readonly member = new GroupMember();
   readonly engine = new FakeEngine(false);
@@ -30,14 +30,14 @@
       now: 0,
       engine: this.engine.state,
     });
-    this.say({ kind: "bind", ...FIRST });
+    this.receive({ kind: "bind", ...FIRST });
   }
 
-  say(message: CoordinatorMessage): readonly MemberEffect[] {
+  receive(message: CoordinatorMessage): readonly MemberEffect[] {
     return this.member.reduce({ kind: "coordinator_said", now: 0, message });
   }
 
-  carryOut(
+  execute(
     effect: Extract<MemberEffect, { kind: "order" }>,
   ): readonly MemberEffect[] {
     this.engine.carryOut(effect.order, effect.fencingNumber);
@@ -59,63 +59,68 @@
 }
 
 describe("group member", () => {
-  it("refuses an earlier decider's late decision", () => {
+  it("rejects a late decision of an earlier decider", () => {
     const held = new HeldMember();
-    held.say({ kind: "bind", ...SECOND });
-    const effects = held.say({ kind: "commit", ...FIRST, version: 7, step: 5 });
+    held.receive({ kind: "bind", ...SECOND });
+    const effects = held.receive({
+      kind: "commit",
+      ...FIRST,
+      version: 7,
+      step: 5,
+    });
     assert.deepEqual(effects, [
       { kind: "say", message: { kind: "outdated", ...SECOND } },
     ]);
   });
 
-  it("does not take two deciders for one because their numbers are equal", () => {
+  it("distinguishes two deciders with the same epoch", () => {
     const held = new HeldMember();
     const other: Decider = { epoch: FIRST.epoch, decider: "other" };
-    const effects = held.say({ kind: "bind", ...other });
+    const effects = held.receive({ kind: "bind", ...other });
     assert.deepEqual(effects, [
       { kind: "say", message: { kind: "outdated", ...FIRST } },
     ]);
   });
 
-  it("answers a bind only when no order is under way", () => {
+  it("answers a bind only after the pending order is answered", () => {
     const held = new HeldMember();
     const order = getOrder(
-      held.say({ kind: "commit", ...FIRST, version: 7, step: 5 }),
+      held.receive({ kind: "commit", ...FIRST, version: 7, step: 5 }),
     );
-    assert.deepEqual(held.say({ kind: "bind", ...SECOND }), []);
-    const effects = held.carryOut(order);
+    assert.deepEqual(held.receive({ kind: "bind", ...SECOND }), []);
+    const effects = held.execute(order);
     assert.equal(effects.length, 1);
     const [effect] = effects;
     assert.ok(effect?.kind === "say" && effect.message.kind === "bound");
     assert.deepEqual(effect.message.engine.activation, { version: 7, step: 5 });
   });
 
-  it("drops an earlier decider's orders that wait", () => {
+  it("drops queued orders of an earlier decider", () => {
     const held = new HeldMember();
-    const stage = getOrder(held.say({
+    const stage = getOrder(held.receive({
       kind: "stage",
       ...FIRST,
       version: 8,
       map: MAP,
       assemble: undefined,
     }));
-    held.say({ kind: "abort", ...FIRST, version: 8 });
-    held.say({ kind: "bind", ...SECOND });
-    const effects = held.carryOut(stage);
+    held.receive({ kind: "abort", ...FIRST, version: 8 });
+    held.receive({ kind: "bind", ...SECOND });
+    const effects = held.execute(stage);
     assert.ok(effects.every((effect) => effect.kind !== "order"));
   });
 
-  it("tells when the engine is another", () => {
+  it("reports when the engine was replaced", () => {
     const held = new HeldMember();
-    const fresh = new FakeEngine(false).state;
+    const replacement = new FakeEngine(false).state;
     const effects = held.member.reduce({
       kind: "engine_said",
       now: 0,
-      engine: fresh,
+      engine: replacement,
     });
     assert.deepEqual(effects, [{
       kind: "say",
-      message: { kind: "bound", epoch: FIRST.epoch, engine: fresh },
+      message: { kind: "bound", epoch: FIRST.epoch, engine: replacement },
     }]);
   });
 });
--- a/src/group/switch_schedules_test.ts
+++ b/src/group/switch_schedules_test.ts
@@ -46,14 +46,14 @@
 }
 
 const FAULT_ROWS: readonly FaultRow[] = [
-  { name: "late and crossed messages", weights: QUIET, checksFencing: true },
+  { name: "late and reordered messages", weights: QUIET, checksFencing: true },
   {
-    name: "processes restarted without memory",
+    name: "processes restarted without state",
     weights: { ...QUIET, restart_member: 2 },
     checksFencing: true,
   },
   {
-    name: "processes restarted, engines that ignore fencing numbers",
+    name: "processes restarted, engines ignoring fencing numbers",
     weights: { ...QUIET, restart_member: 2 },
     checksFencing: false,
   },
@@ -63,12 +63,12 @@
     checksFencing: true,
   },
   {
-    name: "ranks cut off and joined again",
+    name: "ranks disconnected and reconnected",
     weights: { ...QUIET, cut: 2, join: 2 },
     checksFencing: true,
   },
   {
-    name: "everything at once",
+    name: "all faults together",
     weights: { ...QUIET, restart_member: 1, replace_rank: 1, cut: 1, join: 1 },
     checksFencing: false,
   },
@@ -85,27 +85,33 @@
             maxLength: 200,
           }),
           (actions) => {
-            const world = new GroupWorld(row);
-            world.heal();
-            const before = world.lowestStep;
-            assert.ok(before >= STEPS_AFTER_HEALING, "The group never began");
-            for (const action of actions) world.act(action);
-            const steps = world.versionByStep.size;
-            world.heal();
+            const simulation = new GroupWorld(row);
+            simulation.heal();
+            const initialStep = simulation.lowestStep;
             assert.ok(
-              world.versionByStep.size >= steps + STEPS_AFTER_HEALING,
-              "A rank waits for a decision that can be known",
+              initialStep >= STEPS_AFTER_HEALING,
+              "The group did not start stepping",
             );
+            for (const action of actions) simulation.act(action);
+            const steps = simulation.versionByStep.size;
+            simulation.heal();
             assert.ok(
-              world.isIdle,
-              "The last decision is not known everywhere",
+              simulation.versionByStep.size >= steps + STEPS_AFTER_HEALING,
+              "A rank did not learn a decision that is available",
             );
-            committed += world.committed;
+            assert.ok(
+              simulation.isIdle,
+              "A rank did not learn the last decision",
+            );
+            committed += simulation.committed;
           },
         ),
         { seed: SEED, numRuns: RUNS, includeErrorInReport: true },
       );
-      assert.ok(committed > RUNS, "Too few switches for the row to mean much");
+      assert.ok(
+        committed > RUNS,
+        "Too few committed switches to be conclusive",
+      );
     });
   }
 });
