--- a/src/group/formed/assemble_map.ts
+++ b/src/group/formed/assemble_map.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a map together from what each rank says that it holds.
+ * Assembles a group's map from the experts that each rank reports.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { RankExperts } from "../../messages/formed_group_types.ts";
 
 /**
- * The map of a group, from the experts of all its ranks.
+ * Returns the map of a group, given the experts of all its ranks.
  *
  * @example
  * ```ts
--- a/src/group/formed/base_maps.ts
+++ b/src/group/formed/base_maps.ts
@@ -1,32 +1,32 @@
 /**
- * Tells the processes of all ranks the map in force while nothing else is to be sent, so
- * that the first order needs to carry only what differs from it.
+ * Paces the sending of the map in force to the processes of all ranks ahead of the first
+ * order, so that this order has to carry only the difference from it.
  *
  * @module
  */
 import { LinkPacer } from "../../policy/link_pacer.ts";
 import type { ExpertMap } from "../../messages/group_types.ts";
 
-/** Part of the decider's link for maps that are told ahead. */
+/** Share of the decider's link for maps that are sent ahead of orders. */
 const LINK_SHARE = 0.2;
-/** Bytes of an expert's number in a map. */
+/** Average encoded size of an expert's number in a map, in bytes. */
 const BYTES_PER_EXPERT = 1.6;
 
-/** Paces maps that are told ahead of orders. */
+/** Paces maps that are sent ahead of orders. */
 export class BaseMapPacer {
   readonly #pacer: LinkPacer;
 
-  /** Takes the bytes that the decider's link carries in a second. */
+  /** `bytesPerSecond` is the capacity of the decider's link. */
   constructor(bytesPerSecond: number) {
     this.#pacer = new LinkPacer({ bytesPerSecond, part: LINK_SHARE });
   }
 
   /**
-   * Whether one more process may be told the map now.
+   * Returns whether the map may be sent to one more process now, and reserves its bytes.
    *
    * @example
    * ```ts
-   * if (baseMaps.tryTake(map, now)) tell(map);
+   * if (pacer.tryTake(map, now)) send(map);
    * ```
    */
   tryTake(map: ExpertMap, now: number): boolean {
--- a/src/group/formed/copies_per_rank.ts
+++ b/src/group/formed/copies_per_rank.ts
@@ -1,40 +1,40 @@
 /**
- * How many experts a rank may copy for one map.
+ * Limits how many experts a rank copies for one map.
  *
  * @module
  */
 
-/** What the number of copies depends on. */
+/** Input of {@link getCopiesPerRank}. */
 export interface CopyLimitInput {
   /** Milliseconds in which a rank loads one expert. */
   readonly loadMs: number;
-  /** Milliseconds that a pass takes, if that is known. */
+  /** Duration of a pass in milliseconds, if it is known. */
   readonly passMs: number | undefined;
-  /** Ranks of the group. */
+  /** Number of ranks in the group. */
   readonly ranks: number;
 }
 
 /**
- * Milliseconds that copies may take for one map: those at one rank are loaded one after
- * the other, and all are planned one after the other. Popularity changes within seconds:
- * few copies that are soon in force beat many that come too late.
+ * Time limit in milliseconds for planning and loading the copies of one map. Both are
+ * sequential: loading at each rank, planning over all ranks. Popularity changes within
+ * seconds, so few copies that take effect early help more than many that come too late.
  */
 const COPYING_MS_PER_MAP = 160;
 /**
- * Milliseconds to plan one copy on a machine with less than half of a core. It binds where
- * groups are large.
+ * Milliseconds to plan one copy on a VM with less than half a core. This is the limiting
+ * factor in large groups.
  */
 const PLANNING_MS_PER_COPY = 1;
-/** Experts that a rank loads for one map when passes take long, at most. */
+/** Maximum number of experts that a rank loads for one map, however long passes take. */
 const MAX_NEW_EXPERTS_PER_RANK = 6;
 /**
- * Passes that a switch takes beside the loading. While one rank slows them all to
- * a second each, several copies fit into that time.
+ * Passes that a switch takes in addition to loading. If passes are slow, such as a second
+ * each, several copies can be loaded in the same time.
  */
 const PASSES_PER_SWITCH = 2;
 
 /**
- * Experts that a rank may copy for one map, one at least.
+ * Returns how many experts a rank may copy for one map, which is at least one.
  *
  * @example
  * ```ts
--- a/src/group/formed/counts_memory.ts
+++ b/src/group/formed/counts_memory.ts
@@ -1,8 +1,8 @@
 /**
- * Tells counts as what was added since those told before, where the decider has
- * these. Counts since the start of an engine take three bytes each and more, what
- * was added in a fifth of a second takes one: 1.7 KB in place of 4.8 for 16 sets of
- * 96 experts, of which a decider hears 24 ranks five times a second.
+ * Encodes expert counts as the increase over the counts that were sent before, if the
+ * decider has those. A count since the start of an engine takes three bytes or more, the
+ * increase within 200 ms takes one: 1.7 KB instead of 4.8 KB for 16 layers of 96 experts.
+ * A decider receives the counts of 24 ranks five times a second.
  *
  * @module
  */
@@ -11,39 +11,39 @@
   ExpertCounts,
 } from "../../messages/formed_group_types.ts";
 
-/** Remembers the counts that were told last. */
+/** Encodes counts relative to those that were sent last. */
 export class CountsEncoder {
   #serial = 0;
   #lastSent: ExpertCounts | undefined;
 
   /**
-   * The counts for a decider that has those with the number `known`; in full if it
-   * has others or none, or if the engine has started anew.
+   * Returns the increase over the counts with the serial number `known`. Returns the full
+   * counts if those are not the last ones sent or if the engine has restarted.
    *
    * @example
    * ```ts
-   * const report = memory.tell(await engine.readCounts(), query.knownCounts);
+   * const report = encoder.encode(await engine.readCounts(), query.knownCounts);
    * ```
    */
   encode(counts: ExpertCounts, known: number | undefined): CountsReport {
-    const told = known === this.#serial ? this.#lastSent : undefined;
+    const base = known === this.#serial ? this.#lastSent : undefined;
     const since = this.#serial;
     this.#serial++;
     this.#lastSent = counts;
-    const added = told === undefined ? undefined : tryGetIncrease(counts, told);
+    const added = base === undefined ? undefined : tryGetIncrease(counts, base);
     if (added === undefined) return { serial: this.#serial, counts };
     return { serial: this.#serial, since, counts: added };
   }
 }
 
-/** Undefined when some count is lower than it was. */
+/** Returns undefined if any count has decreased, which means that the engine restarted. */
 function tryGetIncrease(
   counts: ExpertCounts,
-  before: ExpertCounts,
+  base: ExpertCounts,
 ): ExpertCounts | undefined {
   const added = counts.map((row, layer) =>
-    row.map((count, expert) => count - (before[layer]?.[expert] ?? 0))
+    row.map((count, expert) => count - (base[layer]?.[expert] ?? 0))
   );
-  const isGrown = added.every((row) => row.every((count) => count >= 0));
-  return isGrown ? added : undefined;
+  const isIncrease = added.every((row) => row.every((count) => count >= 0));
+  return isIncrease ? added : undefined;
 }
--- a/src/group/formed/decider.ts
+++ b/src/group/formed/decider.ts
@@ -1,17 +1,19 @@
 /**
- * Decides the expert map of a formed group, in the process beside rank 0; and beside
- * the holder, ends a switch that nobody else does.
+ * Decides the expert map of a formed group. Runs in the sidecar of rank 0, and in the
+ * sidecar of the holder to complete a switch that no other process completes.
  *
- * The ranks prepare a map; the holder's engine holds the pass of the switch, so that the
- * group cannot begin it; then the holder is armed, which decides the switch, and only
- * then the others; when every rank is seen to be armed, the pass may begin.
+ * A switch takes these steps: All ranks prepare a map. The holder's engine holds the pass
+ * of the switch, so that the group cannot begin it. The holder is armed, which commits the
+ * switch. All other ranks are armed. Once every rank is known to be armed, the pass is
+ * released.
  *
- * Whoever finds a held pass reads from the holder's engine alone what to do. If it is
- * armed, all others are armed and the pass begins with the new map. If it is not, no
- * rank is: its engine is fenced, so that it cannot be armed for that pass any more, and
- * the pass begins with the old map. Armed and fenced each last until the pass begins, and
- * an engine is never both. So any number of processes may do this at once, each may end
- * at any moment, and no order is harmful when it is carried out late.
+ * Any process that finds a held pass reads from the holder's engine alone how to proceed.
+ * If the holder is armed, the process arms all other ranks and releases the pass, which
+ * runs with the new map. If the holder is not armed, no rank is: the process fences the
+ * holder's engine, so that it can no longer be armed for that pass, and releases the pass,
+ * which runs with the old map. An engine stays armed or fenced until the pass begins and
+ * is never both. Therefore any number of processes may do this concurrently, each may
+ * stop at any time, and no order does harm if it is executed late.
  *
  * @module
  */
@@ -29,7 +31,7 @@
   Releasing,
   SwitchAtPass,
 } from "./decider_types.ts";
-import { recordGathered, tryGetSettledMap } from "./gathered_ranks.ts";
+import { recordRankReport, tryGetSettledMap } from "./gathered_ranks.ts";
 import { readHeldPass } from "./held_pass.ts";
 import { HoldMargin } from "./hold_margin.ts";
 import { classifyRejection, hasStrayHold } from "./judge_report.ts";
@@ -42,11 +44,11 @@
   type RankState,
 } from "../../messages/formed_group_types.ts";
 
-/** Milliseconds between two questions to ranks of which it is unknown what they hold. */
+/** Milliseconds between two queries to ranks whose experts are unknown. */
 const GATHERING_QUERY_INTERVAL_MS = 250;
-/** Milliseconds between two looks at a group that has yet to begin a pass. */
+/** Milliseconds between two queries while the pass of a switch has not begun. */
 const SWITCHING_QUERY_INTERVAL_MS = 40;
-/** Weight of the newest report in the mean time of a pass. */
+/** Weight of the newest sample in the mean duration of a pass, from 0 to 1. */
 const PASS_SMOOTHING = 0.4;
 
 /** Decides the expert map of a formed group. */
@@ -54,22 +56,22 @@
   readonly #ranks: number;
   readonly #holder: number;
   #epoch: number;
-  /** The last pass of this epoch that any rank is known to have begun. */
+  /** Last pass of this epoch that any rank is known to have begun. */
   #lastPass: number;
-  /** The same of each rank by itself. */
+  /** Last pass of this epoch that each rank is known to have begun. */
   readonly #lastPassByRank = new Map<number, number>();
   #phase: DeciderPhase;
   #phaseEnteredAt: number;
   readonly #versions: MapVersions;
   readonly #margin = new HoldMargin();
   readonly #passTimes = new PassTimes(PASS_SMOOTHING);
-  /** When the pass of the switch under way was to be held; undefined: by another. */
+  /** When this decider ordered the hold of the current switch; undefined if it did not. */
   #heldAt: number | undefined;
   readonly #orders: OpenOrders;
   #queriedAt = Number.NEGATIVE_INFINITY;
   readonly #effects = new DeciderEffects();
 
-  /** Knows nothing of the other ranks yet: the first tick asks them. */
+  /** Starts without any state of the other ranks: the first tick queries them. */
   constructor(options: FormedGroupDeciderOptions) {
     this.#versions = new MapVersions(options.random);
     this.#ranks = options.state.ranks;
@@ -81,23 +83,23 @@
     this.#phaseEnteredAt = options.now;
   }
 
-  /** The map in force, when no switch is under way. */
+  /** The map in force; undefined while a switch is in progress or the map is unknown. */
   get settledMap(): ExpertMap | undefined {
     return this.#phase.kind === "settled" ? this.#phase.map : undefined;
   }
 
-  /** Mean time of the last passes in milliseconds; undefined before two reports. */
+  /** Mean duration of recent passes in milliseconds; undefined before two reports. */
   get passMs(): number | undefined {
     return this.#passTimes.meanMs;
   }
 
-  /** Formation of the group that is decided for. */
+  /** Epoch of the group's current formation. */
   get epoch(): number {
     return this.#epoch;
   }
 
   /**
-   * Takes in one event and returns what is to be done, in order.
+   * Processes one event and returns the resulting effects in order.
    *
    * @example
    * ```ts
@@ -148,14 +150,15 @@
   }
 
   /**
-   * An engine tells other machines its state as it was a while ago, and the process
-   * beside it as it is. What an older state holds may have ended since.
+   * Returns whether a state is older than one received before. An engine reports its
+   * current state to its sidecar but a delayed one to other VMs; a hold in a delayed state
+   * may have ended since.
    */
   #isStale(rank: number, state: RankState): boolean {
     return state.pass < (this.#lastPassByRank.get(rank) ?? 0);
   }
 
-  /** Asks all ranks, and takes what this one says of a held pass. */
+  /** Queries all ranks again and processes the held pass that this report may show. */
   #startOver(event: RankReported): void {
     this.#startGathering(event.now);
     this.#advance(event);
@@ -201,7 +204,7 @@
     }
   }
 
-  /** A held pass is dealt with first; without one, every rank is to be known. */
+  /** Resolves a held pass first; otherwise waits until the state of every rank is known. */
   #onGatheringReport(phase: Gathering, event: RankReported): void {
     const { rank, report, now } = event;
     if (rank === this.#holder) {
@@ -217,24 +220,27 @@
             now,
           );
         case "undecided":
-          // Another pass may still be held for another switch meanwhile.
+          // Until the group reaches the pass, another switch may still be in progress.
           if (held.isAwaited) this.#startFencing(held.pass, now);
           return;
         default:
           assertNever(held);
       }
     }
-    recordGathered(phase, event);
+    recordRankReport(phase, event);
     const map = tryGetSettledMap(phase, this.#ranks);
     if (map !== undefined) this.#enterPhase({ kind: "settled", map }, now);
   }
 
-  #onMapProposed({ map, passPauseRatio: passPart, now }: MapProposed): void {
+  #onMapProposed({ map, passPauseRatio, now }: MapProposed): void {
     if (this.#phase.kind !== "settled") return;
     const version = this.#versions.next();
-    this.#margin.startSwitch(this.#passTimes.meanMs, passPart);
-    const before = this.#phase.map;
-    this.#enterPhase({ kind: "preparing", version, map, before }, now);
+    this.#margin.startSwitch(this.#passTimes.meanMs, passPauseRatio);
+    const previousMap = this.#phase.map;
+    this.#enterPhase(
+      { kind: "preparing", version, map, previousMap },
+      now,
+    );
     for (let rank = 0; rank < this.#ranks; rank++) {
       const { epoch } = this;
       this.#sendOrder(rank, { kind: "prepare", epoch, version, map }, now);
@@ -242,8 +248,9 @@
   }
 
   /**
-   * Two passes ahead at least. A pass that was given up had all before it begun, so it
-   * is never held for another switch, which a late order to let it go could harm.
+   * Holds a pass that is at least two ahead. A pass is only given up after all passes
+   * before it began, so no pass is ever held for a second switch: a late order to release
+   * the first hold would release the second one, too.
    */
   #startHolding(
     { version, map }: Pick<SwitchAtPass, "version" | "map">,
@@ -326,7 +333,7 @@
       case "give_up_map":
         this.#orders.clear();
         return this.#enterPhase(
-          { kind: "settled", map: rejection.before },
+          { kind: "settled", map: rejection.previousMap },
           now,
         );
       case "hold_later":
@@ -346,7 +353,7 @@
     }
   }
 
-  /** A version that the rank loads is not told yet, and was higher. */
+  /** Retries a fence with a higher version: the rank loads one that is not reported yet. */
   #raiseFenceVersion(rank: number, now: number): void {
     this.#versions.skip();
     const { epoch } = this;
@@ -360,11 +367,11 @@
     }
     const { kind } = this.#phase;
     const isGathering = kind === "gathering";
-    const lookMs = isGathering
+    const intervalMs = isGathering
       ? GATHERING_QUERY_INTERVAL_MS
       : SWITCHING_QUERY_INTERVAL_MS;
-    const isLooking = isGathering || kind === "switching";
-    if (!isLooking || now - this.#queriedAt < lookMs) return;
+    const isQuerying = isGathering || kind === "switching";
+    if (!isQuerying || now - this.#queriedAt < intervalMs) return;
     this.#queriedAt = now;
     if (isGathering) return this.#queryUnknownRanks();
     this.#effects.sendQuery(0);
--- a/src/group/formed/decider_driver.ts
+++ b/src/group/formed/decider_driver.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the decider of a formed group: speaks with the processes of all ranks,
- * and proposes maps from what their engines count.
+ * Runs the decider of a formed group: communicates with the sidecars of all ranks and
+ * proposes maps from the counts of their engines.
  *
  * @module
  */
@@ -36,31 +36,31 @@
 
 const TICK_MS = 25;
 /**
- * Milliseconds after a plan that found nothing worth a copy until the next, unless
- * popularity changes: a plan takes some 20 ms of a small machine's processor.
+ * Milliseconds from a plan that found no worthwhile copy until the next plan, unless
+ * popularity changes. A plan takes about 20 ms of processor time on a small VM.
  */
 const IDLE_PLAN_INTERVAL_MS = 400;
-/** Milliseconds between two words to entries on how the ranks stand. */
+/** Milliseconds between two reports of the group's load to entries. */
 const LOAD_INTERVAL_MS = 200;
-/** Milliseconds between two lines of the log on how the group worked. */
+/** Milliseconds between two log records of the group's work. */
 const WORK_LOG_INTERVAL_MS = 1000;
-/** Orders of a decider are numbered from a random number below this. */
+/** Exclusive upper limit of the random number of a decider's first order. */
 const MAX_FIRST_ORDER_ID = 2 ** 31;
 
 /** Options of a {@link DeciderDriver}. */
 export interface DeciderDriverOptions {
   readonly identity: LinkIdentity;
-  /** State of rank 0 as the decider starts. */
+  /** State of rank 0 when the decider starts. */
   readonly state: RankState;
   readonly trySettings: () => GroupSettings | undefined;
   readonly random: RandomSource;
   readonly log: EventLog;
-  /** Called after each round of questions with what the ranks answered. */
+  /** Called periodically with the load that the ranks last reported. */
   readonly onLoad: (load: GroupLoad) => void;
   readonly pool: string;
-  /** Bytes that this machine's link carries in a second, each way. */
+  /** Capacity of this VM's link in each direction, in bytes per second. */
   readonly linkBytesPerSecond: number;
-  /** Makes the way to the engine of another machine. */
+  /** Creates a client of an engine on another VM. */
   readonly createEngine: (address: string) => FormedEngine;
 }
 
@@ -72,17 +72,17 @@
   readonly #links: RankLinks;
   readonly #queries: RankQuestions;
   readonly #baseMapPacer: BaseMapPacer;
-  /** Ranks that were counted since the last plan, or since a map came into force. */
+  /** Ranks that sent counts since the last plan or the last switch of the map. */
   readonly #countedRanks = new Set<number>();
   readonly #timer: NodeJS.Timeout;
   #loadSentAt = 0;
-  /** When a plan last found nothing worth a copy, and for which popularity. */
+  /** Time of the last plan without a worthwhile copy, and the popularity change it saw. */
   #lastEmptyPlan = { at: Number.NEGATIVE_INFINITY, changes: 0 };
   #workLoggedAt = 0;
   #lastLoggedPass = 0;
   #epoch: number;
 
-  /** Begins at once; members are told by {@link setMembers}. */
+  /** Starts immediately; the ranks are set by {@link setMembers}. */
   constructor(options: DeciderDriverOptions) {
     this.#options = options;
     this.#epoch = options.state.epoch;
@@ -108,13 +108,13 @@
     this.#timer = setInterval(() => this.#onTick(), TICK_MS);
   }
 
-  /** Decides no more. */
+  /** Stops the decider and closes its links. */
   stop(): void {
     clearInterval(this.#timer);
     this.#links.stop();
   }
 
-  /** The processes of the group's ranks, this one included. */
+  /** Sets the processes of the group's ranks, including this one. */
   setMembers(members: readonly GroupMemberAddress[]): void {
     this.#links.setMembers(members);
   }
@@ -130,8 +130,9 @@
   }
 
   /**
-   * That rank 0 is armed: if this machine stands still now, so does that rank's engine
-   * towards all others, and the process beside the holder can still end the switch.
+   * Forwards to the holder's sidecar that rank 0 is armed. If this VM freezes, the engine
+   * of rank 0 cannot be reached either, but the holder's sidecar can still complete the
+   * switch.
    */
   #forwardArmedReport(report: RankReportMessage): void {
     const { state, orderId } = report;
@@ -154,7 +155,7 @@
     } else if (counts.since === knownCounts) {
       this.#popularity.observeIncrease(state.rank, counts.counts, now);
     } else {
-      // Added to counts that never came: the next ones are wanted in full.
+      // The base of this increase was lost, so the full counts are requested next.
       member.knownCounts = undefined;
       return;
     }
@@ -173,8 +174,8 @@
   #sendBaseMap(now: number): void {
     const map = this.#decider.settledMap;
     const member = map &&
-      this.#links.members.find(({ link, mapEncoder: sentMap }) =>
-        link !== undefined && !sentMap.hasBase
+      this.#links.members.find(({ link, mapEncoder }) =>
+        link !== undefined && !mapEncoder.hasBase
       );
     if (map === undefined || member === undefined) return;
     if (!this.#baseMapPacer.tryTake(map, now)) return;
@@ -187,15 +188,15 @@
         link === undefined ? [] : [rank]
       ),
     );
-    for (const question of this.#queries.take(now, reachable)) {
-      this.#sendQuery(question);
+    for (const query of this.#queries.take(now, reachable)) {
+      this.#sendQuery(query);
     }
   }
 
-  #sendQuery({ rank, ...wanted }: RankQuestion): void {
+  #sendQuery({ rank, ...fields }: RankQuestion): void {
     const member = this.#links.tryMember(rank);
     const { knownCounts } = member ?? {};
-    member?.link?.send({ kind: "rank_query", ...wanted, knownCounts });
+    member?.link?.send({ kind: "rank_query", ...fields, knownCounts });
   }
 
   #publishLoad(now: number): void {
@@ -223,7 +224,7 @@
     });
   }
 
-  /** Says what made answers late: long passes, and of these load or an uneven map. */
+  /** Logs the pass duration and the load, which explain late answers. */
   #logWork(now: number): void {
     if (now - this.#workLoggedAt < WORK_LOG_INTERVAL_MS) return;
     const { ranks, group } = this.#options.state;
@@ -250,13 +251,13 @@
   #planIfCounted(): void {
     const map = this.#decider.settledMap;
     const settings = this.#options.trySettings();
-    const isCounted =
+    const hasEnoughCounts =
       this.#countedRanks.size >= this.#queries.minCountedForPlan;
-    if (map === undefined || settings === undefined || !isCounted) return;
+    if (map === undefined || settings === undefined || !hasEnoughCounts) return;
     if (!this.#popularity.isKnown || this.#isPlanningDeferred()) return;
     this.#countedRanks.clear();
     const startedAt = performance.now();
-    const passPart = this.#getPassPauseRatio(settings);
+    const passPauseRatio = this.#getPassPauseRatio(settings);
     const plan = tryPlanIncrement({
       current: map,
       tokens: this.#popularity.tokens,
@@ -270,7 +271,7 @@
       }),
       mostNewPerLayer: settings.mostNewExperts,
       loadMs: settings.loadMs,
-      passPart,
+      passPart: passPauseRatio,
     });
     if (plan === undefined) {
       const { changes } = this.#popularity;
@@ -289,7 +290,7 @@
       kind: "map_proposed",
       now,
       map: plan.map,
-      passPauseRatio: passPart,
+      passPauseRatio,
     });
   }
 
@@ -299,7 +300,7 @@
       performance.now() - at < IDLE_PLAN_INTERVAL_MS;
   }
 
-  /** Pace of each rank by its last report. */
+  /** Returns the pace of each rank in its last report; 1 for ranks without one. */
   #getPaces(): readonly number[] {
     const paces = new Array<number>(this.#options.state.ranks).fill(1);
     for (const { rank, state } of this.#links.members) {
@@ -308,7 +309,7 @@
     return paces;
   }
 
-  /** Time of a pass over the pause that callers bear. */
+  /** Returns the ratio of the mean pass duration to the pause objective, if both are known. */
   #getPassPauseRatio({ pauseObjectiveMs }: GroupSettings): number | undefined {
     const { passMs } = this.#decider;
     if (passMs === undefined || pauseObjectiveMs === undefined) {
@@ -339,13 +340,15 @@
   }
 
   /**
-   * Holds are given and ended from this machine: if it stands still right after, the
-   * one beside the holder does not, and can end the hold.
+   * Sends orders; those that hold or release a pass go from this VM directly to the
+   * engine. If this VM freezes afterwards, the holder's sidecar still runs and can end the
+   * hold.
    */
   #sendOrder(effect: SendOrder): void {
     const { kind } = effect.order;
-    const isRemote = effect.rank !== 0 && (kind === "hold" || kind === "go");
-    if (isRemote) return this.#links.sendOrderToEngine(effect);
+    const isSentDirectly = effect.rank !== 0 &&
+      (kind === "hold" || kind === "go");
+    if (isSentDirectly) return this.#links.sendOrderToEngine(effect);
     this.#links.sendOrder(effect);
   }
 }
--- a/src/group/formed/decider_effects.ts
+++ b/src/group/formed/decider_effects.ts
@@ -1,16 +1,16 @@
 /**
- * What the decider of a formed group asks for while it takes in one event.
+ * Collects the effects of the decider of a formed group for one event.
  *
  * @module
  */
 import type { DeciderEffect, DeciderPhase } from "./decider_types.ts";
 import type { OpenOrder } from "./open_orders.ts";
 
-/** A phase that begins. */
+/** A phase that was entered. */
 export interface NewPhase {
   readonly phase: DeciderPhase;
   readonly epoch: number;
-  /** Milliseconds that the phase before took. */
+  /** Duration of the previous phase in milliseconds. */
   readonly tookMs: number;
 }
 
@@ -18,17 +18,17 @@
 export class DeciderEffects {
   #effects: DeciderEffect[] = [];
 
-  /** The effects since they were cleared. */
+  /** The effects that were added since the last {@link clear}. */
   get all(): readonly DeciderEffect[] {
     return this.#effects;
   }
 
-  /** Begins anew; effects that were handed out stay as they are. */
+  /** Starts a new list of effects; lists that were returned earlier do not change. */
   clear(): void {
     this.#effects = [];
   }
 
-  /** Lets a rank's process give an order, for the first time or once more. */
+  /** Sends an order to a rank, for the first time or again. */
   sendOrder({ rank, id, order }: OpenOrder, isRepeated: boolean): void {
     this.#effects.push({
       kind: "send_order",
@@ -39,12 +39,12 @@
     });
   }
 
-  /** Asks a rank's process how its engine stands. */
+  /** Queries the state of a rank's engine. */
   sendQuery(rank: number): void {
     this.#effects.push({ kind: "send_query", rank });
   }
 
-  /** Notes that a phase begins. */
+  /** Records that a phase was entered. */
   recordPhase({ phase, epoch, tookMs }: NewPhase): void {
     this.#effects.push({
       kind: "phase_entered",
@@ -56,7 +56,7 @@
     });
   }
 
-  /** Notes that a map came into force. */
+  /** Records that a map came into force. */
   recordMapInForce(version: number): void {
     this.#effects.push({ kind: "map_in_force", version });
   }
--- a/src/group/formed/decider_types.ts
+++ b/src/group/formed/decider_types.ts
@@ -1,5 +1,5 @@
 /**
- * The vocabulary of the decider of a formed group: events, effects and phases.
+ * Types of the decider of a formed group: its events, effects and phases.
  *
  * @module
  */
@@ -12,17 +12,17 @@
   RankState,
 } from "../../messages/formed_group_types.ts";
 
-/** Options of a decider of a formed group. */
+/** Options of a `FormedGroupDecider`. */
 export interface FormedGroupDeciderOptions {
-  /** State of rank 0 as the decider starts. */
+  /** State of a rank of the group when the decider starts. */
   readonly state: RankState;
   readonly random: RandomSource;
   readonly now: number;
-  /** Number of its first order, apart from those of other deciders of the group. */
+  /** Number of the first order; must differ from the numbers of other deciders' orders. */
   readonly firstOrderId: number;
 }
 
-/** A rank's process said how its engine stands. */
+/** A rank's sidecar reported the state of its engine. */
 export interface RankReported {
   readonly kind: "rank_reported";
   readonly now: number;
@@ -35,7 +35,7 @@
   readonly kind: "map_proposed";
   readonly now: number;
   readonly map: ExpertMap;
-  /** Time of a pass over the pause that callers bear, if both are known. */
+  /** Ratio of the pass duration to the pause objective, if both are known. */
   readonly passPauseRatio?: number;
 }
 
@@ -45,36 +45,36 @@
   readonly now: number;
 }
 
-/** Everything that can happen to a decider. */
+/** Input events of a decider. */
 export type DeciderEvent = RankReported | MapProposed | DeciderTick;
 
-/** Let a rank's process give an order. */
+/** Sends an order to a rank's sidecar. */
 export interface SendOrder {
   readonly kind: "send_order";
   readonly rank: number;
   readonly orderId: number;
   readonly order: RankOrder;
   /**
-   * Whether the rank's process has not answered this order yet: the engine can be
-   * given it from here, for what that costs.
+   * Whether this order was sent before and has not been answered. A repeated order may be
+   * sent directly to the engine, at a higher cost.
    */
   readonly isRepeated: boolean;
 }
 
-/** Ask a rank's process how its engine stands, and what it holds. */
+/** Queries a rank's sidecar for the state and the experts of its engine. */
 export interface SendQuery {
   readonly kind: "send_query";
   readonly rank: number;
 }
 
-/** The decider goes from one phase to the next. */
+/** The decider entered another phase. */
 export interface PhaseEntered {
   readonly kind: "phase_entered";
   readonly phase: DeciderPhase["kind"];
   readonly epoch: number;
   readonly version: number | undefined;
   readonly pass: number | undefined;
-  /** Milliseconds that the phase before took. */
+  /** Duration of the previous phase in milliseconds. */
   readonly tookMs: number;
 }
 
@@ -84,17 +84,17 @@
   readonly version: number;
 }
 
-/** Everything that a decider can ask for. */
+/** Output effects of a decider. */
 export type DeciderEffect = SendOrder | SendQuery | PhaseEntered | MapInForce;
 
-/** What every rank holds is not known yet. */
+/** The states and experts of all ranks are being collected. */
 export interface Gathering {
   readonly kind: "gathering";
   readonly states: Map<number, RankState>;
   readonly experts: Map<number, RankExperts>;
 }
 
-/** No switch is under way. */
+/** No switch is in progress. */
 export interface Settled {
   readonly kind: "settled";
   readonly map: ExpertMap;
@@ -105,57 +105,57 @@
   readonly kind: "preparing";
   readonly version: number;
   readonly map: ExpertMap;
-  /** The map in force meanwhile, and if this one is given up. */
-  readonly before: ExpertMap;
+  /** The map in force meanwhile, which stays in force if this one is given up. */
+  readonly previousMap: ExpertMap;
 }
 
 /** A switch at a pass. */
 export interface SwitchAtPass {
   readonly version: number;
   readonly pass: number;
-  /** Undefined when an earlier decider planned it. */
+  /** Undefined when another decider planned the switch. */
   readonly map: ExpertMap | undefined;
 }
 
-/** The pass of the switch is to be held. */
+/** The holder is being ordered to hold the pass of the switch. */
 export interface Holding extends SwitchAtPass {
   readonly kind: "holding";
 }
 
-/** The pass is held; the holder is armed first, which decides the switch. */
+/** The pass is held; the holder is being armed, which commits the switch. */
 export interface Deciding extends SwitchAtPass {
   readonly kind: "deciding";
 }
 
-/** The switch is decided; all other ranks are armed. */
+/** The switch is committed; all other ranks are being armed. */
 export interface Arming extends SwitchAtPass {
   readonly kind: "arming";
 }
 
-/** Nobody may decide the switch of a held pass any more. */
+/** The holder is being fenced, so that the switch of the held pass cannot be committed. */
 export interface Fencing {
   readonly kind: "fencing";
   readonly version: number;
   readonly pass: number;
 }
 
-/** Every rank will switch or none can; the pass may begin. */
+/** Either every rank will switch or none can; the held pass is being released. */
 export interface Releasing {
   readonly kind: "releasing";
-  /** Undefined: no rank can switch. */
+  /** Undefined if no rank can switch. */
   readonly version: number | undefined;
   readonly pass: number;
   readonly map: ExpertMap | undefined;
 }
 
-/** The pass of the switch has not begun yet. */
+/** The pass was released and has not begun yet. */
 export interface Switching {
   readonly kind: "switching";
   readonly version: number;
   readonly map: ExpertMap | undefined;
 }
 
-/** Where a decider stands. */
+/** Phase of a decider. */
 export type DeciderPhase =
   | Gathering
   | Settled
--- a/src/group/formed/fence_map.ts
+++ b/src/group/formed/fence_map.ts
@@ -1,27 +1,28 @@
 /**
- * A map that a rank can prepare without a copy. Preparing it under a new version
- * replaces what was prepared before, which can then no longer be armed.
+ * Creates a map that a rank can prepare without copying experts. Preparing it under a new
+ * version replaces the previously prepared map, which can then no longer be armed.
  *
  * @module
  */
 import type { ExpertMap } from "../../messages/group_types.ts";
 import type { RankExperts } from "../../messages/formed_group_types.ts";
 
-/** What a rank knows of its group's maps without asking others. */
+/** What a rank knows of its group's map without querying other ranks. */
 export interface FenceMapInput {
-  /** The rank that prepares the map. */
+  /** Rank that prepares the map. */
   readonly rank: number;
   readonly ranks: number;
-  /** Experts that this rank has in use, by layer. */
+  /** Experts that this rank currently uses, by layer. */
   readonly own: RankExperts;
-  /** Experts of each layer. */
+  /** Number of experts in each layer. */
   readonly experts: number;
 }
 
 /**
- * A map with this rank's experts as they are, and all others dealt to the other ranks
- * in turn. It is never armed, so what it says of the others does not matter as long as
- * an engine takes it: each expert is somewhere, and no rank has more than it holds.
+ * Returns a map that leaves this rank's experts unchanged and distributes all others over
+ * the other ranks round-robin. The map is never armed, so the placement at other ranks
+ * only has to be valid for an engine: each expert is placed, and no rank has more experts
+ * than slots.
  *
  * @example
  * ```ts
--- a/src/group/formed/gathered_ranks.ts
+++ b/src/group/formed/gathered_ranks.ts
@@ -1,5 +1,5 @@
 /**
- * What a decider has gathered of the ranks, and whether that is whole.
+ * Collects the states and experts of all ranks and determines the map in force.
  *
  * @module
  */
@@ -7,22 +7,22 @@
 import { assembleMap } from "./assemble_map.ts";
 import type { Gathering, RankReported } from "./decider_types.ts";
 
-/** Takes in what one rank holds. */
-export function recordGathered(
+/** Records the state and the experts that one rank reported. */
+export function recordRankReport(
   { states, experts }: Gathering,
   { rank, report }: RankReported,
 ): void {
-  const before = states.get(rank);
-  const hasSwitched = before !== undefined &&
-    before.activeVersion !== report.state.activeVersion;
+  const previous = states.get(rank);
+  const hasSwitched = previous !== undefined &&
+    previous.activeVersion !== report.state.activeVersion;
   if (hasSwitched) experts.delete(rank);
   states.set(rank, report.state);
   if (report.experts !== undefined) experts.set(rank, report.experts);
 }
 
 /**
- * The map that all ranks have in force. Undefined while some are unknown or have yet to
- * switch; the latter are forgotten, so that they are asked again.
+ * Returns the map that all ranks use. Returns undefined while some ranks are unknown or
+ * have not switched yet; the latter are removed, so that they are queried again.
  *
  * @example
  * ```ts
@@ -34,8 +34,9 @@
   phase: Gathering,
   ranks: number,
 ): ExpertMap | undefined {
-  const isWhole = phase.states.size === ranks && phase.experts.size === ranks;
-  if (!isWhole) return undefined;
+  const isComplete = phase.states.size === ranks &&
+    phase.experts.size === ranks;
+  if (!isComplete) return undefined;
   const states = [...phase.states.values()];
   const versions = new Set(states.map((state) => state.activeVersion));
   const isSettled = versions.size === 1 &&
@@ -46,8 +47,9 @@
 }
 
 /**
- * The ranks were seen at different times: those that had yet to switch are asked again.
- * With all of them asked again at once, a large group was never whole.
+ * Removes the ranks that had not switched yet when they were queried. Ranks report at
+ * different times; if all of them were queried again, the state of a large group would
+ * never be complete.
  */
 function removeOutdated({ states, experts }: Gathering): void {
   const newest = Math.max(
--- a/src/group/formed/give_until_answered.ts
+++ b/src/group/formed/give_until_answered.ts
@@ -1,5 +1,5 @@
 /**
- * Gives an engine of another machine an order until it answers.
+ * Sends an order to an engine on another VM until it answers.
  *
  * @module
  */
@@ -9,16 +9,16 @@
   OrderOutcome,
 } from "../../messages/formed_group_types.ts";
 
-/** Times that one order is given, at most: its sender looks then what became of it. */
+/** Maximum number of sends of one order; afterwards the caller checks its effect. */
 const MAX_SENDS = 4;
 
 /**
- * What became of an order, as soon as the engine says so.
+ * Sends an order repeatedly until the engine answers, and returns the outcome.
  *
- * The group may wait for an order to hold a pass, and for one to let it begin, so neither
- * is left to the next look at open orders. One that is carried out late besides does no
- * harm: a pass that has begun cannot be held, and the decider ends a hold that it does not
- * know.
+ * The group may be waiting for an order that holds or releases a pass, so an unanswered
+ * one is not left to the next check of open orders. A repeated order that is executed late
+ * does no harm: a pass that has begun cannot be held, and the decider ends a hold that it
+ * did not expect.
  *
  * @example
  * ```ts
@@ -30,7 +30,7 @@
   order: EngineOrder,
 ): Promise<OrderOutcome> {
   let outcome: OrderOutcome = "unanswered";
-  for (let tries = 0; tries < MAX_SENDS; tries++) {
+  for (let sends = 0; sends < MAX_SENDS; sends++) {
     outcome = await engine.give(order);
     if (outcome !== "unanswered") break;
   }
--- a/src/group/formed/held_pass.ts
+++ b/src/group/formed/held_pass.ts
@@ -1,5 +1,5 @@
 /**
- * Reads from the holder's own engine how far the switch of a held pass has come.
+ * Determines the progress of the switch of a held pass from the state of the holder.
  *
  * @module
  */
@@ -10,7 +10,7 @@
   readonly kind: "nothing_held";
 }
 
-/** The holder is armed for the pass that it holds: every rank is to switch. */
+/** The holder is armed for the pass that it holds: every rank has to switch. */
 export interface DecidedHold {
   readonly kind: "decided";
   readonly version: number;
@@ -21,20 +21,20 @@
 export interface UndecidedHold {
   readonly kind: "undecided";
   readonly pass: number;
-  /** Whether the group has come to the pass and waits for it. */
+  /** Whether the group has reached the pass and waits for it. */
   readonly isAwaited: boolean;
 }
 
 /**
- * The holder is armed for a later pass: a hold of this one was carried out late, and
- * no rank will ever be armed for it.
+ * The holder is armed for a later pass: the order to hold this one was executed late, and
+ * no rank will be armed for it.
  */
 export interface StaleHold {
   readonly kind: "in_vain";
   readonly pass: number;
 }
 
-/** How far the switch of a held pass has come. */
+/** Progress of the switch of a held pass. */
 export type HeldPass =
   | NothingHeld
   | DecidedHold
@@ -42,11 +42,11 @@
   | StaleHold;
 
 /**
- * Reads the state of the holder's engine.
+ * Returns the progress of a held pass, given the state of the holder's engine.
  *
- * The holder is armed before any other rank is told of the switch, and its engine
- * stays armed until the pass begins. So this one engine says for all processes, also
- * those that have just started, whether there is a switch to be finished.
+ * The holder is armed before any other rank is ordered to arm, and its engine stays armed
+ * until the pass begins. So this engine alone shows any process, including one that has
+ * just started, whether there is a switch to complete.
  *
  * @example
  * ```ts
--- a/src/group/formed/held_pass_watch.ts
+++ b/src/group/formed/held_pass_watch.ts
@@ -1,5 +1,5 @@
 /**
- * How long a group has been waiting before a held pass.
+ * Measures how long a group has been waiting for a held pass.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import type { RankState } from "../../messages/formed_group_types.ts";
 
 /**
- * Milliseconds for which the group may wait before a held pass until its switch is
- * ended from beside the holder. A decider takes some 50 with 24 ranks, and 120 more for
- * each order that has to be given again.
+ * Milliseconds for which a group may wait for a held pass until the holder's sidecar
+ * completes its switch. A decider takes about 50 ms with 24 ranks and 120 ms more for each
+ * order that has to be sent again.
  */
 const RECOVERY_DELAY_MS = 250;
 
-/** How long a group has been waiting before a held pass. */
+/** Measures how long a group has been waiting for a held pass. */
 export class HeldPassWatch {
   #heldPass: number | undefined;
-  #awaitedSince = 0;
+  #waitingSince = 0;
 
   /**
-   * Takes in the state of the holder's engine at a time in milliseconds. Returns for how
-   * long the group has waited, or undefined while that is no reason to end the switch.
+   * Records the state of the holder's engine at `now` in milliseconds. Returns how long the
+   * group has waited in milliseconds, or undefined while that is too short to intervene.
    *
    * @example
    * ```ts
-   * if (watch.observe(state, now) !== undefined) endSwitch();
+   * if (watch.observe(state, now) !== undefined) completeSwitch();
    * ```
    */
   observe(state: RankState, now: number): number | undefined {
@@ -34,9 +34,9 @@
       return undefined;
     }
     const isAwaited = state.pass >= held.pass - 1;
-    if (this.#heldPass !== held.pass || !isAwaited) this.#awaitedSince = now;
+    if (this.#heldPass !== held.pass || !isAwaited) this.#waitingSince = now;
     this.#heldPass = held.pass;
-    const awaitedMs = now - this.#awaitedSince;
+    const awaitedMs = now - this.#waitingSince;
     return awaitedMs < RECOVERY_DELAY_MS ? undefined : awaitedMs;
   }
 }
--- a/src/group/formed/hold_margin.ts
+++ b/src/group/formed/hold_margin.ts
@@ -1,102 +1,102 @@
 /**
- * How far ahead the pass of a switch is held.
+ * Determines how many passes ahead the pass of a switch is held.
  *
  * @module
  */
 
 /**
- * Passes between the last one that was begun and the one of the switch, at least.
- * Orders take 20 ms to reach all of 12 ranks and a pass 40 or more, so with two the
- * pass is rarely held in fact. More ranks take longer: the margin follows from
- * whether the group had to wait.
+ * Minimum number of passes from the last one that has begun to the one of the switch.
+ * Orders take 20 ms to reach 12 ranks and a pass takes 40 ms or more, so with two passes
+ * the group rarely has to wait. Orders to more ranks take longer, so the margin grows
+ * whenever the group had to wait.
  */
 const MIN_MARGIN_PASSES = 2;
 const MAX_MARGIN_PASSES = 64;
-/** Milliseconds from a hold until the pass may begin, until one was seen. */
+/** Assumed milliseconds from a hold to its release until one is observed. */
 const INITIAL_HOLD_MS = 120;
 /**
- * Milliseconds that count for a switch at most: one that took longer waited for a machine
- * that stood still, which no margin helps.
+ * Upper limit of the hold duration that is recorded for a switch, in milliseconds. A
+ * longer hold waited for a frozen VM, which no margin can compensate.
  */
 const MAX_HOLD_MS = 300;
-/** Milliseconds of the shortest pass that is believed. */
+/** Shorter mean pass durations, in milliseconds, are ignored as implausible. */
 const MIN_PASS_MS = 5;
-/** Part of a longer time before that still counts with each switch that took less. */
+/** Weight of the previous value when the recorded hold duration decreases, from 0 to 1. */
 const HOLD_DECAY = 0.8;
 /**
- * Time kept ahead over that which switches took lately. A margin that is too long has the
- * map come some passes later; with one that is too short the group waits, and each answer
- * under way is late.
+ * Ratio of the time that is kept ahead to the duration of recent holds. If the margin is
+ * too long, the map takes effect some passes later; if it is too short, the group waits
+ * and every answer in progress is late.
  */
 const HOLD_TIME_FACTOR = 2.5;
-/** The same while passes are longer than callers bear: all answers are late until then. */
+/** The same ratio while passes exceed the pause objective, when all answers are late. */
 const URGENT_HOLD_TIME_FACTOR = 1.5;
 
-/** How far ahead the pass of a switch is held. */
+/** Determines how many passes ahead the pass of a switch is held. */
 export class HoldMargin {
   #passes = MIN_MARGIN_PASSES;
-  /** With which a switch begins. */
+  /** Margin with which a switch starts. */
   #basePasses = MIN_MARGIN_PASSES;
   #holdMs = INITIAL_HOLD_MS;
 
-  /** Passes from the last one begun to the one that is to be held. */
+  /** Number of passes from the last one that has begun to the one to hold. */
   get passes(): number {
     return this.#passes;
   }
 
   /**
-   * A switch begins, while passes take so many milliseconds and so large a part of the
-   * pause that callers bear, as far as that is known.
+   * Sets the margin for a new switch. `passMs` is the mean duration of a pass in
+   * milliseconds, `passPauseRatio` its ratio to the pause objective, if they are known.
    */
-  startSwitch(passMs?: number, passPart = 0): void {
-    const isUrgent = passPart > 1;
-    const margin = isUrgent ? URGENT_HOLD_TIME_FACTOR : HOLD_TIME_FACTOR;
-    const forTime = passMs === undefined || passMs < MIN_PASS_MS
+  startSwitch(passMs?: number, passPauseRatio = 0): void {
+    const isUrgent = passPauseRatio > 1;
+    const factor = isUrgent ? URGENT_HOLD_TIME_FACTOR : HOLD_TIME_FACTOR;
+    const passesForHold = passMs === undefined || passMs < MIN_PASS_MS
       ? 0
-      : Math.ceil(margin * this.#holdMs / passMs);
+      : Math.ceil(factor * this.#holdMs / passMs);
     this.#passes = Math.min(
       MAX_MARGIN_PASSES,
-      Math.max(this.#basePasses, forTime),
+      Math.max(this.#basePasses, passesForHold),
     );
   }
 
   /**
-   * It took so many milliseconds from the hold until the pass might begin.
+   * Records the milliseconds from the hold of a pass to its release.
    *
    * @example
    * ```ts
-   * margin.noteTook(250);
-   * margin.begin(60);
+   * margin.recordHold(250);
+   * margin.startSwitch(60);
    * margin.passes; // 7
    * ```
    */
   recordHold(milliseconds: number): void {
-    const tookMs = Math.min(MAX_HOLD_MS, milliseconds);
-    const faded = HOLD_DECAY * this.#holdMs + (1 - HOLD_DECAY) * tookMs;
-    this.#holdMs = Math.max(tookMs, faded);
+    const holdMs = Math.min(MAX_HOLD_MS, milliseconds);
+    const decayed = HOLD_DECAY * this.#holdMs + (1 - HOLD_DECAY) * holdMs;
+    this.#holdMs = Math.max(holdMs, decayed);
   }
 
-  /** The pass had begun before it was held: the next try is further ahead. */
+  /** Doubles the margin for the next attempt, since the pass began before it was held. */
   widen(): void {
     this.#passes = Math.min(MAX_MARGIN_PASSES, 2 * this.#passes);
   }
 
   /**
-   * All ranks are armed with so many passes to go. With one the group may have stood
-   * meanwhile; three or more are to spare.
+   * Records how many passes remained when all ranks were armed. With at most one, the group
+   * may have waited, so the margin grows; with three or more, it shrinks.
    *
    * @example
    * ```ts
-   * margin.noteArmed(1);
-   * margin.begin();
+   * margin.recordArmed(1);
+   * margin.startSwitch();
    * margin.passes; // 3
    * ```
    */
-  recordArmed(passesToGo: number): void {
-    if (passesToGo <= 1) {
+  recordArmed(remainingPasses: number): void {
+    if (remainingPasses <= 1) {
       this.#basePasses = Math.min(MAX_MARGIN_PASSES, this.#basePasses + 1);
     }
-    if (passesToGo > 2) {
+    if (remainingPasses > 2) {
       this.#basePasses = Math.max(MIN_MARGIN_PASSES, this.#basePasses - 1);
     }
   }
--- a/src/group/formed/judge_report.ts
+++ b/src/group/formed/judge_report.ts
@@ -1,6 +1,6 @@
 /**
- * What a rank's report means in a phase of the decider: orders that were not carried
- * out, and passes that are held for nothing.
+ * Classifies a rank's report in a phase of the decider: orders that were not executed and
+ * holds that no switch needs.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import type { DeciderPhase } from "./decider_types.ts";
 import type { RankState } from "../../messages/formed_group_types.ts";
 
-/** The map is given up, and the one before stays in force. */
+/** The map is given up, and the previous one stays in force. */
 export interface AbandonMap {
   readonly kind: "give_up_map";
-  readonly before: ExpertMap;
+  readonly previousMap: ExpertMap;
 }
 
 /** The switch moves to a later pass. */
@@ -22,28 +22,28 @@
   readonly map: ExpertMap | undefined;
 }
 
-/** Nothing more than its kind is to be known. */
+/** A rejection without further details. */
 export interface PlainRejection {
   readonly kind:
-    /** All ranks are asked what they hold. */
+    /** All ranks are queried again. */
     | "start_over"
-    /** The order is sent again, but not at once. */
+    /** The order is sent again later. */
     | "postpone"
-    /** The engine is to be fenced by a higher version. */
+    /** The engine has to be fenced with a higher version. */
     | "fence_higher"
-    /** The next tick gives the order again where it is needed. */
+    /** The next tick resends the order if it is still open. */
     | "ignore";
 }
 
-/** What follows from an order that a rank did not carry out. */
+/** How the decider reacts to an order that a rank did not execute. */
 export type Rejection = AbandonMap | HoldLater | PlainRejection;
 
 /**
- * Judges a report that an order was not carried out.
+ * Classifies a report that an order was not executed.
  *
  * @example
  * ```ts
- * if (judgeRejection(phase, state).kind === "start_over") gather();
+ * if (classifyRejection(phase, state).kind === "start_over") startGathering();
  * ```
  */
 export function classifyRejection(
@@ -52,13 +52,13 @@
 ): Rejection {
   switch (phase.kind) {
     case "preparing":
-      // Nothing is armed, so what some ranks loaded does no harm.
-      return { kind: "give_up_map", before: phase.before };
+      // No rank is armed, so the maps that some ranks loaded do no harm.
+      return { kind: "give_up_map", previousMap: phase.previousMap };
     case "holding":
       if (isFenced(state, phase.version)) return { kind: "start_over" };
-      // The order was lost, and is given again by the next tick.
+      // The order was lost; the next tick resends it.
       if (state.pass < phase.pass) return { kind: "ignore" };
-      // The pass had begun: the switch moves further ahead.
+      // The pass has begun, so the switch moves to a later one.
       return { kind: "hold_later", version: phase.version, map: phase.map };
     case "deciding": {
       const isOver = isFenced(state, phase.version) ||
@@ -67,9 +67,9 @@
     }
     case "arming":
     case "releasing":
-      // All ranks were armed for a pass that began: another process saw to it.
+      // The pass has begun: another process armed all ranks and released it.
       if (state.pass >= phase.pass) return { kind: "start_over" };
-      // Other ranks are armed: it is asked for again until it is done.
+      // Other ranks may be armed, so the order is resent until it is executed.
       return { kind: "postpone" };
     case "fencing": {
       const isOver = state.pass >= phase.pass || state.armed !== undefined;
@@ -85,12 +85,12 @@
 }
 
 /**
- * Whether a rank holds a pass that nobody waits to switch at: a hold that took effect
- * after it was given up stops the group for nothing.
+ * Returns whether a rank holds a pass that is not the pass of the current switch. A hold
+ * that takes effect after its switch was given up would block the group needlessly.
  *
  * @example
  * ```ts
- * if (hasStrayHold(phase, state)) gather();
+ * if (hasStrayHold(phase, state)) startGathering();
  * ```
  */
 export function hasStrayHold(phase: DeciderPhase, state: RankState): boolean {
@@ -113,7 +113,7 @@
   }
 }
 
-/** The map that the rank had prepared was replaced: it cannot be armed any more. */
+/** Returns whether the map that the rank prepared was replaced and cannot be armed. */
 function isFenced(state: RankState, version: number): boolean {
   return state.armed === undefined && state.preparedVersion !== version;
 }
--- a/src/group/formed/load_columns.ts
+++ b/src/group/formed/load_columns.ts
@@ -1,5 +1,5 @@
 /**
- * How a group stands, as it crosses a connection between its decider and an entry.
+ * Encodes a group's load in columns for the connection from its decider to an entry.
  *
  * @module
  */
@@ -10,12 +10,12 @@
 
 const PERCENT = 100;
 
-/** Writes loads for one connection, which keeps the order of its messages. */
+/** Encodes the loads for one connection, which preserves the order of messages. */
 export class LoadWriter {
   #lastAddresses: readonly string[] | undefined;
 
   /**
-   * The message that tells a load, without addresses that were told before.
+   * Encodes a load, without the addresses if they equal those sent last.
    *
    * @example
    * ```ts
@@ -24,13 +24,13 @@
    */
   write({ loads, ...group }: GroupLoad): GroupLoadMessage {
     const addresses = loads.map(({ engineAddress }) => engineAddress);
-    const isTold = this.#lastAddresses !== undefined &&
+    const isUnchanged = this.#lastAddresses !== undefined &&
       areEqual(addresses, this.#lastAddresses);
     this.#lastAddresses = addresses;
     return {
       kind: "group_load",
       ...group,
-      ...!isTold && { engineAddresses: addresses },
+      ...!isUnchanged && { engineAddresses: addresses },
       running: loads.map(({ running }) => running),
       queued: loads.map(({ queued }) => queued),
       pacePercents: loads.map(({ pace }) => Math.round(pace * PERCENT)),
@@ -38,20 +38,20 @@
   }
 }
 
-/** Reads loads from one connection. */
+/** Decodes the loads from one connection. */
 export class LoadReader {
   #addresses: readonly string[] = [];
 
-  /** The load; undefined where its columns do not fit the addresses. */
+  /** Decodes a load; returns undefined if its columns do not match the addresses. */
   tryRead(message: GroupLoadMessage): GroupLoad | undefined {
     const { engineAddresses, running, queued, pacePercents } = message;
     this.#addresses = engineAddresses ?? this.#addresses;
     const { pool, group, isOpen, ageMs, passMs, epoch } = message;
     const rows = this.#addresses.length;
-    const isWhole = [running, queued, pacePercents].every(({ length }) =>
+    const isValid = [running, queued, pacePercents].every(({ length }) =>
       length === rows
     );
-    if (!isWhole) return undefined;
+    if (!isValid) return undefined;
     const loads = this.#addresses.map((engineAddress, row) => ({
       engineAddress,
       running: running[row] as number,
@@ -65,5 +65,5 @@
 
 function areEqual(one: readonly string[], other: readonly string[]): boolean {
   return one.length === other.length &&
-    one.every((address, place) => address === other[place]);
+    one.every((address, index) => address === other[index]);
 }
--- a/src/group/formed/map_changes.ts
+++ b/src/group/formed/map_changes.ts
@@ -17,16 +17,16 @@
 
 /** Remembers the map that was sent last on one link, which keeps the order. */
 export class MapEncoder {
-  #last: ExpertMap | undefined;
+  #lastMap: ExpertMap | undefined;
 
   /** Whether the other side has a map, from which the next ones differ. */
   get hasBase(): boolean {
-    return this.#last !== undefined;
+    return this.#lastMap !== undefined;
   }
 
   /** Tells a map ahead of the first order: most of what that would carry. */
   encodeBase(map: ExpertMap): MapBaseMessage {
-    this.#last = map;
+    this.#lastMap = map;
     return { kind: "map_base", map };
   }
 
@@ -41,8 +41,8 @@
   encode(message: RankOrderMessage): RankOrderMessage | MapChangeMessage {
     const { orderId, order } = message;
     if (order.kind !== "prepare") return message;
-    const before = this.#last;
-    this.#last = order.map;
+    const before = this.#lastMap;
+    this.#lastMap = order.map;
     if (before === undefined) return message;
     const { epoch, version, map } = order;
     const rows = tryGetChangedRows(before, map);
@@ -54,11 +54,11 @@
 
 /** Remembers the map that was received last on one link. */
 export class ReceivedMap {
-  #last: ExpertMap | undefined;
+  #lastMap: ExpertMap | undefined;
 
   /** Takes in a map that was sent whole. */
   note(map: ExpertMap): void {
-    this.#last = map;
+    this.#lastMap = map;
   }
 
   /**
@@ -66,11 +66,11 @@
    * No rank may ever load another map than all others.
    */
   tryDecode(message: MapChangeMessage): RankOrderMessage | undefined {
-    if (this.#last === undefined) return undefined;
+    if (this.#lastMap === undefined) return undefined;
     const { orderId, epoch, version, rows, checksum } = message;
-    const map = applyRows(this.#last, rows);
+    const map = applyRows(this.#lastMap, rows);
     if (getChecksum(map) !== checksum) return undefined;
-    this.#last = map;
+    this.#lastMap = map;
     const order: PrepareOrder = { kind: "prepare", epoch, version, map };
     return { kind: "rank_order", orderId, order };
   }
