--- a/src/group/formed/copies_per_rank.ts
+++ b/src/group/formed/copies_per_rank.ts
@@ -46,8 +46,8 @@
 ): number {
   const overheadMs = PASSES_PER_SWITCH * (passMs ?? 0);
   const allowedMs = Math.max(COPYING_MS_PER_MAP, overheadMs);
-  const fitting = Math.round(
+  const fittingCopies = Math.round(
     allowedMs / (loadMs + ranks * PLANNING_MS_PER_COPY),
   );
-  return Math.min(MAX_NEW_EXPERTS_PER_RANK, Math.max(1, fitting));
+  return Math.min(MAX_NEW_EXPERTS_PER_RANK, Math.max(1, fittingCopies));
 }
--- a/src/group/formed/decider_driver.ts
+++ b/src/group/formed/decider_driver.ts
@@ -252,7 +252,7 @@
     const map = this.#decider.settledMap;
     const settings = this.#options.trySettings();
     const hasEnoughCounts =
-      this.#countedRanks.size >= this.#queries.minCountedForPlan;
+      this.#countedRanks.size >= this.#queries.minSampledForPlan;
     if (map === undefined || settings === undefined || !hasEnoughCounts) return;
     if (!this.#popularity.isKnown || this.#isPlanningDeferred()) return;
     this.#countedRanks.clear();
--- a/src/group/formed/map_changes.ts
+++ b/src/group/formed/map_changes.ts
@@ -1,7 +1,8 @@
 /**
- * Maps on a link between two processes: whole once, then only what differs from the map
- * that was sent there before, with a checksum of the whole. With 64 ranks and 12 layers a
- * whole map takes 6.2 KB and goes to each rank: 388 KB, or 0.74 s of a link of 4.2 Mbit/s.
+ * Encodes the maps on a link between two processes: the first one in full, later ones as
+ * the difference from the previous map with a checksum of the full map. With 64 ranks and
+ * 12 layers a full map takes 6.2 KB. Sending it to every rank takes 388 KB, which occupies
+ * a link of 4.2 Mbit/s for 0.74 s.
  *
  * @module
  */
@@ -15,55 +16,56 @@
   RankOrderMessage,
 } from "../../messages/formed_group_types.ts";
 
-/** Remembers the map that was sent last on one link, which keeps the order. */
+/** Encodes the maps sent on one link, which preserves the order of messages. */
 export class MapEncoder {
   #lastMap: ExpertMap | undefined;
 
-  /** Whether the other side has a map, from which the next ones differ. */
+  /** Whether the peer has a map that later ones can be encoded against. */
   get hasBase(): boolean {
     return this.#lastMap !== undefined;
   }
 
-  /** Tells a map ahead of the first order: most of what that would carry. */
+  /** Encodes a map that is sent ahead of the first order, to make that order smaller. */
   encodeBase(map: ExpertMap): MapBaseMessage {
     this.#lastMap = map;
     return { kind: "map_base", map };
   }
 
   /**
-   * The message in its shorter form, if the other side has what that takes.
+   * Encodes an order to prepare a map as a difference if possible; returns other orders
+   * unchanged.
    *
    * @example
    * ```ts
-   * link.send(sentMap.encode(message));
+   * link.send(mapEncoder.encode(message));
    * ```
    */
   encode(message: RankOrderMessage): RankOrderMessage | MapChangeMessage {
     const { orderId, order } = message;
     if (order.kind !== "prepare") return message;
-    const before = this.#lastMap;
+    const previous = this.#lastMap;
     this.#lastMap = order.map;
-    if (before === undefined) return message;
+    if (previous === undefined) return message;
     const { epoch, version, map } = order;
-    const rows = tryGetChangedRows(before, map);
+    const rows = tryGetChangedRows(previous, map);
     if (rows === undefined) return message;
     const checksum = getChecksum(map);
     return { kind: "map_change", orderId, epoch, version, rows, checksum };
   }
 }
 
-/** Remembers the map that was received last on one link. */
+/** Decodes the maps received on one link. */
 export class ReceivedMap {
   #lastMap: ExpertMap | undefined;
 
-  /** Takes in a map that was sent whole. */
+  /** Records a map that was received in full. */
   note(map: ExpertMap): void {
     this.#lastMap = map;
   }
 
   /**
-   * The whole order; undefined if it does not fit the map that was received on this link.
-   * No rank may ever load another map than all others.
+   * Decodes an order to prepare a map. Returns undefined if the checksum of the result does
+   * not match, so that no rank ever loads a map that differs from the other ranks' one.
    */
   tryDecode(message: MapChangeMessage): RankOrderMessage | undefined {
     if (this.#lastMap === undefined) return undefined;
@@ -82,10 +84,10 @@
   readonly rows: MapRows | undefined;
 }
 
-/** The rows that were compared last: most ranks were told the same map before. */
+/** The last comparison, which applies to most ranks, since they have the same base map. */
 let lastComparison: RowComparison | undefined;
 
-/** Undefined where a row does not follow from the one before by what it drops and gains. */
+/** Returns undefined if a row cannot be derived from its dropped and gained experts. */
 function tryGetChangedRows(
   before: ExpertMap,
   after: ExpertMap,
@@ -112,12 +114,12 @@
     for (const [rank, row] of experts.entries()) {
       const known = before.layers[layer]?.experts[rank] ?? [];
       if (isSameRow(known, row)) continue;
-      const lost = known.filter((expert) => !row.includes(expert));
+      const removed = known.filter((expert) => !row.includes(expert));
       const added = row.filter((expert) => !known.includes(expert));
-      if (!isSameRow(applyRowChange(known, lost, added), row)) return undefined;
+      if (!isSameRow(applyChange(known, removed, added), row)) return undefined;
       layers.push(layer);
       ranks.push(rank);
-      dropped.push(lost);
+      dropped.push(removed);
       gained.push(added);
     }
   }
@@ -126,10 +128,10 @@
 
 function isSameRow(one: readonly number[], other: readonly number[]): boolean {
   return one.length === other.length &&
-    one.every((expert, place) => expert === other[place]);
+    one.every((expert, index) => expert === other[index]);
 }
 
-function applyRowChange(
+function applyChange(
   known: readonly number[],
   dropped: readonly number[],
   gained: readonly number[],
@@ -145,7 +147,7 @@
     const known = experts?.[rank];
     if (experts === undefined || known === undefined) continue;
     const { dropped, gained } = rows;
-    experts[rank] = applyRowChange(
+    experts[rank] = applyChange(
       known,
       dropped[index] ?? [],
       gained[index] ?? [],
@@ -156,7 +158,7 @@
 
 const checksums = new WeakMap<ExpertMap, string>();
 
-/** Remembered, since one map goes to all ranks. */
+/** Returns the checksum of a map, cached because one map is sent to all ranks. */
 function getChecksum(map: ExpertMap): string {
   const known = checksums.get(map);
   if (known !== undefined) return known;
--- a/src/group/formed/map_versions.ts
+++ b/src/group/formed/map_versions.ts
@@ -1,5 +1,5 @@
 /**
- * Versions of maps, given by deciders that may know nothing of each other.
+ * Allocates versions of maps for deciders that may not know of each other.
  *
  * @module
  */
@@ -8,24 +8,25 @@
 import type { RankState } from "../../messages/formed_group_types.ts";
 
 /**
- * Versions of one decider come from a block of their own, at a random place: two
- * deciders that know nothing of each other do not give one number to two maps.
+ * Number of versions in a block. Each decider allocates versions from its own block,
+ * starting at a random offset, so that two deciders that do not know of each other do not
+ * use one version for two maps.
  */
 const VERSION_BLOCK = 2 ** 16;
 const RANDOM_OFFSETS = 2 ** 14;
 
-/** Versions that one decider gives. */
+/** Allocates the versions of one decider. */
 export class MapVersions {
   readonly #random: RandomSource;
   #highest = 0;
   #lastIssued: number | undefined;
 
-  /** No version has been seen yet. */
+  /** Starts without any known version. */
   constructor(random: RandomSource) {
     this.#random = random;
   }
 
-  /** Takes in the versions that a rank knows. */
+  /** Records the versions that a rank knows. */
   record(state: RankState): void {
     this.#highest = Math.max(
       this.#highest,
@@ -35,13 +36,13 @@
     );
   }
 
-  /** A rank knows a higher version that it does not tell yet. */
+  /** Skips a block, since a rank knows a higher version that it does not report yet. */
   skip(): void {
     this.#highest += VERSION_BLOCK;
   }
 
   /**
-   * A version above all that were seen, that nobody else gives.
+   * Returns a version above all recorded ones that no other decider allocates.
    *
    * @example
    * ```ts
@@ -53,7 +54,7 @@
       this.#lastIssued >= this.#highest;
     const block = Math.floor(this.#highest / VERSION_BLOCK) + 1;
     const version = isAhead
-      ? Debug.getDefined(this.#lastIssued, "Ahead of all others") + 1
+      ? Debug.getDefined(this.#lastIssued, "A version was allocated") + 1
       : block * VERSION_BLOCK + this.#random.nextBelow(RANDOM_OFFSETS);
     this.#lastIssued = version;
     return version;
--- a/src/group/formed/open_orders.ts
+++ b/src/group/formed/open_orders.ts
@@ -1,5 +1,5 @@
 /**
- * Orders of a decider that are not known to be carried out, one a rank.
+ * Tracks the orders of a decider that are not known to be executed, one per rank.
  *
  * @module
  */
@@ -10,15 +10,15 @@
 } from "../../messages/formed_group_types.ts";
 
 /**
- * Milliseconds after which an order to prepare a map is sent again. It carries the
- * whole map, some 3 KB for 24 ranks and 16 layers, and a rank takes up to 500 ms to
- * copy what it gains.
+ * Milliseconds after which an order to prepare a map is resent. It carries the full map,
+ * about 3 KB for 24 ranks and 16 layers, and a rank takes up to 500 ms to copy the experts
+ * that it gains.
  */
 const PREPARE_RESEND_MS = 1000;
-/** Milliseconds after which any other order is sent again: the group may wait. */
+/** Milliseconds after which any other order is resent, since the group may wait for it. */
 const RESEND_MS = 120;
 
-/** An order that is not known to be carried out. */
+/** An order that is not known to be executed. */
 export interface OpenOrder {
   readonly rank: number;
   readonly id: number;
@@ -29,34 +29,34 @@
   readonly sentAt: number;
 }
 
-/** Orders of a decider that are not known to be carried out. */
+/** Tracks the orders of a decider that are not known to be executed. */
 export class OpenOrders {
   readonly #byRank = new Map<number, SentOrder>();
   #nextId: number;
 
-  /** Orders are numbered from `firstId`. */
+  /** Numbers orders from `firstId`. */
   constructor(firstId: number) {
     this.#nextId = firstId;
   }
 
-  /** Whether every order was carried out. */
+  /** Whether no order is open. */
   get isEmpty(): boolean {
     return this.#byRank.size === 0;
   }
 
-  /** Notes an order in place of the rank's one before. */
+  /** Opens an order, which replaces the rank's previous one. */
   open(rank: number, order: RankOrder, now: number): OpenOrder {
     const sent = { rank, id: this.#nextId++, order, sentAt: now };
     this.#byRank.set(rank, sent);
     return sent;
   }
 
-  /** The rank's order, if one is open. */
+  /** Returns the open order of a rank, if there is one. */
   tryGet(rank: number): OpenOrder | undefined {
     return this.#byRank.get(rank);
   }
 
-  /** Closes the rank's order if its state shows that it was carried out. */
+  /** Closes a rank's order if the rank's state shows that it was executed. */
   closeIfExecuted(rank: number, state: RankState): void {
     const sent = this.#byRank.get(rank);
     if (sent !== undefined && isCarriedOut(sent.order, state)) {
@@ -64,19 +64,19 @@
     }
   }
 
-  /** The rank has just answered: its order is not sent again at once. */
+  /** Restarts the resend interval of a rank's order. */
   postpone(rank: number, now: number): void {
     const sent = this.#byRank.get(rank);
     if (sent !== undefined) this.#byRank.set(rank, { ...sent, sentAt: now });
   }
 
-  /** Gives up all orders. */
+  /** Removes all orders. */
   clear(): void {
     this.#byRank.clear();
   }
 
   /**
-   * The orders that are to be sent again now.
+   * Returns the orders that are due to be resent and restarts their intervals.
    *
    * @example
    * ```ts
--- a/src/group/formed/pass_times.ts
+++ b/src/group/formed/pass_times.ts
@@ -1,37 +1,37 @@
 /**
- * How long a group's passes take, from the numbers of the last pass begun.
+ * Estimates the duration of a group's passes from the pass numbers that ranks report.
  *
  * @module
  */
 import type { RankState } from "../../messages/formed_group_types.ts";
 
-/** Longest gap between two looks that tells of passes, in milliseconds. */
+/** Observations further apart than this many milliseconds are not compared. */
 const MAX_OBSERVATION_GAP_MS = 10_000;
 
-/** How long a group's passes take. */
+/** Estimates the duration of a group's passes. */
 export class PassTimes {
   readonly #smoothing: number;
   #pass = -1;
   #at = 0;
   #meanMs: number | undefined;
 
-  /** `smoothing` is the weight of the newest look, from 0 to 1. */
+  /** `smoothing` is the weight of the newest sample, from 0 to 1. */
   constructor(smoothing: number) {
     this.#smoothing = smoothing;
   }
 
-  /** Mean time of a pass in milliseconds; undefined before two looks. */
+  /** Mean duration of a pass in milliseconds; undefined before two observations. */
   get meanMs(): number | undefined {
     return this.#meanMs;
   }
 
-  /** Forgets all: the group starts anew, with another map. */
+  /** Clears all observations, since the group restarts with another map. */
   clear(): void {
     this.#pass = -1;
     this.#meanMs = undefined;
   }
 
-  /** Takes in a state of rank 0. A group without work tells nothing. */
+  /** Records a state of rank 0. A period without running requests yields no sample. */
   observe(state: RankState, now: number): void {
     const passes = state.pass - this.#pass;
     const gapMs = now - this.#at;
--- a/src/group/formed/popularity.ts
+++ b/src/group/formed/popularity.ts
@@ -1,54 +1,54 @@
 /**
- * Which experts the requests of a group choose now, from counts that each rank
- * keeps since its engine started.
+ * Estimates the current popularity of a group's experts from the token counts that each
+ * rank accumulates since its engine started.
  *
  * @module
  */
 import type { ExpertCounts } from "../../messages/formed_group_types.ts";
 
 /**
- * Milliseconds in which a choice counts for a third as much. Popularity changes
- * every few seconds, and a copy made for it is in force half a second later.
+ * Time constant of the exponential decay of counts, in milliseconds. Popularity changes
+ * every few seconds, and a copy takes effect half a second after it is planned.
  */
 const DECAY_MS = 350;
-/** Milliseconds of choices that are compared with those before them. */
+/** Length in milliseconds of the interval whose counts are compared with earlier ones. */
 const COMPARISON_INTERVAL_MS = 100;
-/** Choices of each expert, in the mean, from which chance does not look like a change. */
+/** Minimum mean count per expert for a comparison, so that noise is not taken as a change. */
 const MIN_COMPARED_TOKENS = 20;
 /**
- * Likeness, the cosine of the angle between choices by expert, below which popularity is
- * taken for changed, and what was counted before for worthless. Counts of an unchanged
- * popularity differ by chance alone.
+ * Cosine similarity of the counts per expert below which popularity is considered changed
+ * and earlier counts are discarded. The counts of an unchanged popularity differ only by
+ * noise.
  */
 const MIN_SIMILARITY = 0.9;
 
-/** Which experts the requests of a group choose now. */
+/** Estimates the current popularity of a group's experts. */
 export class Popularity {
   /** The last counts of each rank. */
   readonly #counts = new Map<number, ExpertCounts>();
-  /** Tokens by layer and expert before {@link #recent}; older ones count for less. */
+  /** Decayed tokens by layer and expert, without those in {@link #recent}. */
   #tokens: number[][] = [];
-  /** Tokens that are not compared with those before yet. */
+  /** Tokens by layer and expert that have not been compared with earlier ones yet. */
   #recent: number[][] = [];
   #comparedAt: number | undefined;
   #changes = 0;
 
-  /** How often popularity was seen to change. */
+  /** Number of changes of popularity that were detected. */
   get changes(): number {
     return this.#changes;
   }
 
-  /** Tokens by layer and expert; older ones count for less. */
+  /** Decayed tokens by layer and expert. */
   get tokens(): readonly (readonly number[])[] {
     return sumOf(this.#tokens, this.#recent);
   }
 
-  /** Whether anything was counted. */
+  /** Whether any tokens were counted. */
   get isKnown(): boolean {
     return this.#tokens.length > 0 || this.#recent.length > 0;
   }
 
-  /** Forgets all counts: the engines start anew. */
+  /** Clears all counts, since the engines restart. */
   clear(): void {
     this.#counts.clear();
     this.#tokens = [];
@@ -57,7 +57,7 @@
   }
 
   /**
-   * Takes in what a rank counted since its engine started.
+   * Records the counts of a rank since its engine started.
    *
    * @example
    * ```ts
@@ -66,27 +66,27 @@
    */
   observe(rank: number, counts: ExpertCounts, now: number): void {
     this.#compareRecent(now);
-    const before = this.#counts.get(rank);
+    const previous = this.#counts.get(rank);
     this.#counts.set(rank, counts);
-    // The first counts of a rank may be of any age.
-    if (before === undefined) return;
-    // An engine that started anew counts from zero.
+    // The first counts of a rank may cover any period.
+    if (previous === undefined) return;
+    // An engine that has restarted counts from zero.
     this.#add(
       counts.map((row, layer) =>
         row.map((count, expert) =>
-          Math.max(0, count - (before[layer]?.[expert] ?? 0))
+          Math.max(0, count - (previous[layer]?.[expert] ?? 0))
         )
       ),
     );
   }
 
-  /** Takes in what a rank counted since it was observed last. */
+  /** Records the increase of a rank's counts since the last observation. */
   observeIncrease(rank: number, added: ExpertCounts, now: number): void {
     this.#compareRecent(now);
     this.#add(added);
-    const before = this.#counts.get(rank);
-    if (before === undefined) return;
-    const counts = before.map((row, layer) =>
+    const previous = this.#counts.get(rank);
+    if (previous === undefined) return;
+    const counts = previous.map((row, layer) =>
       row.map((count, expert) => count + (added[layer]?.[expert] ?? 0))
     );
     this.#counts.set(rank, counts);
@@ -101,7 +101,7 @@
     }
   }
 
-  /** What was counted lately either adds to what was before, or takes its place. */
+  /** Adds recent counts to the earlier ones; replaces those if popularity has changed. */
   #compareRecent(now: number): void {
     this.#comparedAt ??= now;
     const elapsedMs = now - this.#comparedAt;
@@ -111,9 +111,9 @@
       areComparable(this.#tokens) &&
       getSimilarity(this.#recent, this.#tokens) < MIN_SIMILARITY;
     if (hasChanged) this.#changes++;
-    const before = hasChanged ? [] : decay(this.#tokens, elapsedMs);
-    const lately = decay(this.#recent, elapsedMs - COMPARISON_INTERVAL_MS);
-    this.#tokens = sumOf(before, lately);
+    const earlier = hasChanged ? [] : decay(this.#tokens, elapsedMs);
+    const recent = decay(this.#recent, elapsedMs - COMPARISON_INTERVAL_MS);
+    this.#tokens = sumOf(earlier, recent);
     this.#recent = [];
   }
 }
@@ -140,19 +140,19 @@
 function areComparable(tokens: readonly (readonly number[])[]): boolean {
   const [first] = tokens;
   if (first === undefined) return false;
-  const choices = first.reduce((sum, count) => sum + count, 0);
-  return choices >= MIN_COMPARED_TOKENS * first.length;
+  const total = first.reduce((sum, count) => sum + count, 0);
+  return total >= MIN_COMPARED_TOKENS * first.length;
 }
 
-/** Mean over the layers; 1: the same parts, 0: no expert in common. */
+/** Mean over the layers, from 0 (no expert in common) to 1 (the same proportions). */
 function getSimilarity(
   one: readonly (readonly number[])[],
   other: readonly (readonly number[])[],
 ): number {
-  const likenesses = one.map((row, layer) =>
+  const similarities = one.map((row, layer) =>
     getCosine(row, other[layer] ?? [])
   );
-  return likenesses.reduce((sum, likeness) => sum + likeness, 0) / one.length;
+  return similarities.reduce((sum, value) => sum + value, 0) / one.length;
 }
 
 function getCosine(one: readonly number[], other: readonly number[]): number {
--- a/src/group/formed/rank_agent.ts
+++ b/src/group/formed/rank_agent.ts
@@ -1,6 +1,6 @@
 /**
- * Gives a decider's orders to the engine of a rank, and tells how the engine stands.
- * Keeps nothing that must outlive the process.
+ * Executes a decider's orders at the engine of a rank and reports the engine's state.
+ * Keeps no state that must survive a restart.
  *
  * @module
  */
@@ -21,26 +21,27 @@
   type RankState,
 } from "../../messages/formed_group_types.ts";
 
-/** Milliseconds between two looks at an engine that loads a map. */
+/** Milliseconds between two polls of an engine that loads a map. */
 const LOADING_POLL_INTERVAL_MS = 12;
-/** Part of the shortest load in which no look is worth its cost. */
+/** Fraction of the shortest load time before which the engine is not polled. */
 const UNPOLLED_LOAD_FRACTION = 0.92;
-/** Milliseconds for which an engine may load one map. */
+/** Maximum milliseconds for which an engine may load one map. */
 const LOADING_TIMEOUT_MS = 10_000;
-/** How an engine's state is watched for the effect of an order. */
+
+/** How an engine is polled for the effect of an order. */
 export interface EffectPolling {
-  /** Milliseconds between two looks at an order that should have taken effect. */
+  /** Milliseconds between two polls. */
   readonly intervalMs: number;
-  /** Milliseconds for which an order that was accepted is watched. */
+  /** Milliseconds for which the effect of an accepted order is awaited. */
   readonly timeoutMs: number;
-  /** The same for one without an answer, before it is given again. */
+  /** Milliseconds for which the effect of an unanswered order is awaited before a resend. */
   readonly unansweredTimeoutMs: number;
 }
 
 /**
- * An engine on the same machine tells its state as it is, at no cost: one look shows
- * whether an order without an answer was carried out. With 63 ranks some order of each
- * switch has to be given a third time where a tenth of them gets no answer.
+ * Polling of the engine on the same VM. Its state is current and cheap to read, so one
+ * poll shows whether an unanswered order was executed. If a tenth of the orders gets no
+ * answer, each switch of 63 ranks has an order that has to be sent three times.
  */
 export const LOCAL_ENGINE_POLLING: EffectPolling = {
   intervalMs: 5,
@@ -48,8 +49,8 @@
   unansweredTimeoutMs: 0,
 };
 /**
- * To other machines an engine tells its state as it was some 200 ms before, and each
- * look has its price.
+ * Polling of an engine on another VM. It reports its state with a delay of about 200 ms,
+ * and each poll has a cost.
  */
 export const REMOTE_ENGINE_POLLING: EffectPolling = {
   intervalMs: 120,
@@ -60,17 +61,17 @@
 /** Sends a report to the decider. */
 export type ReportSender = (report: RankReportMessage) => void;
 
-/** Gives a decider's orders to the engine of one rank. */
+/** Executes a decider's orders at the engine of one rank. */
 export class RankAgent {
   readonly #engine: FormedEngine;
   readonly #polling: EffectPolling;
-  /** The order under way; a repeated one is not given twice at once. */
+  /** The order in progress, which is not executed twice concurrently if it is repeated. */
   #current: RankOrderMessage | undefined;
   readonly #countsEncoder = new CountsEncoder();
-  /** Shortest time that a map took to load, in milliseconds. */
+  /** Shortest observed load time of a map in milliseconds. */
   #shortestLoadMs = Number.POSITIVE_INFINITY;
 
-  /** Takes the engine, and how to watch it. */
+  /** Creates an agent for an engine. */
   constructor(
     engine: FormedEngine,
     watch: EffectPolling = LOCAL_ENGINE_POLLING,
@@ -80,7 +81,7 @@
   }
 
   /**
-   * How the engine stands, with what else is asked for.
+   * Answers a query with the engine's state and the requested counts and experts.
    *
    * @throws when the engine does not answer
    */
@@ -97,15 +98,15 @@
     const experts = query.withExperts
       ? await this.#engine.readExperts()
       : undefined;
-    // Read last, so that no report overtakes one of a later state: a decider that hears
-    // of a hold which has ended meanwhile takes it for a stray one and starts over.
+    // The state is read last, so that no report is older than one sent before it. A decider
+    // that receives a hold which has already ended treats it as stray and starts over.
     const state = await this.#engine.tryReadState();
     if (state === undefined) return;
     send({ kind: "rank_report", state, counts, experts });
   }
 
   /**
-   * Whether an order that another machine gave was carried out.
+   * Reports whether an order that another VM sent to the engine was executed.
    *
    * @throws when the engine does not answer
    */
@@ -120,7 +121,7 @@
   }
 
   /**
-   * Gives an order until the engine's state shows what became of it.
+   * Sends an order to the engine until its outcome is known, and reports it.
    *
    * @throws when the engine does not answer
    */
@@ -149,8 +150,8 @@
     while (this.#current === message) {
       const outcome = await this.#engine.give(engineOrder);
       wasUnanswered ||= outcome === "unanswered";
-      const limitMs = this.#getPollTimeoutMs(order, outcome, wasUnanswered);
-      const state = await this.#pollEffect(order, limitMs);
+      const timeoutMs = this.#getPollTimeoutMs(order, outcome, wasUnanswered);
+      const state = await this.#pollEffect(order, timeoutMs);
       if (state === undefined) return;
       const isDone = isCarriedOut(order, state);
       const isSettled = isDone || outcome !== "unanswered" ||
@@ -161,7 +162,7 @@
     }
   }
 
-  /** An engine knows no fences: it prepares a map that changes nothing for it. */
+  /** Replaces a fence, which engines do not support, by a map without copies to prepare. */
   async #tryCreateEngineOrder(
     order: RankOrder,
   ): Promise<EngineOrder | undefined> {
@@ -170,38 +171,40 @@
     if (state === undefined) return undefined;
     const { rank, ranks } = state;
     const own = await this.#engine.readExperts();
-    const [counted] = await this.#engine.readCounts();
-    const experts = counted?.length ?? 0;
+    const [counts] = await this.#engine.readCounts();
+    const experts = counts?.length ?? 0;
     const map = createFenceMap({ rank, ranks, own, experts });
     const { epoch, version } = order;
     return { kind: "prepare", epoch, version, map };
   }
 
-  /** Looks until the order shows, or for so long. */
+  /** Polls the engine until the order has taken effect or the timeout has elapsed. */
   async #pollEffect(
     order: RankOrder,
-    limitMs: number,
+    timeoutMs: number,
   ): Promise<RankState | undefined> {
     const startedAt = performance.now();
-    for (let look = 0;; look++) {
+    for (let polls = 0;; polls++) {
       const state = await this.#engine.tryReadState();
       const waitedMs = performance.now() - startedAt;
       const isDone = state !== undefined && isCarriedOut(order, state);
       const isOver = state === undefined || state.epoch !== order.epoch ||
-        isDone || waitedMs >= limitMs;
+        isDone || waitedMs >= timeoutMs;
       if (isOver) {
-        if (isDone && look > 0) this.#recordLoadTime(order, waitedMs);
+        if (isDone && polls > 0) this.#recordLoadTime(order, waitedMs);
         return state;
       }
-      await sleep(this.#getPollDelayMs(order, look), undefined, { ref: false });
+      await sleep(this.#getPollDelayMs(order, polls), undefined, {
+        ref: false,
+      });
     }
   }
 
-  /** One copy takes as long as the next: most of it need not be looked at. */
-  #getPollDelayMs(order: RankOrder, look: number): number {
+  /** Skips polls during most of a load, since all copies take about the same time. */
+  #getPollDelayMs(order: RankOrder, polls: number): number {
     if (order.kind !== "prepare") return this.#polling.intervalMs;
     const isKnown = Number.isFinite(this.#shortestLoadMs);
-    const isFirst = look === 0 && isKnown;
+    const isFirst = polls === 0 && isKnown;
     return isFirst
       ? this.#shortestLoadMs * UNPOLLED_LOAD_FRACTION
       : Math.max(LOADING_POLL_INTERVAL_MS, this.#polling.intervalMs);
@@ -213,8 +216,8 @@
   }
 
   /**
-   * How long an order may take to show. One that was refused shows at once if an
-   * earlier giving of it was carried out without an answer.
+   * Returns how long to wait for the effect of an order. A rejected order is checked only
+   * once: it has taken effect already if an earlier unanswered send was executed.
    */
   #getPollTimeoutMs(
     order: RankOrder,
--- a/src/group/formed/rank_links.ts
+++ b/src/group/formed/rank_links.ts
@@ -1,6 +1,6 @@
 /**
- * Ways to the ranks of a group: links to the processes beside their engines, and where
- * such a process does not answer, to the engine itself.
+ * Connects a decider to the ranks of a group: by links to the sidecars of their engines,
+ * and directly to an engine whose sidecar does not answer.
  *
  * @module
  */
@@ -21,31 +21,31 @@
   RankState,
 } from "../../messages/formed_group_types.ts";
 
-/** The process of one rank. */
+/** Addresses of one rank's sidecar and engine. */
 export interface GroupMemberAddress {
   readonly rank: number;
-  /** Where the process is. */
+  /** Address of the sidecar. */
   readonly address: string;
   readonly engineAddress: string;
 }
 
-/** A rank, as far as it is known here. */
+/** Known state of a rank and of the link to its sidecar. */
 export class RankMember {
   readonly engineAddress: string;
-  /** As registered, until the rank itself tells. */
+  /** Number of the rank: as registered until the rank itself reports it. */
   rank: number;
   link: Link | undefined;
-  /** What the process was sent of maps on this link. */
+  /** Encodes the maps that are sent on this link. */
   mapEncoder = new MapEncoder();
   state: RankState | undefined;
-  /** When that state was told, in milliseconds. */
+  /** Time at which the state was received, in milliseconds. */
   stateReceivedAt = Number.NEGATIVE_INFINITY;
-  /** Number of the last counts that it told. */
+  /** Serial number of the last counts that were received. */
   knownCounts: number | undefined;
-  /** The last order that was given to its engine from here. */
+  /** Number of the last order that was sent directly to the engine. */
   lastDirectOrderId: number | undefined;
 
-  /** Nothing was heard of it yet. */
+  /** Starts without any received state. */
   constructor({ rank, engineAddress }: GroupMemberAddress) {
     this.rank = rank;
     this.engineAddress = engineAddress;
@@ -57,9 +57,9 @@
   readonly identity: LinkIdentity;
   readonly group: string;
   readonly log: EventLog;
-  /** Makes the way to the engine of another machine. */
+  /** Creates a client of an engine on another VM. */
   readonly createEngine: (address: string) => FormedEngine;
-  /** A rank's process, or its engine, told something. */
+  /** Called for each report of a rank's sidecar or engine. */
   readonly onReport: (member: RankMember, report: RankReportMessage) => void;
 }
 
@@ -68,27 +68,27 @@
   readonly client: LinkClient;
 }
 
-/** Ways to the ranks of a group. */
+/** Connects a decider to the ranks of a group. */
 export class RankLinks {
   readonly #options: RankLinksOptions;
   readonly #dialled = new Map<string, DialledMember>();
   readonly #engines = new Map<string, FormedEngine>();
-  /** Those who speak with engines from here, by the engine's address. */
+  /** Agents that execute orders directly at engines, by the engine's address. */
   readonly #remoteAgents = new Map<string, RankAgent>();
 
-  /** Members are told by {@link setMembers}. */
+  /** Starts without members, which are set by {@link setMembers}. */
   constructor(options: RankLinksOptions) {
     this.#options = options;
   }
 
-  /** All ranks that are known. */
+  /** All known ranks. */
   get members(): readonly RankMember[] {
     return [...this.#dialled.values()].map(({ member }) => member);
   }
 
   /**
-   * The rank, if it is known. An engine may have two entries, of which one process has
-   * ended.
+   * Returns a rank if it is known. An engine may have two registrations, one of them of a
+   * process that has ended.
    */
   tryMember(rank: number): RankMember | undefined {
     const members = this.members.filter((member) => member.rank === rank);
@@ -101,30 +101,31 @@
     this.#dialled.clear();
   }
 
-  /** The processes of the group's ranks, this one included. */
+  /** Sets the processes of the group's ranks, including this one. */
   setMembers(addresses: readonly GroupMemberAddress[]): void {
     for (const address of addresses) {
       if (!this.#dialled.has(address.address)) this.#dial(address);
     }
     const listed = new Set(addresses.map(({ address }) => address));
     for (const [address, { client, member }] of this.#dialled) {
-      // An entry may lapse while the store is away and its process lives on.
+      // A registration may lapse while the store is unreachable and its process runs on.
       if (listed.has(address) || member.link !== undefined) continue;
       client.stop();
       this.#dialled.delete(address);
     }
   }
 
-  /** Tells a rank's process how another rank's engine stands. */
+  /** Forwards a report of another rank to a rank's sidecar. */
   forwardReport(rank: number, report: RankReportMessage): void {
     this.tryMember(rank)?.link?.send(report);
   }
 
   /**
-   * Sends an order to the process beside a rank's engine, which gives it at no cost. One
-   * that does not answer is not waited for: while it is restarted its engine runs on, and
-   * the group needs every rank for a switch. (A machine that stands still takes its
-   * engine's interface with it; then this helps no more than waiting.)
+   * Sends an order to the sidecar of a rank's engine, which executes it at no cost. If the
+   * sidecar is disconnected or has not answered, the order also goes directly to the
+   * engine: the engine keeps running while its sidecar restarts, and a switch needs every
+   * rank. This does not help if the VM is frozen, because its engine cannot be reached
+   * then either.
    */
   sendOrder(effect: SendOrder): void {
     const { rank, orderId, order } = effect;
@@ -137,8 +138,8 @@
   }
 
   /**
-   * Gives an order to a rank's engine from this machine and has it checked by the
-   * process beside it: what an engine tells other machines is old.
+   * Sends an order directly to a rank's engine and has its effect checked by the sidecar,
+   * because an engine reports its state to other VMs with a delay.
    */
   sendOrderToEngine(effect: SendOrder): void {
     const { rank, orderId, order } = effect;
@@ -146,7 +147,7 @@
     const { link } = member ?? {};
     if (member !== undefined && link !== undefined && order.kind !== "fence") {
       void sendUntilAnswered(this.#getEngine(member.engineAddress), order)
-        // Whatever the answer, the process there knows what became of it.
+        // The sidecar determines the effect, whatever the engine answered.
         .then(() => link.send({ kind: "rank_check", orderId, order }));
     }
     this.#sendDirectlyIfUnanswered(member, effect);
@@ -156,8 +157,8 @@
     member: RankMember | undefined,
     effect: SendOrder,
   ): void {
-    const isSilent = member?.link === undefined || effect.isRepeated;
-    if (member !== undefined && isSilent) this.#sendDirectly(member, effect);
+    const isNeeded = member?.link === undefined || effect.isRepeated;
+    if (member !== undefined && isNeeded) this.#sendDirectly(member, effect);
   }
 
   #sendDirectly(member: RankMember, effect: SendOrder): void {
--- a/src/group/formed/rank_questions.ts
+++ b/src/group/formed/rank_questions.ts
@@ -1,51 +1,53 @@
 /**
- * Which ranks a decider asks what, and when, within what its link can carry. Decides
- * only; times and answers come in.
+ * Schedules a decider's queries to ranks within the capacity of its link. Only makes the
+ * decisions; the caller provides times and answers.
  *
- * Each rank has one open question at most. What a rank holds is asked first, then counts,
- * then the states of ranks that are not counted. Counts are most of the bytes: 3 KB a rank
- * with 12 layers of 256 experts. Popularity is the group's and each rank counts a sample
- * of it, so some ranks are counted often rather than all of them seldom.
+ * Each rank has at most one pending query. Queries for experts come first, then those for
+ * counts, then those for the states of ranks whose counts are not sampled. Counts make up
+ * most of the bytes: 3 KB per rank with 12 layers of 256 experts. Popularity is a property
+ * of the whole group and each rank's counts are a sample of it, so some ranks are sampled
+ * often rather than all of them rarely.
  *
  * @module
  */
 import type { RankReportMessage } from "../../messages/formed_group_types.ts";
 
-/** Milliseconds between two questions for counts to a rank. */
+/** Milliseconds between two queries for the counts of a rank. */
 const COUNT_INTERVAL_MS = 200;
 /**
- * Counted ranks are asked in turn by halves: what one half counts shows that popularity
- * changed, half an interval sooner.
+ * Number of batches in which the sampled ranks are queried in turn. With two, the counts of
+ * one half reveal a change of popularity half an interval earlier.
  */
 const COUNT_BATCHES = 2;
-/** Milliseconds between two questions for the state of a rank that is not counted. */
+/** Milliseconds between two queries for the state of a rank that is not sampled. */
 const STATE_INTERVAL_MS = 500;
-/** Milliseconds for which a first question is waited for, with counts. */
+/** Milliseconds until the first query for counts times out. */
 const COUNTS_TIMEOUT_MS = 1000;
 /**
- * The same without counts: the answer is small, and while what a rank holds is unknown no
- * map is changed. A process that starts may find its engine too busy for its first answer.
+ * Milliseconds until the first query without counts times out. It is shorter, because the
+ * answer is small and no map can change while the experts of a rank are unknown. The first
+ * answer may be missing because the engine is too busy when a process starts.
  */
 const STATE_TIMEOUT_MS = 300;
-/** Questions without an answer after which the wait doubles no more. */
+/** Number of unanswered queries in a row after which the timeout stops doubling. */
 const MAX_TIMEOUT_DOUBLINGS = 5;
-/** Part of the link for all answers: orders, maps and heartbeats need the rest. */
+/** Share of the link for all answers; orders, maps and heartbeats need the rest. */
 const LINK_SHARE = 0.4;
-/** Part of the link for counts. */
+/** Share of the link for counts. */
 const COUNTS_LINK_SHARE = 0.3;
-/** Milliseconds of its part of the link that a decider may ask for at once. */
+/** Maximum size of a burst of answers, in milliseconds of the share of the link. */
 const BURST_MS = 250;
-/** Ranks that are counted even if their answers fill the link: two a turn. */
-const MIN_COUNTED_RANKS = 4;
-/** Bytes of an answer with nothing but a state, with the headers around it. */
+/** Minimum number of sampled ranks, even if they exceed the share: two in each batch. */
+const MIN_SAMPLED_RANKS = 4;
+/** Size of an answer that has only a state, including headers, in bytes. */
 const STATE_BYTES = 300;
-/** Bytes of a count of what was added since the last, and of an expert's number. */
+/** Average encoded size of the increase of a count, in bytes. */
 const BYTES_PER_COUNT = 1.1;
-/** Bytes of counts until some have come. */
+/** Assumed size of an answer with counts until one was received, in bytes. */
 const INITIAL_COUNTS_BYTES = 4000;
 const MS_PER_SECOND = 1000;
 
-/** What a rank is asked beside the state of its engine. */
+/** A query for the state of a rank's engine and, optionally, its experts and counts. */
 export interface RankQuestion {
   readonly rank: number;
   readonly withExperts: boolean;
@@ -55,14 +57,14 @@
 /** Options of {@link RankQuestions}. */
 export interface RankQueriesOptions {
   readonly ranks: number;
-  /** Bytes that the decider's link carries in a second. */
+  /** Capacity of the decider's link in bytes per second. */
   readonly bytesPerSecond: number;
 }
 
-/** What is expected of an answer. */
+/** Expected size and timeout of an answer. */
 interface ExpectedAnswer {
   readonly bytes: number;
-  /** Milliseconds for which it is waited for. */
+  /** Milliseconds until the query times out. */
   readonly timeoutMs: number;
 }
 
@@ -71,50 +73,51 @@
   timeoutMs: STATE_TIMEOUT_MS,
 };
 
-interface QueriedRank {
+/** State of the last query to a rank. */
+interface LastQuery {
   queriedAt: number;
   isPending: boolean;
-  /** Milliseconds for which that question is waited for. */
+  /** Milliseconds until the last query times out, before any doubling. */
   timeoutMs: number;
-  /** Questions in a row without an answer. */
+  /** Number of unanswered queries in a row. */
   unansweredCount: number;
 }
 
-/** Which ranks a decider asks what, and when. */
+/** Schedules a decider's queries to ranks. */
 export class RankQuestions {
   readonly #bytesPerSecond: number;
-  readonly #ranks: readonly QueriedRank[];
-  /** Ranks of which it is wanted what they hold. */
+  readonly #lastQueries: readonly LastQuery[];
+  /** Ranks whose experts were requested and not reported yet. */
   readonly #expertsWanted = new Set<number>();
-  /** Ranks that are counted. */
-  #counted: readonly number[] = [];
+  /** Ranks whose counts are sampled. */
+  #sampled: readonly number[] = [];
   #countsBytes = INITIAL_COUNTS_BYTES;
-  /** Bytes that may be asked for now; negative after a large answer was asked for. */
+  /** Bytes that may be requested now; negative after a request for a large answer. */
   #budget = 0;
   #budgetAt: number | undefined;
 
-  /** Nobody was asked yet. */
+  /** Starts without any query. */
   constructor({ ranks, bytesPerSecond }: RankQueriesOptions) {
     this.#bytesPerSecond = bytesPerSecond;
-    this.#ranks = Array.from({ length: ranks }, createQueriedRank);
+    this.#lastQueries = Array.from({ length: ranks }, createLastQuery);
   }
 
-  /** Ranks of which so many have to be counted before a plan. */
-  get minCountedForPlan(): number {
-    return Math.ceil(this.#counted.length / COUNT_BATCHES);
+  /** Number of sampled ranks whose counts have to be received before a plan. */
+  get minSampledForPlan(): number {
+    return Math.ceil(this.#sampled.length / COUNT_BATCHES);
   }
 
-  /** What a rank holds is wanted. */
+  /** Requests the experts of a rank. */
   want(rank: number): void {
     this.#expertsWanted.add(rank);
   }
 
-  /** A rank told how it stands; what it tells of an order answers no question. */
+  /** Records an answer of a rank. A report about an order does not answer a query. */
   answered({ state, orderId, counts, experts }: RankReportMessage): void {
-    const asked = this.#ranks[state.rank];
-    if (asked === undefined || orderId !== undefined) return;
-    asked.isPending = false;
-    asked.unansweredCount = 0;
+    const query = this.#lastQueries[state.rank];
+    if (query === undefined || orderId !== undefined) return;
+    query.isPending = false;
+    query.unansweredCount = 0;
     if (experts !== undefined) this.#expertsWanted.delete(state.rank);
     if (counts?.since === undefined) return;
     const numbers = counts.counts.reduce((sum, row) => sum + row.length, 0);
@@ -122,17 +125,17 @@
   }
 
   /**
-   * The questions that are to be sent now, to ranks that can be reached.
+   * Returns the queries that are due now, for ranks that can be reached.
    *
    * @example
    * ```ts
-   * for (const question of questions.take(now, reachable)) send(question);
+   * for (const query of queries.take(now, reachable)) send(query);
    * ```
    */
   take(now: number, reachable: ReadonlySet<number>): readonly RankQuestion[] {
     this.#refillBudget(now);
     this.#resetDisconnected(reachable);
-    this.#selectCounted(reachable);
+    this.#selectSampled(reachable);
     return [
       ...this.#takeExpertQueries(now, reachable),
       ...this.#takeCountQueries(now),
@@ -144,18 +147,18 @@
     now: number,
     reachable: ReadonlySet<number>,
   ): readonly RankQuestion[] {
-    const wanted = [...this.#expertsWanted].filter((rank) =>
+    const ranks = [...this.#expertsWanted].filter((rank) =>
       reachable.has(rank)
     );
-    return this.#takeWithinBudget(wanted, STATE_ANSWER, now)
+    return this.#takeWithinBudget(ranks, STATE_ANSWER, now)
       .map((rank) => ({ rank, withExperts: true, withCounts: false }));
   }
 
   #takeCountQueries(now: number): readonly RankQuestion[] {
-    const turn = Math.floor(now * COUNT_BATCHES / COUNT_INTERVAL_MS) %
+    const batch = Math.floor(now * COUNT_BATCHES / COUNT_INTERVAL_MS) %
       COUNT_BATCHES;
-    const due = this.#counted.filter((rank, place) =>
-      place % COUNT_BATCHES === turn &&
+    const due = this.#sampled.filter((rank, index) =>
+      index % COUNT_BATCHES === batch &&
       this.#isDue(rank, now, COUNT_INTERVAL_MS / COUNT_BATCHES)
     );
     const answer = { bytes: this.#countsBytes, timeoutMs: COUNTS_TIMEOUT_MS };
@@ -168,10 +171,10 @@
     reachable: ReadonlySet<number>,
   ): readonly RankQuestion[] {
     const due = [...reachable].filter((rank) =>
-      !this.#counted.includes(rank) &&
+      !this.#sampled.includes(rank) &&
       this.#isDue(rank, now, STATE_INTERVAL_MS)
     );
-    // Who was asked the longest ago is first, if not all can be asked.
+    // The least recently query ranks come first, in case the budget is too small for all.
     due.sort((left, right) =>
       this.#getQueriedAt(left) - this.#getQueriedAt(right)
     );
@@ -179,40 +182,40 @@
       .map((rank) => ({ rank, withExperts: false, withCounts: false }));
   }
 
-  /** As many as the budget allows, of those that have no open question. */
+  /** Takes as many ranks without a pending query as the budget allows. */
   #takeWithinBudget(
     ranks: readonly number[],
-    { bytes, timeoutMs: limitMs }: ExpectedAnswer,
+    { bytes, timeoutMs }: ExpectedAnswer,
     now: number,
   ): readonly number[] {
     const taken: number[] = [];
     for (const rank of ranks) {
       if (this.#budget <= 0) break;
-      const asked = this.#ranks[rank];
-      if (asked === undefined || !this.#canQuery(asked, now)) continue;
-      if (asked.isPending) asked.unansweredCount++;
-      asked.isPending = true;
-      asked.timeoutMs = limitMs;
-      asked.queriedAt = now;
+      const query = this.#lastQueries[rank];
+      if (query === undefined || !this.#canQuery(query, now)) continue;
+      if (query.isPending) query.unansweredCount++;
+      query.isPending = true;
+      query.timeoutMs = timeoutMs;
+      query.queriedAt = now;
       this.#budget -= bytes;
       taken.push(rank);
     }
     return taken;
   }
 
-  /** A question without an answer is not repeated at once, and then ever later. */
+  /** Returns whether no query is pending or the pending one has timed out. */
   #canQuery(
     {
-      isPending: isOpen,
-      queriedAt: askedAt,
-      timeoutMs: limitMs,
-      unansweredCount: misses,
-    }: QueriedRank,
+      isPending,
+      queriedAt,
+      timeoutMs,
+      unansweredCount,
+    }: LastQuery,
     now: number,
   ): boolean {
-    if (!isOpen) return true;
-    const longer = 2 ** Math.min(misses, MAX_TIMEOUT_DOUBLINGS);
-    return now - askedAt >= limitMs * longer;
+    if (!isPending) return true;
+    const factor = 2 ** Math.min(unansweredCount, MAX_TIMEOUT_DOUBLINGS);
+    return now - queriedAt >= timeoutMs * factor;
   }
 
   #isDue(rank: number, now: number, intervalMs: number): boolean {
@@ -220,7 +223,7 @@
   }
 
   #getQueriedAt(rank: number): number {
-    return this.#ranks[rank]?.queriedAt ?? Number.POSITIVE_INFINITY;
+    return this.#lastQueries[rank]?.queriedAt ?? Number.POSITIVE_INFINITY;
   }
 
   #refillBudget(now: number): void {
@@ -233,39 +236,39 @@
     );
   }
 
-  /** An answer that was on its way over a lost connection does not come any more. */
+  /** Resets unreachable ranks: answers on a lost connection will not be received. */
   #resetDisconnected(reachable: ReadonlySet<number>): void {
-    for (const [rank, asked] of this.#ranks.entries()) {
-      if (!reachable.has(rank)) Object.assign(asked, createQueriedRank());
+    for (const [rank, query] of this.#lastQueries.entries()) {
+      if (!reachable.has(rank)) Object.assign(query, createLastQuery());
     }
   }
 
-  /** Who is counted stays so, since only what was added since the last count is known. */
-  #selectCounted(reachable: ReadonlySet<number>): void {
-    const able = [...reachable].filter((rank) =>
-      this.#ranks[rank]?.unansweredCount === 0
+  /** Selects the sampled ranks; keeps the current ones, whose counts have a known base. */
+  #selectSampled(reachable: ReadonlySet<number>): void {
+    const responsive = [...reachable].filter((rank) =>
+      this.#lastQueries[rank]?.unansweredCount === 0
     );
-    const size = Math.min(this.#maxCounted, able.length);
-    const kept = this.#counted.filter((rank) => able.includes(rank));
-    if (kept.length === size && kept.length === this.#counted.length) return;
-    const stride = able.length / size;
+    const size = Math.min(this.#maxSampled, responsive.length);
+    const kept = this.#sampled.filter((rank) => responsive.includes(rank));
+    if (kept.length === size && kept.length === this.#sampled.length) return;
+    const stride = responsive.length / size;
     const spread = Array.from(
       { length: size },
-      (_, place) => able[Math.floor(place * stride)] as number,
+      (_, index) => responsive[Math.floor(index * stride)] as number,
     );
-    const others = [...spread, ...able];
-    this.#counted = [...new Set([...kept, ...others])].slice(0, size);
+    const candidates = [...spread, ...responsive];
+    this.#sampled = [...new Set([...kept, ...candidates])].slice(0, size);
   }
 
-  get #maxCounted(): number {
+  get #maxSampled(): number {
     const bytes = this.#bytesPerSecond * COUNTS_LINK_SHARE *
       COUNT_INTERVAL_MS / MS_PER_SECOND;
-    const fitting = Math.floor(bytes / this.#countsBytes);
-    return Math.max(MIN_COUNTED_RANKS, fitting);
+    const fittingRanks = Math.floor(bytes / this.#countsBytes);
+    return Math.max(MIN_SAMPLED_RANKS, fittingRanks);
   }
 }
 
-function createQueriedRank(): QueriedRank {
+function createLastQuery(): LastQuery {
   return {
     queriedAt: Number.NEGATIVE_INFINITY,
     isPending: false,
--- a/src/group/formed/switch_rescuer.ts
+++ b/src/group/formed/switch_rescuer.ts
@@ -1,6 +1,6 @@
 /**
- * Beside the rank that holds passes: ends a held switch that its decider does not, as
- * the decider itself would. It decides on no maps of its own.
+ * Completes a held switch that the decider does not complete. Runs in the sidecar of the
+ * holder and uses the same logic as the decider, but proposes no maps.
  *
  * @module
  */
@@ -25,7 +25,7 @@
 } from "../../messages/formed_group_types.ts";
 
 const TICK_MS = 25;
-/** Orders from here are numbered from a random number above this, unlike deciders'. */
+/** Lower limit of the random number of the first order, above all numbers of deciders. */
 const MIN_FIRST_ORDER_ID = 2 ** 40;
 const ORDER_ID_RANGE = 2 ** 31;
 
@@ -34,35 +34,35 @@
   readonly identity: LinkIdentity;
   readonly random: RandomSource;
   readonly log: EventLog;
-  /** Gives orders to the holder's engine. */
+  /** Executes orders at the holder's engine. */
   readonly agent: RankAgent;
-  /** Makes the way to the engine of another machine. */
+  /** Creates a client of an engine on another VM. */
   readonly createEngine: (address: string) => FormedEngine;
 }
 
-/** Ends a held switch that its decider does not. */
+/** Completes a held switch that the decider does not complete. */
 export class SwitchRescuer {
   readonly #options: SwitchRecoveryOptions;
   #addresses: readonly GroupMemberAddress[] = [];
   #rank: number | undefined;
   readonly #watch = new HeldPassWatch();
-  /** That rank 0 is armed, as the decider told it last. */
+  /** Last report of the decider that rank 0 is armed. */
   #armedReport: RankReportMessage | undefined;
   #decider: FormedGroupDecider | undefined;
   #links: RankLinks | undefined;
   #timer: NodeJS.Timeout | undefined;
 
-  /** Knows no other ranks yet. */
+  /** Starts without the other ranks, which are set by {@link setMembers}. */
   constructor(options: SwitchRecoveryOptions) {
     this.#options = options;
   }
 
-  /** The processes of all ranks, this one included. */
+  /** Sets the processes of all ranks, including this one. */
   setMembers(addresses: readonly GroupMemberAddress[]): void {
     this.#addresses = addresses;
   }
 
-  /** Gives no more orders. */
+  /** Stops sending orders and closes the links. */
   stop(): void {
     clearInterval(this.#timer);
     this.#links?.stop();
@@ -71,12 +71,12 @@
     this.#decider = undefined;
   }
 
-  /** The decider told that its own rank is armed, which lasts until the pass begins. */
+  /** Records that rank 0 is armed, which remains true until the pass begins. */
   note(report: RankReportMessage): void {
     this.#armedReport = report;
   }
 
-  /** Takes in how the holder's own engine stands. */
+  /** Processes a state of the holder's engine. */
   observe(state: RankState, now: number): void {
     this.#rank = state.rank;
     const awaitedMs = this.#watch.observe(state, now);
@@ -128,7 +128,7 @@
     }
   }
 
-  /** What it would ask, the looks at the holder's own engine answer. */
+  /** Performs orders and logs phases; queries are answered by polling the holder. */
   #perform(effect: DeciderEffect): void {
     if (effect.kind === "send_order") this.#sendOrder(effect);
     if (effect.kind !== "phase_entered") return;
