--- a/src/group/formed/counts_memory_test.ts
+++ b/src/group/formed/counts_memory_test.ts
@@ -34,65 +34,68 @@
   }]).length;
 }
 
-describe("counts as told to a decider", () => {
-  it("are what was added, if it has those told before", () => {
-    const memory = new CountsEncoder();
-    const first = memory.encode([[10, 20]], undefined);
+describe("encoding of counts for a decider", () => {
+  it("sends the increase if the decider has the last counts", () => {
+    const encoder = new CountsEncoder();
+    const first = encoder.encode([[10, 20]], undefined);
     assert.deepEqual(first, { serial: 1, counts: [[10, 20]] });
-    const second = memory.encode([[13, 20]], 1);
+    const second = encoder.encode([[13, 20]], 1);
     assert.deepEqual(second, { serial: 2, since: 1, counts: [[3, 0]] });
   });
 
-  it("are told in full to a decider that missed some", () => {
-    const memory = new CountsEncoder();
-    memory.encode([[10]], undefined);
-    memory.encode([[11]], 1);
-    assert.deepEqual(memory.encode([[12]], 1), { serial: 3, counts: [[12]] });
+  it("sends full counts to a decider that missed some", () => {
+    const encoder = new CountsEncoder();
+    encoder.encode([[10]], undefined);
+    encoder.encode([[11]], 1);
+    assert.deepEqual(encoder.encode([[12]], 1), { serial: 3, counts: [[12]] });
   });
 
-  it("are told in full when the engine has started anew", () => {
-    const memory = new CountsEncoder();
-    memory.encode([[10, 10]], undefined);
-    assert.deepEqual(memory.encode([[2, 11]], 1), {
+  it("sends full counts when the engine has restarted", () => {
+    const encoder = new CountsEncoder();
+    encoder.encode([[10, 10]], undefined);
+    assert.deepEqual(encoder.encode([[2, 11]], 1), {
       serial: 2,
       counts: [[2, 11]],
     });
   });
 
-  it("take less than half of the bytes", () => {
-    const memory = new CountsEncoder();
-    const full = sizeOf(memory.encode(createCounts(40_000), undefined));
-    const added = sizeOf(memory.encode(createCounts(40_050), 1));
-    assert.ok(added < full / 2, `${added} and ${full} bytes`);
+  it("needs less than half of the bytes for an increase", () => {
+    const encoder = new CountsEncoder();
+    const fullBytes = sizeOf(encoder.encode(createCounts(40_000), undefined));
+    const increaseBytes = sizeOf(encoder.encode(createCounts(40_050), 1));
+    assert.ok(
+      increaseBytes < fullBytes / 2,
+      `${increaseBytes} and ${fullBytes} bytes`,
+    );
   });
 
-  it("make the same popularity either way", () => {
-    const memory = new CountsEncoder();
-    const inFull = new Popularity();
-    const added = new Popularity();
+  it("yields the same popularity from increases as from full counts", () => {
+    const encoder = new CountsEncoder();
+    const full = new Popularity();
+    const increases = new Popularity();
     let known: number | undefined;
     for (const [index, total] of [5, 9, 30, 31, 80].entries()) {
       const counts = [[total, 2 * total], [0, total]];
       const now = index * 200;
-      inFull.observe(0, counts, now);
-      // One answer is lost, so the next comes in full.
-      const report = memory.encode(counts, known);
+      full.observe(0, counts, now);
+      // One answer is lost, so the next one carries full counts.
+      const report = encoder.encode(counts, known);
       if (index === 2) continue;
       known = report.serial;
-      if (report.since === undefined) added.observe(0, report.counts, now);
-      else added.observeIncrease(0, report.counts, now);
+      if (report.since === undefined) increases.observe(0, report.counts, now);
+      else increases.observeIncrease(0, report.counts, now);
     }
-    assert.equal(added.isKnown, true);
+    assert.equal(increases.isKnown, true);
     const sum = (rows: readonly (readonly number[])[]) =>
       rows.flat().reduce((total, count) => total + count, 0);
-    assert.ok(sum(added.tokens) >= sum(inFull.tokens));
-    inFull.observe(0, [[100, 160], [0, 100]], 5000);
-    added.observe(0, [[100, 160], [0, 100]], 5000);
-    const [fullRow] = inFull.tokens;
-    const [addedRow] = added.tokens;
+    assert.ok(sum(increases.tokens) >= sum(full.tokens));
+    full.observe(0, [[100, 160], [0, 100]], 5000);
+    increases.observe(0, [[100, 160], [0, 100]], 5000);
+    const [fullRow] = full.tokens;
+    const [increasesRow] = increases.tokens;
     assert.equal(
       Math.round(fullRow?.[0] ?? -1),
-      Math.round(addedRow?.[0] ?? 0),
+      Math.round(increasesRow?.[0] ?? 0),
     );
   });
 });
--- a/src/group/formed/drifting_group_test.ts
+++ b/src/group/formed/drifting_group_test.ts
@@ -1,12 +1,12 @@
 /**
- * The load that these tests tell of: a fleet of groups of 24 ranks at its usual traffic,
- * in which seven of eight answers were late. Popularity stood still for two seconds and
- * then changed at once; for half of the time the most loaded rank had over 2.5 times the
- * mean, so that passes took longer than the pause that callers bear.
+ * Guards against maps that take effect too late after popularity changes. In groups of 24
+ * ranks, popularity was constant for two seconds at a time and then changed abruptly. For
+ * half of the time the most loaded rank had more than 2.5 times the mean load, passes
+ * exceeded the pause objective, and seven of eight answers were late.
  *
- * Cause: maps came 0.9 s after a change. Counts from before it were mixed with those after
- * it, and five copies, one after the other at one rank, were waited for while other ranks
- * made none. What proved it: counts of such a day, played again with each of the two.
+ * Maps took effect 0.9 s after a change, for two reasons: counts from before the change
+ * were mixed with those after it, and each map waited for five sequential copies at one
+ * rank while other ranks copied nothing.
  *
  * @module
  */
@@ -20,8 +20,8 @@
 const RUN_MS = 10_000;
 const SEEDS = [1, 2, 3] as const;
 const COUNT_INTERVAL_MS = 100;
-const HIGHEST_MEAN_SKEW = 2.42;
-const HIGHEST_PART_TOO_LONG = 0.38;
+const MAX_MEAN_SKEW = 2.42;
+const MAX_FRACTION_TOO_LONG = 0.38;
 
 function meanOf(countIntervalMs: number): DriftResult {
   const results = SEEDS.map((seed) =>
@@ -35,23 +35,25 @@
   };
 }
 
-describe("maps of a group whose popularity changes at once", () => {
+describe("maps of a group whose popularity changes abruptly", () => {
   /**
-   * Measured: 2.38 and 0.36. With up to 400 ms of copies at a rank 3.15 and 0.59; with old
-   * counts kept 2.47 and 0.34; with each copy charged a whole slowdown 2.47 and 0.36.
+   * Mean skew is 2.38 and passes are too long for 0.36 of the time. With up to 400 ms of
+   * copies at a rank these are 3.15 and 0.59; if old counts are kept, 2.47 and 0.34; if
+   * each copy is charged a full slowdown, 2.47 and 0.36.
    */
-  it("follow it with few copies at each rank and many in all", () => {
+  it("adapt quickly with few copies at each rank and many in total", () => {
     const { meanSkew, partTooLong } = meanOf(COUNT_INTERVAL_MS);
-    assert.ok(meanSkew <= HIGHEST_MEAN_SKEW, `${meanSkew}`);
-    assert.ok(partTooLong <= HIGHEST_PART_TOO_LONG, `${partTooLong}`);
+    assert.ok(meanSkew <= MAX_MEAN_SKEW, `${meanSkew}`);
+    assert.ok(partTooLong <= MAX_FRACTION_TOO_LONG, `${partTooLong}`);
   });
 
   /**
-   * 64 ranks whose decider has 0.4 of a core: the plan of four copies a rank takes longer
-   * than loading them, and maps come late. Measured: 0.38 in place of 0.48 of the time, 0.35
-   * with one copy a rank, three seeds alike.
+   * With 64 ranks and 0.4 of a core for the decider, planning four copies per rank takes
+   * longer than loading them, so maps take effect late. Passes are too long for 0.38 of the
+   * time with the limit, for 0.48 with four copies per rank and for 0.35 with one, similarly
+   * for three seeds.
    */
-  it("follow it sooner in large groups with fewer copies at each rank", () => {
+  it("adapt sooner in large groups with fewer copies at each rank", () => {
     const shape = {
       ranks: 64,
       layers: 4,
@@ -60,18 +62,18 @@
       planningMs: 60,
       planningMsPerCopy: 0.9,
     };
-    const partOf = (copiesPerRank?: number) =>
+    const getFractionTooLong = (copiesPerRank?: number) =>
       new DriftingGroup({
         seed: 1,
         countIntervalMs: 200,
         shape,
         copiesPerRank,
       }).run(8400).partTooLong;
-    const ours = partOf();
-    const asMuchAsIsLoadedInTime = partOf(4);
+    const limited = getFractionTooLong();
+    const fourCopies = getFractionTooLong(4);
     assert.ok(
-      ours < 0.9 * asMuchAsIsLoadedInTime,
-      `${ours} of ${asMuchAsIsLoadedInTime}`,
+      limited < 0.9 * fourCopies,
+      `${limited} of ${fourCopies}`,
     );
   });
 });
--- a/src/group/formed/fence_map_test.ts
+++ b/src/group/formed/fence_map_test.ts
@@ -3,7 +3,7 @@
 import * as fc from "fast-check";
 import { createFenceMap } from "./fence_map.ts";
 
-describe("a map for a fence", () => {
+describe("fence map", () => {
   it("keeps the rank's own experts and places each of the others once", () => {
     const map = createFenceMap({
       rank: 1,
@@ -17,22 +17,22 @@
     ]);
   });
 
-  it("fits wherever some map of the group does", () => {
+  it("needs no more slots per rank than any map of the group", () => {
     const sizes = fc.tuple(
       fc.integer({ min: 2, max: 24 }),
       fc.integer({ min: 1, max: 6 }),
     );
     fc.assert(
-      fc.property(sizes, fc.nat(), ([ranks, places], number) => {
-        const experts = 1 + number % (ranks * places);
+      fc.property(sizes, fc.nat(), ([ranks, slots], number) => {
+        const experts = 1 + number % (ranks * slots);
         const own = [Array.from(
-          { length: Math.min(places, experts) },
+          { length: Math.min(slots, experts) },
           (_, expert) => expert,
         )];
         const map = createFenceMap({ rank: 1, ranks, own, experts });
         const rows = map.layers[0]?.experts ?? [];
         assert.equal(new Set(rows.flat()).size, experts);
-        assert.ok(rows.every((row) => row.length <= places));
+        assert.ok(rows.every((row) => row.length <= slots));
       }),
       { seed: 1 },
     );
--- a/src/group/formed/give_until_answered_test.ts
+++ b/src/group/formed/give_until_answered_test.ts
@@ -12,17 +12,17 @@
 }
 
 /**
- * The pattern: the order that holds a pass, or the one that lets it begin, gets no answer.
- * Each is given to one engine, and the whole group waits for the second.
+ * Guards against a delayed resend of an unanswered order that holds or releases a pass.
+ * Such an order goes to one engine, and the whole group waits for the release.
  */
-describe("an order to an engine of another machine", () => {
-  it("is given again as soon as it has got no answer", async () => {
+describe("an order to an engine on another VM", () => {
+  it("is resent immediately when it is not answered", async () => {
     const engine = createEngine(2);
     assert.equal(await sendUntilAnswered(engine, HOLD), "accepted");
     assert.equal(engine.given.length, 3);
   });
 
-  it("is given once when it is answered, also when it is refused", async () => {
+  it("is sent once when it is answered, even if it is rejected", async () => {
     const engine = createEngine(0);
     await sendUntilAnswered(engine, HOLD);
     const later = { ...HOLD, pass: 4 };
@@ -30,7 +30,7 @@
     assert.equal(engine.given.length, 2);
   });
 
-  it("is left to its sender's next look when the engine stays silent", async () => {
+  it("is returned as unanswered after a limited number of sends", async () => {
     const engine = createEngine(100);
     assert.equal(await sendUntilAnswered(engine, HOLD), "unanswered");
     assert.ok(engine.given.length < 10);
--- a/src/group/formed/held_pass_test.ts
+++ b/src/group/formed/held_pass_test.ts
@@ -17,7 +17,7 @@
 }
 
 describe("a held pass", () => {
-  it("is decided once the holder is armed for it", () => {
+  it("is decided when the holder is armed for it", () => {
     const holder = createHolder({ armed: { version: 5, pass: PASS } });
     assert.deepEqual(readHeldPass(holder), {
       kind: "decided",
@@ -26,29 +26,29 @@
     });
   });
 
-  it("is undecided while the holder is not armed, and awaited or not", () => {
+  it("is undecided while the holder is not armed, whether awaited or not", () => {
     const awaited = readHeldPass(createHolder({}));
     assert.deepEqual(awaited, {
       kind: "undecided",
       pass: PASS,
       isAwaited: true,
     });
-    const ahead = readHeldPass(createHolder({ pass: PASS - 2 }));
-    assert.ok(ahead.kind === "undecided" && !ahead.isAwaited);
+    const notAwaited = readHeldPass(createHolder({ pass: PASS - 2 }));
+    assert.ok(notAwaited.kind === "undecided" && !notAwaited.isAwaited);
   });
 
-  it("is held in vain when the holder is armed for a later one", () => {
+  it("is stale when the holder is armed for a later pass", () => {
     const armed = { version: 5, pass: PASS + 2 };
     assert.equal(readHeldPass(createHolder({ armed })).kind, "in_vain");
   });
 
-  it("waits for the switch of an earlier pass", () => {
+  it("is not awaited while the switch of an earlier pass is in progress", () => {
     const armed = { version: 5, pass: PASS - 2 };
     const held = readHeldPass(createHolder({ armed, pass: PASS - 4 }));
     assert.ok(held.kind === "undecided" && !held.isAwaited);
   });
 
-  it("is none when the holder holds none", () => {
+  it("does not exist when the holder holds no pass", () => {
     const held = readHeldPass(createHolder({ heldPass: undefined }));
     assert.equal(held.kind, "nothing_held");
   });
--- a/src/group/formed/held_pass_watch_test.ts
+++ b/src/group/formed/held_pass_watch_test.ts
@@ -15,15 +15,15 @@
   });
 }
 
-describe("the watch over held passes", () => {
-  it("tells how long the group has waited, once that is suspicious", () => {
+describe("watch of a held pass", () => {
+  it("returns how long the group has waited once that is too long", () => {
     const watch = new HeldPassWatch();
     assert.equal(watch.observe(createHolder(), 1000), undefined);
     assert.equal(watch.observe(createHolder(), 1100), undefined);
     assert.equal(watch.observe(createHolder(), 1300), 300);
   });
 
-  it("counts from when the group has come to the pass", () => {
+  it("measures from when the group reached the pass", () => {
     const watch = new HeldPassWatch();
     watch.observe(createHolder({ pass: PASS - 3 }), 1000);
     watch.observe(createHolder({ pass: PASS - 3 }), 2000);
@@ -31,7 +31,7 @@
     assert.equal(watch.observe(createHolder(), 2300), 300);
   });
 
-  it("begins anew with another held pass, and with none", () => {
+  it("restarts with another held pass and without one", () => {
     const watch = new HeldPassWatch();
     watch.observe(createHolder(), 1000);
     const next = createHolder({ pass: PASS, heldPass: PASS + 1 });
--- a/src/group/formed/rank_agent.ts
+++ b/src/group/formed/rank_agent.ts
@@ -66,7 +66,7 @@
   readonly #engine: FormedEngine;
   readonly #polling: EffectPolling;
   /** The order in progress, which is not executed twice concurrently if it is repeated. */
-  #current: RankOrderMessage | undefined;
+  #currentOrder: RankOrderMessage | undefined;
   readonly #countsEncoder = new CountsEncoder();
   /** Shortest observed load time of a map in milliseconds. */
   #shortestLoadMs = Number.POSITIVE_INFINITY;
@@ -74,10 +74,10 @@
   /** Creates an agent for an engine. */
   constructor(
     engine: FormedEngine,
-    watch: EffectPolling = LOCAL_ENGINE_POLLING,
+    polling: EffectPolling = LOCAL_ENGINE_POLLING,
   ) {
     this.#engine = engine;
-    this.#polling = watch;
+    this.#polling = polling;
   }
 
   /**
@@ -129,13 +129,13 @@
     message: RankOrderMessage,
     send: ReportSender,
   ): Promise<void> {
-    const isRepeated = this.#current?.orderId === message.orderId;
+    const isRepeated = this.#currentOrder?.orderId === message.orderId;
     if (isRepeated) return;
-    this.#current = message;
+    this.#currentOrder = message;
     try {
       await this.#sendUntilSettled(message, send);
     } finally {
-      if (this.#current === message) this.#current = undefined;
+      if (this.#currentOrder === message) this.#currentOrder = undefined;
     }
   }
 
@@ -147,7 +147,7 @@
     const engineOrder = await this.#tryCreateEngineOrder(order);
     if (engineOrder === undefined) return;
     let wasUnanswered = false;
-    while (this.#current === message) {
+    while (this.#currentOrder === message) {
       const outcome = await this.#engine.give(engineOrder);
       wasUnanswered ||= outcome === "unanswered";
       const timeoutMs = this.#getPollTimeoutMs(order, outcome, wasUnanswered);
