--- a/src/group/formed/hold_margin_test.ts
+++ b/src/group/formed/hold_margin_test.ts
@@ -4,45 +4,46 @@
 
 const PASS_MS = 60;
 
-/** Passes ahead at which a switch that takes so long is held, after three such. */
-function marginAfter(tookMs: number): number {
+/** Returns the margin in passes after three switches with the same hold duration. */
+function getMarginAfter(holdMs: number): number {
   const margin = new HoldMargin();
   for (let switches = 0; switches < 3; switches++) {
     margin.startSwitch(PASS_MS);
-    margin.recordHold(tookMs);
+    margin.recordHold(holdMs);
   }
   margin.startSwitch(PASS_MS);
   return margin.passes;
 }
 
-describe("how far ahead the pass of a switch is held", () => {
+describe("margin of the pass of a switch", () => {
   /**
-   * The pattern: switches of 250 to 350 ms at busy machines, held two passes of 60 ms
-   * ahead, so that each of them kept the group waiting and made all answers late.
+   * Guards against a margin shorter than a hold. On busy VMs switches took 250 to 350 ms
+   * with a margin of two passes of 60 ms, so each of them blocked the group and made all
+   * answers late.
    */
-  it("leaves time for as long as switches take", () => {
-    for (const tookMs of [60, 120, 250, 400]) {
-      assert.ok(marginAfter(tookMs) * PASS_MS >= tookMs, `${tookMs} ms`);
+  it("covers the duration of recent holds", () => {
+    for (const holdMs of [60, 120, 250, 400]) {
+      assert.ok(getMarginAfter(holdMs) * PASS_MS >= holdMs, `${holdMs} ms`);
     }
   });
 
-  it("is short where switches are quick", () => {
-    assert.ok(marginAfter(20) <= 3);
+  it("is short when holds are short", () => {
+    assert.ok(getMarginAfter(20) <= 3);
   });
 
   /**
-   * The pattern: engines leave some orders without an answer, so one switch takes twice as
-   * long as those before it. With short passes nobody misses the new map; the answers of
-   * all callers would miss the pass that is held too long.
+   * Engines do not answer some orders, so a hold may take twice as long as earlier ones.
+   * While passes are short, a late map costs little, but a hold that blocks the group makes
+   * the answers of all callers late.
    */
-  it("bears a switch of twice the usual time while passes are short", () => {
+  it("covers a hold of twice the usual duration while passes are short", () => {
     const margin = new HoldMargin();
     for (let switches = 0; switches < 10; switches++) margin.recordHold(120);
     margin.startSwitch(PASS_MS, PASS_MS / 120);
     assert.ok(margin.passes * PASS_MS >= 240);
   });
 
-  it("is shorter while passes are longer than callers bear", () => {
+  it("is shorter while passes exceed the pause objective", () => {
     const margin = new HoldMargin();
     margin.startSwitch(PASS_MS, 1.2);
     const urgent = margin.passes;
@@ -50,7 +51,7 @@
     assert.ok(urgent < margin.passes);
   });
 
-  it("remembers one that took long for some switches", () => {
+  it("stays long for some switches after a long hold", () => {
     const margin = new HoldMargin();
     margin.recordHold(400);
     margin.recordHold(50);
@@ -58,7 +59,7 @@
     assert.ok(margin.passes * PASS_MS >= 300);
   });
 
-  it("follows whether the group waited, while passes are not timed", () => {
+  it("grows when the group waited, while the pass duration is unknown", () => {
     const margin = new HoldMargin();
     margin.startSwitch();
     const first = margin.passes;
--- a/src/group/formed/load_columns_test.ts
+++ b/src/group/formed/load_columns_test.ts
@@ -24,8 +24,8 @@
   };
 }
 
-describe("loads on a connection", () => {
-  it("are read as they were written, with and without addresses", () => {
+describe("encoding of loads on a connection", () => {
+  it("round-trips loads with and without addresses", () => {
     const writer = new LoadWriter();
     const reader = new LoadReader();
     for (const ageMs of [1, 2]) {
@@ -34,29 +34,29 @@
     }
   });
 
-  it("tell the formation of the group, whose costs are kept apart by it", () => {
+  it("carries the epoch of the group, by which costs are kept separate", () => {
     const load = createLoad(4, { epoch: 7 });
     const message = new LoadWriter().write(load);
     assert.deepEqual(new LoadReader().tryRead(message), load);
     assert.equal(new LoadReader().tryRead(message)?.epoch, 7);
   });
 
-  it("tell addresses again when a rank came or went", () => {
+  it("sends addresses again when a rank was added or removed", () => {
     const writer = new LoadWriter();
     writer.write(createLoad(4));
     assert.equal(writer.write(createLoad(4)).engineAddresses, undefined);
     assert.equal(writer.write(createLoad(3)).engineAddresses?.length, 3);
   });
 
-  it("are left out where they do not fit the addresses", () => {
+  it("drops loads that do not match the addresses", () => {
     const writer = new LoadWriter();
     writer.write(createLoad(4));
-    const later = writer.write(createLoad(4));
-    assert.equal(new LoadReader().tryRead(later), undefined);
+    const withoutAddresses = writer.write(createLoad(4));
+    assert.equal(new LoadReader().tryRead(withoutAddresses), undefined);
   });
 
-  /** By rows with their names 64 ranks took 3.8 KB, to each entry. */
-  it("take half a kilobyte for 64 ranks", () => {
+  /** As objects with field names, the loads of 64 ranks took 3.8 KB for each entry. */
+  it("takes at most half a kilobyte for 64 ranks", () => {
     const writer = new LoadWriter();
     writer.write(createLoad(64));
     const { length } = encodeFrame([writer.write(createLoad(64))]);
--- a/src/group/formed/map_changes_test.ts
+++ b/src/group/formed/map_changes_test.ts
@@ -20,7 +20,7 @@
   return { kind: "rank_order", orderId: version, order };
 }
 
-/** What differs between two maps, for a link on which the first was sent. */
+/** Encodes the second map for a link on which the first was sent. */
 function createChange(): MapChangeMessage {
   const sent = new MapEncoder();
   sent.encode(createPrepare(1, FIRST));
@@ -29,15 +29,15 @@
   return change;
 }
 
-describe("maps on a link", () => {
-  it("are sent whole first, then as rows that differ", () => {
+describe("encoding of maps on a link", () => {
+  it("sends the full map first, then the changed rows", () => {
     const sent = new MapEncoder();
     const whole = createPrepare(1, FIRST);
     assert.equal(sent.encode(whole), whole);
     const change = sent.encode(createPrepare(2, SECOND));
     assert.ok(change.kind === "map_change");
-    const { checksum: _, ...told } = change;
-    assert.deepEqual(told, {
+    const { checksum: _, ...fields } = change;
+    assert.deepEqual(fields, {
       kind: "map_change",
       orderId: 2,
       epoch: 1,
@@ -46,7 +46,7 @@
     });
   });
 
-  it("come out whole on the other side, also when sent again", () => {
+  it("restores the full map at the receiver, also when it is sent again", () => {
     const sent = new MapEncoder();
     const received = new ReceivedMap();
     const first = sent.encode(createPrepare(1, FIRST));
@@ -59,12 +59,12 @@
     }
   });
 
-  it("are not made up where none was received", () => {
+  it("rejects a change if no map was received", () => {
     const received = new ReceivedMap();
     assert.equal(received.tryDecode(createChange()), undefined);
   });
 
-  it("are not loaded where they do not fit the map before", () => {
+  it("rejects a change that does not match the previous map", () => {
     const received = new ReceivedMap();
     received.note(SECOND);
     const { checksum } = createChange();
@@ -73,16 +73,16 @@
     assert.equal(received.tryDecode(change), undefined);
   });
 
-  /** Before: 388 KB to all of 64 ranks, 0.74 s of 4.2 Mbit/s. */
-  it("take a quarter of the bytes for 200 copies at 64 ranks", () => {
+  /** Full maps take 388 KB for 64 ranks, which is 0.74 s of a link of 4.2 Mbit/s. */
+  it("needs less than a quarter of the bytes for 200 copies at 64 ranks", () => {
     const rows = Array.from(
       { length: 64 },
-      (_, rank) => [0, 1, 2, 3].map((place) => rank + 64 * place),
+      (_, rank) => [0, 1, 2, 3].map((slot) => rank + 64 * slot),
     );
-    const before = {
+    const base = {
       layers: Array.from({ length: 12 }, () => ({ experts: rows })),
     };
-    const layers = before.layers.map(({ experts }) => ({
+    const layers = base.layers.map(({ experts }) => ({
       experts: experts.map((row, rank) =>
         rank % 4 === 0
           ? [...row, 255 - rank].sort((left, right) => left - right)
@@ -90,12 +90,12 @@
       ),
     }));
     const sent = new MapEncoder();
-    const whole = encodeFrame([sent.encode(createPrepare(1, before))]).length;
+    const whole = encodeFrame([sent.encode(createPrepare(1, base))]).length;
     const change = encodeFrame([sent.encode(createPrepare(2, { layers }))]);
     assert.ok(change.length * 4 < whole, `${change.length} of ${whole}`);
   });
 
-  it("are sent whole where the order of a rank's experts matters", () => {
+  it("sends the full map if the order of a rank's experts matters", () => {
     const sent = new MapEncoder();
     sent.encode(createPrepare(1, FIRST));
     const unsorted: ExpertMap = {
@@ -105,7 +105,7 @@
     assert.equal(sent.encode(whole), whole);
   });
 
-  it("differ from a map that was told ahead of the first order", () => {
+  it("sends changes to a map that was sent ahead of the first order", () => {
     const sent = new MapEncoder();
     const received = new ReceivedMap();
     assert.equal(sent.hasBase, false);
@@ -116,7 +116,7 @@
     assert.deepEqual(received.tryDecode(change), createPrepare(2, SECOND));
   });
 
-  it("leave other orders as they are", () => {
+  it("leaves other orders unchanged", () => {
     const order = { kind: "go", epoch: 1, pass: 3 } as const;
     const message = { kind: "rank_order", orderId: 1, order } as const;
     assert.equal(new MapEncoder().encode(message), message);
--- a/src/group/formed/open_orders_test.ts
+++ b/src/group/formed/open_orders_test.ts
@@ -7,8 +7,8 @@
 const MAP = { layers: [] };
 const PREPARE = { kind: "prepare", epoch: 1, version: 5, map: MAP } as const;
 
-describe("orders that are not known to be carried out", () => {
-  it("are sent again sooner while the group may wait for them", () => {
+describe("open orders", () => {
+  it("are resent sooner if the group may wait for them", () => {
     const orders = new OpenOrders(1);
     orders.open(0, PREPARE, 0);
     orders.open(1, GO, 0);
@@ -27,7 +27,7 @@
     assert.equal(orders.isEmpty, true);
   });
 
-  it("have numbers of their own, also when one takes another's place", () => {
+  it("have unique numbers, also when one replaces another", () => {
     const orders = new OpenOrders(7);
     const first = orders.open(1, PREPARE, 0);
     const second = orders.open(1, GO, 0);
--- a/src/group/formed/popularity_test.ts
+++ b/src/group/formed/popularity_test.ts
@@ -10,7 +10,7 @@
 }
 
 describe("popularity of experts", () => {
-  it("counts what was added since the last look, over all ranks", () => {
+  it("adds up the increases of all ranks since the last observation", () => {
     const popularity = new Popularity();
     popularity.observe(0, [[100, 100]], 0);
     popularity.observe(1, [[7, 7]], 0);
@@ -20,16 +20,16 @@
     assert.deepEqual(popularity.tokens, [[10, 5]]);
   });
 
-  it("forgets old choices", () => {
+  it("decays old counts", () => {
     const popularity = new Popularity();
     popularity.observe(0, [[0, 0]], 0);
     popularity.observe(0, [[100, 0]], 0);
     popularity.observe(0, [[100, 100]], 1500);
-    const [old, fresh] = popularity.tokens[0] as readonly number[];
-    assert.ok((old as number) < 0.02 * (fresh as number));
+    const [old, recent] = popularity.tokens[0] as readonly number[];
+    assert.ok((old as number) < 0.02 * (recent as number));
   });
 
-  it("forgets at once what was chosen before a change", () => {
+  it("discards counts from before a change", () => {
     const popularity = new Popularity();
     popularity.observe(0, [[0, 0]], 0);
     popularity.observe(0, [[900, 100]], 0);
@@ -39,7 +39,7 @@
     assert.equal(popularity.changes, 1);
   });
 
-  it("does not take chance in a few choices for a change", () => {
+  it("does not mistake noise in low counts for a change", () => {
     const popularity = new Popularity();
     popularity.observe(0, [[0, 0]], 0);
     popularity.observe(0, [[30, 0]], 0);
@@ -49,7 +49,7 @@
     assert.ok((old as number) > 15);
   });
 
-  it("takes an engine that starts anew for no choices", () => {
+  it("ignores the first counts of a restarted engine", () => {
     const popularity = new Popularity();
     popularity.observe(0, [[50, 50]], 0);
     popularity.observe(0, [[60, 50]], 0);
@@ -58,15 +58,15 @@
   });
 });
 
-describe("times of passes", () => {
-  it("are the time between two looks over the passes begun", () => {
+describe("durations of passes", () => {
+  it("are the time between two observations divided by the passes begun", () => {
     const times = new PassTimes(1);
     times.observe(createState(10), 0);
     times.observe(createState(15), 300);
     assert.equal(times.meanMs, 60);
   });
 
-  it("count a pass that takes several looks in full", () => {
+  it("include a pass that spans several observations in full", () => {
     const times = new PassTimes(1);
     times.observe(createState(10), 0);
     times.observe(createState(10), 400);
@@ -74,7 +74,7 @@
     assert.equal(times.meanMs, 900);
   });
 
-  it("leave out the time without work", () => {
+  it("exclude time without running requests", () => {
     const times = new PassTimes(1);
     times.observe(createState(10), 0);
     times.observe(createState(10, 0), 5000);
--- a/src/group/formed/rank_agent_test.ts
+++ b/src/group/formed/rank_agent_test.ts
@@ -23,7 +23,7 @@
   readonly #agent = new RankAgent(this.engine);
   #nextId = 1;
 
-  async carryOut(order: RankOrder): Promise<RankReportMessage | undefined> {
+  async execute(order: RankOrder): Promise<RankReportMessage | undefined> {
     const reports: RankReportMessage[] = [];
     await this.#agent.carryOut(
       { kind: "rank_order", orderId: this.#nextId++, order },
@@ -33,11 +33,11 @@
   }
 }
 
-describe("the process beside a rank's engine", () => {
-  it("fences by a map that leaves the rank's experts as they are", async () => {
-    const { engine, carryOut } = createFixture();
-    await carryOut(PREPARE);
-    const report = await carryOut({ kind: "fence", epoch: EPOCH, version: 8 });
+describe("agent of a rank's engine", () => {
+  it("fences with a map that leaves the rank's experts unchanged", async () => {
+    const { engine, execute } = createFixture();
+    await execute(PREPARE);
+    const report = await execute({ kind: "fence", epoch: EPOCH, version: 8 });
     assert.equal(report?.isDone, true);
     assert.equal(report.state.preparedVersion, 8);
     const [, fence] = engine.given;
@@ -46,34 +46,34 @@
   });
 
   it("cannot arm what was prepared before a fence", async () => {
-    const { carryOut } = createFixture();
-    await carryOut(PREPARE);
-    await carryOut({ kind: "fence", epoch: EPOCH, version: 8 });
-    const report = await carryOut(ARM);
+    const { execute } = createFixture();
+    await execute(PREPARE);
+    await execute({ kind: "fence", epoch: EPOCH, version: 8 });
+    const report = await execute(ARM);
     assert.equal(report?.isDone, false);
     assert.equal(report.state.armed, undefined);
   });
 
   /**
-   * The pattern: engines leave a tenth of their orders without an answer and carry them
-   * out seconds later. A group of 63 ranks waits for the last of them with each switch.
+   * Guards against slow resends. Engines do not answer a tenth of their orders and execute
+   * them seconds later; in a group of 63 ranks each switch waits for the last of them.
    */
-  it("gives an order again after one look that shows that it was not taken", async () => {
-    const { engine, carryOut } = createFixture();
-    await carryOut(PREPARE);
+  it("resends an order after a single poll shows that it was not executed", async () => {
+    const { engine, execute } = createFixture();
+    await execute(PREPARE);
     engine.unanswered = 2;
     engine.looks = 0;
-    const report = await carryOut(ARM);
+    const report = await execute(ARM);
     assert.equal(report?.isDone, true);
     assert.equal(engine.given.filter(({ kind }) => kind === "arm").length, 3);
     assert.equal(engine.looks, 3);
   });
 
   it("cannot fence an engine that is armed", async () => {
-    const { carryOut } = createFixture();
-    await carryOut(PREPARE);
-    await carryOut(ARM);
-    const report = await carryOut({ kind: "fence", epoch: EPOCH, version: 8 });
+    const { execute } = createFixture();
+    await execute(PREPARE);
+    await execute(ARM);
+    const report = await execute({ kind: "fence", epoch: EPOCH, version: 8 });
     assert.equal(report?.isDone, false);
     assert.equal(report.state.armed?.version, PREPARE.version);
   });
@@ -83,6 +83,6 @@
   const fixture = new AgentFixture();
   return {
     engine: fixture.engine,
-    carryOut: (order: RankOrder) => fixture.carryOut(order),
+    execute: (order: RankOrder) => fixture.execute(order),
   };
 }
--- a/src/group/formed/rank_links_test.ts
+++ b/src/group/formed/rank_links_test.ts
@@ -31,7 +31,7 @@
     onReport: (_member, report) => this.reports.push(report),
   });
 
-  /** The rank's process has ended: nobody listens at its address. */
+  /** Adds a rank whose sidecar has ended, so that its address refuses connections. */
   async start(): Promise<void> {
     const address = await findFreeAddress();
     this.links.setMembers([{ rank: RANK, address, engineAddress: "engine" }]);
@@ -46,13 +46,13 @@
       isRepeated: false,
     };
     this.links.sendOrder(effect);
-    // What is given from here is given and read without a timer.
+    // A direct order is sent and its effect read without a timer.
     await setImmediate();
   }
 }
 
-describe("orders to a rank whose process is not connected", () => {
-  it("go to its engine", async () => {
+describe("orders to a rank whose sidecar is not connected", () => {
+  it("go directly to its engine", async () => {
     const fixture = new LinksFixture();
     await fixture.start();
     await fixture.send({ kind: "hold", epoch: 1, pass: 3 });
@@ -61,7 +61,7 @@
     assert.equal(fixture.reports[0]?.isDone, true);
   });
 
-  it("go to its engine when they copy experts, too", async () => {
+  it("go directly to its engine even if they copy experts", async () => {
     const fixture = new LinksFixture();
     await fixture.start();
     const map = { layers: [{ experts: [[0], [1], [2]] }] };
