--- a/src/group/formed/rank_agent.ts
+++ b/src/group/formed/rank_agent.ts
@@ -216,8 +216,9 @@
   }
 
   /**
-   * Returns how long to wait for the effect of an order. A rejected order is checked only
-   * once: it has taken effect already if an earlier unanswered send was executed.
+   * Returns how long to poll for the effect of an order. After a rejection one poll is
+   * enough: if an earlier unanswered send was executed, it has taken effect already, except
+   * for a map, which may still be loading.
    */
   #getPollTimeoutMs(
     order: RankOrder,
--- a/src/group/formed/rank_questions_test.ts
+++ b/src/group/formed/rank_questions_test.ts
@@ -23,7 +23,7 @@
 const RUN_MS = 10_000;
 /** Maximum fraction of the link for queries; orders of a switch use the same link. */
 const MAX_LINK_USE = 0.5;
-/** Maximum queuing delay: an order must not wait for longer than a pass of 100 ms. */
+/** Heartbeats tolerate seconds of delay, but an order must not wait for a pass of 100 ms. */
 const MAX_WAIT_MS = 100;
 
 function createOptions(
