--- a/src/group/formed/rank_questions.ts
+++ b/src/group/formed/rank_questions.ts
@@ -87,8 +87,8 @@
 export class RankQuestions {
   readonly #bytesPerSecond: number;
   readonly #lastQueries: readonly LastQuery[];
-  /** Ranks whose experts were requested and not reported yet. */
-  readonly #expertsWanted = new Set<number>();
+  /** Ranks whose experts are unknown and have to be queried. */
+  readonly #unknownExperts = new Set<number>();
   /** Ranks whose counts are sampled. */
   #sampled: readonly number[] = [];
   #countsBytes = INITIAL_COUNTS_BYTES;
@@ -107,9 +107,9 @@
     return Math.ceil(this.#sampled.length / COUNT_BATCHES);
   }
 
-  /** Requests the experts of a rank. */
+  /** Marks the experts of a rank as unknown, so that they are queried. */
   want(rank: number): void {
-    this.#expertsWanted.add(rank);
+    this.#unknownExperts.add(rank);
   }
 
   /** Records an answer of a rank. A report about an order does not answer a query. */
@@ -118,7 +118,7 @@
     if (query === undefined || orderId !== undefined) return;
     query.isPending = false;
     query.unansweredCount = 0;
-    if (experts !== undefined) this.#expertsWanted.delete(state.rank);
+    if (experts !== undefined) this.#unknownExperts.delete(state.rank);
     if (counts?.since === undefined) return;
     const numbers = counts.counts.reduce((sum, row) => sum + row.length, 0);
     this.#countsBytes = STATE_BYTES + numbers * BYTES_PER_COUNT;
@@ -147,7 +147,7 @@
     now: number,
     reachable: ReadonlySet<number>,
   ): readonly RankQuestion[] {
-    const ranks = [...this.#expertsWanted].filter((rank) =>
+    const ranks = [...this.#unknownExperts].filter((rank) =>
       reachable.has(rank)
     );
     return this.#takeWithinBudget(ranks, STATE_ANSWER, now)
