--- a/src/group/formed/rank_questions.ts
+++ b/src/group/formed/rank_questions.ts
@@ -107,7 +107,7 @@
     return Math.ceil(this.#sampled.length / COUNT_BATCHES);
   }
 
-  /** Marks the experts of a rank as unknown, so that they are queried. */
+  /** Adds a rank whose experts are unknown, so that they are queried. */
   want(rank: number): void {
     this.#unknownExperts.add(rank);
   }
