--- a/src/group/formed/rank_questions.ts
+++ b/src/group/formed/rank_questions.ts
@@ -129,7 +129,7 @@
    *
    * @example
    * ```ts
-   * for (const query of queries.take(now, reachable)) send(query);
+   * for (const query of queries.takeDue(now, reachable)) send(query);
    * ```
    */
   take(now: number, reachable: ReadonlySet<number>): readonly RankQuestion[] {
