--- a/src/group/coordinator_effects.ts
+++ b/src/group/coordinator_effects.ts
@@ -49,29 +49,34 @@
 
   /** Binds a rank to this decider and requests the state of its engine. */
   sendBind(rank: number): void {
-    this.#send(rank, { kind: "bind", ...this.#signature() });
+    this.#send(rank, { kind: "bind", ...this.#getIdentity() });
   }
 
   /** Requests that a rank load a map. */
   sendStage(rank: number, { version, map, assemble }: Staging): void {
-    const header = { ...this.#signature(), version };
+    const header = { ...this.#getIdentity(), version };
     this.#send(rank, { kind: "stage", ...header, map, assemble });
   }
 
   /** Requests that a rank not begin a step before the decision. */
   sendPrepare(rank: number, { version, step }: Preparing): void {
-    this.#send(rank, { kind: "prepare", ...this.#signature(), version, step });
+    this.#send(rank, {
+      kind: "prepare",
+      ...this.#getIdentity(),
+      version,
+      step,
+    });
   }
 
   /** Sends the decision about a version to a rank. */
   sendDecision(rank: number, { version, step }: Decision): void {
     if (step === undefined) return this.sendAbort(rank, version);
-    this.#send(rank, { kind: "commit", ...this.#signature(), version, step });
+    this.#send(rank, { kind: "commit", ...this.#getIdentity(), version, step });
   }
 
   /** Notifies a rank that a version was aborted. */
   sendAbort(rank: number, version: number): void {
-    this.#send(rank, { kind: "abort", ...this.#signature(), version });
+    this.#send(rank, { kind: "abort", ...this.#getIdentity(), version });
   }
 
   /** Calls a function for every rank in order. */
@@ -79,7 +84,7 @@
     for (let rank = 0; rank < this.#ranks; rank++) callback(rank);
   }
 
-  #signature(): Decider {
+  #getIdentity(): Decider {
     return { epoch: this.epoch, decider: this.#decider };
   }
 
--- a/src/group/formed/decider_driver.ts
+++ b/src/group/formed/decider_driver.ts
@@ -76,7 +76,7 @@
   readonly #countedRanks = new Set<number>();
   readonly #timer: NodeJS.Timeout;
   #loadSentAt = 0;
-  /** Time of the last plan without a worthwhile copy, and the popularity change it saw. */
+  /** When a plan last found no worthwhile copy, and the popularity changes until then. */
   #lastEmptyPlan = { at: Number.NEGATIVE_INFINITY, changes: 0 };
   #workLoggedAt = 0;
   #lastLoggedPass = 0;
@@ -194,7 +194,7 @@
   }
 
   #sendQuery({ rank, ...fields }: RankQuestion): void {
-    const member = this.#links.tryMember(rank);
+    const member = this.#links.tryGetMember(rank);
     const { knownCounts } = member ?? {};
     member?.link?.send({ kind: "rank_query", ...fields, knownCounts });
   }
@@ -224,7 +224,7 @@
     });
   }
 
-  /** Logs the pass duration and the load, which explain late answers. */
+  /** Logs what explains late answers: long passes, and the load or imbalance behind them. */
   #logWork(now: number): void {
     if (now - this.#workLoggedAt < WORK_LOG_INTERVAL_MS) return;
     const { ranks, group } = this.#options.state;
--- a/src/group/formed/rank_links.ts
+++ b/src/group/formed/rank_links.ts
@@ -90,7 +90,7 @@
    * Returns a rank if it is known. An engine may have two registrations, one of them of a
    * process that has ended.
    */
-  tryMember(rank: number): RankMember | undefined {
+  tryGetMember(rank: number): RankMember | undefined {
     const members = this.members.filter((member) => member.rank === rank);
     return members.find(({ link }) => link !== undefined) ?? members.at(-1);
   }
@@ -108,7 +108,7 @@
     }
     const listed = new Set(addresses.map(({ address }) => address));
     for (const [address, { client, member }] of this.#dialled) {
-      // A registration may lapse while the store is unreachable and its process runs on.
+      // A registration may expire while the store is unreachable and its process runs on.
       if (listed.has(address) || member.link !== undefined) continue;
       client.stop();
       this.#dialled.delete(address);
@@ -117,7 +117,7 @@
 
   /** Forwards a report of another rank to a rank's sidecar. */
   forwardReport(rank: number, report: RankReportMessage): void {
-    this.tryMember(rank)?.link?.send(report);
+    this.tryGetMember(rank)?.link?.send(report);
   }
 
   /**
@@ -129,7 +129,7 @@
    */
   sendOrder(effect: SendOrder): void {
     const { rank, orderId, order } = effect;
-    const member = this.tryMember(rank);
+    const member = this.tryGetMember(rank);
     const message: RankOrderMessage = { kind: "rank_order", orderId, order };
     if (member?.link !== undefined) {
       member.link.send(member.mapEncoder.encode(message));
@@ -143,7 +143,7 @@
    */
   sendOrderToEngine(effect: SendOrder): void {
     const { rank, orderId, order } = effect;
-    const member = this.tryMember(rank);
+    const member = this.tryGetMember(rank);
     const { link } = member ?? {};
     if (member !== undefined && link !== undefined && order.kind !== "fence") {
       void sendUntilAnswered(this.#getEngine(member.engineAddress), order)
