--- a/src/group/coordinator.ts
+++ b/src/group/coordinator.ts
@@ -228,7 +228,9 @@
     this.#decide(committed.version, committed.step);
   }
 
-  /** Starts a new lock-step run, since an engine is new or no switch was committed yet. */
+  /**
+   * Starts a new lock-step run, since an engine is new or no switch was committed yet.
+   */
   #startRun(now: number): void {
     this.#incarnation = Math.max(this.#incarnation + 1, this.#effects.epoch);
     this.#startStaging(this.#map, { assemble: this.#incarnation, now });
--- a/src/group/formed/counts_memory.ts
+++ b/src/group/formed/counts_memory.ts
@@ -36,7 +36,9 @@
   }
 }
 
-/** Returns undefined if any count has decreased, which means that the engine restarted. */
+/**
+ * Returns undefined if any count has decreased, which means that the engine restarted.
+ */
 function tryGetIncrease(
   counts: ExpertCounts,
   base: ExpertCounts,
--- a/src/group/formed/decider.ts
+++ b/src/group/formed/decider.ts
@@ -2,18 +2,19 @@
  * Decides the expert map of a formed group. Runs in the sidecar of rank 0, and in the
  * sidecar of the holder to complete a switch that no other process completes.
  *
- * A switch takes these steps: All ranks prepare a map. The holder's engine holds the pass
- * of the switch, so that the group cannot begin it. The holder is armed, which commits the
- * switch. All other ranks are armed. Once every rank is known to be armed, the pass is
- * released.
+ * A switch takes these steps: All ranks prepare a map. The holder's engine holds the
+ * pass of the switch, so that the group cannot begin it. The holder is armed, which
+ * commits the switch. All other ranks are armed. Once every rank is known to be armed,
+ * the pass is released.
  *
- * Any process that finds a held pass reads from the holder's engine alone how to proceed.
- * If the holder is armed, the process arms all other ranks and releases the pass, which
- * runs with the new map. If the holder is not armed, no rank is: the process fences the
- * holder's engine, so that it can no longer be armed for that pass, and releases the pass,
- * which runs with the old map. An engine stays armed or fenced until the pass begins and
- * is never both. Therefore any number of processes may do this concurrently, each may
- * stop at any time, and no order does harm if it is executed late.
+ * Any process that finds a held pass reads from the holder's engine alone how to
+ * proceed. If the holder is armed, the process arms all other ranks and releases the
+ * pass, which runs with the new map. If the holder is not armed, no rank is: the process
+ * fences the holder's engine, so that it can no longer be armed for that pass, and
+ * releases the pass, which runs with the old map. An engine stays armed or fenced until
+ * the pass begins and is never both. Therefore any number of processes may do this
+ * concurrently, each may stop at any time, and no order does harm if it is executed
+ * late.
  *
  * @module
  */
@@ -65,7 +66,9 @@
   readonly #versions: MapVersions;
   readonly #margin = new HoldMargin();
   readonly #passTimes = new PassTimes(PASS_SMOOTHING);
-  /** When this decider ordered the hold of the current switch; undefined if it did not. */
+  /**
+   * When this decider ordered the hold of the current switch; undefined if it did not.
+   */
   #heldAt: number | undefined;
   readonly #orders: OpenOrders;
   #queriedAt = Number.NEGATIVE_INFINITY;
@@ -151,8 +154,8 @@
 
   /**
    * Returns whether a state is older than one received before. An engine reports its
-   * current state to its sidecar but a delayed one to other VMs; a hold in a delayed state
-   * may have ended since.
+   * current state to its sidecar but a delayed one to other VMs; a hold in a delayed
+   * state may have ended since.
    */
   #isStale(rank: number, state: RankState): boolean {
     return state.pass < (this.#lastPassByRank.get(rank) ?? 0);
@@ -204,7 +207,9 @@
     }
   }
 
-  /** Resolves a held pass first; otherwise waits until the state of every rank is known. */
+  /**
+   * Resolves a held pass first; otherwise waits until the state of every rank is known.
+   */
   #onGatheringReport(phase: Gathering, event: RankReported): void {
     const { rank, report, now } = event;
     if (rank === this.#holder) {
@@ -353,7 +358,9 @@
     }
   }
 
-  /** Retries a fence with a higher version: the rank loads one that is not reported yet. */
+  /**
+   * Retries a fence with a higher version: the rank loads one that is not reported yet.
+   */
   #raiseFenceVersion(rank: number, now: number): void {
     this.#versions.skip();
     const { epoch } = this;
--- a/src/group/formed/decider_driver.ts
+++ b/src/group/formed/decider_driver.ts
@@ -224,7 +224,9 @@
     });
   }
 
-  /** Logs what explains late answers: long passes, and the load or imbalance behind them. */
+  /**
+   * Logs what explains late answers: long passes, and the load or imbalance behind them.
+   */
   #logWork(now: number): void {
     if (now - this.#workLoggedAt < WORK_LOG_INTERVAL_MS) return;
     const { ranks, group } = this.#options.state;
@@ -309,7 +311,10 @@
     return paces;
   }
 
-  /** Returns the ratio of the mean pass duration to the pause objective, if both are known. */
+  /**
+   * Returns the ratio of the mean pass duration to the pause objective, if both are
+   * known.
+   */
   #getPassPauseRatio({ pauseObjectiveMs }: GroupSettings): number | undefined {
     const { passMs } = this.#decider;
     if (passMs === undefined || pauseObjectiveMs === undefined) {
@@ -341,8 +346,8 @@
 
   /**
    * Sends orders; those that hold or release a pass go from this VM directly to the
-   * engine. If this VM freezes afterwards, the holder's sidecar still runs and can end the
-   * hold.
+   * engine. If this VM freezes afterwards, the holder's sidecar still runs and can end
+   * the hold.
    */
   #sendOrder(effect: SendOrder): void {
     const { kind } = effect.order;
--- a/src/group/formed/decider_test.ts
+++ b/src/group/formed/decider_test.ts
@@ -170,7 +170,7 @@
     // The group waited for pass 12 while its ranks were armed.
     const second = fixture.runSwitch(fixture.proposeAgain(), 12, 2);
     assert.equal(second, 12 + 3);
-    // This time two passes remained, which keeps the margin; then three, which reduces it.
+    // With two passes remaining the margin stays the same, with three it shrinks.
     const third = fixture.runSwitch(fixture.proposeAgain(), 15, 3);
     assert.equal(third, 15 + 3);
     assert.equal(fixture.runSwitch(fixture.proposeAgain(), 18, 3), 18 + 2);
@@ -297,11 +297,11 @@
 
   /**
    * Guards against starting over because of an old state. An order was answered late, so
-   * the decider read the state of that rank's engine from its own VM. An engine reports its
-   * state to other VMs with a delay of about 200 ms: it still showed the hold of the
-   * previous switch after the sidecar had reported that the pass had begun. The decider took
-   * this for a stray hold and started over, and the pass that it had just held stayed held
-   * until the group waited for it.
+   * the decider read the state of that rank's engine from its own VM. An engine reports
+   * its state to other VMs with a delay of about 200 ms: it still showed the hold of the
+   * previous switch after the sidecar had reported that the pass had begun. The decider
+   * took this for a stray hold and started over, and the pass that it had just held
+   * stayed held until the group waited for it.
    */
   it("does not start over because of a stale state", () => {
     const fixture = new DeciderFixture();
--- a/src/group/formed/decider_types.ts
+++ b/src/group/formed/decider_types.ts
@@ -18,7 +18,9 @@
   readonly state: RankState;
   readonly random: RandomSource;
   readonly now: number;
-  /** Number of the first order; must differ from the numbers of other deciders' orders. */
+  /**
+   * Number of the first order; must differ from the numbers of other deciders' orders.
+   */
   readonly firstOrderId: number;
 }
 
@@ -132,7 +134,9 @@
   readonly kind: "arming";
 }
 
-/** The holder is being fenced, so that the switch of the held pass cannot be committed. */
+/**
+ * The holder is being fenced, so that the switch of the held pass cannot be committed.
+ */
 export interface Fencing {
   readonly kind: "fencing";
   readonly version: number;
--- a/src/group/formed/drifting_group_test.ts
+++ b/src/group/formed/drifting_group_test.ts
@@ -49,9 +49,9 @@
 
   /**
    * With 64 ranks and 0.4 of a core for the decider, planning four copies per rank takes
-   * longer than loading them, so maps take effect late. Passes are too long for 0.38 of the
-   * time with the limit, for 0.48 with four copies per rank and for 0.35 with one, similarly
-   * for three seeds.
+   * longer than loading them, so maps take effect late. Passes are too long for 0.38 of
+   * the time with the limit, for 0.48 with four copies per rank and for 0.35 with one,
+   * similarly for three seeds.
    */
   it("adapt sooner in large groups with fewer copies at each rank", () => {
     const shape = {
--- a/src/group/formed/gathered_ranks.ts
+++ b/src/group/formed/gathered_ranks.ts
@@ -26,8 +26,8 @@
  *
  * @example
  * ```ts
- * noteGathered(phase, event);
- * const map = trySettle(phase, ranks);
+ * recordRankReport(phase, event);
+ * const map = tryGetSettledMap(phase, ranks);
  * ```
  */
 export function tryGetSettledMap(
--- a/src/group/formed/give_until_answered.ts
+++ b/src/group/formed/give_until_answered.ts
@@ -16,13 +16,13 @@
  * Sends an order repeatedly until the engine answers, and returns the outcome.
  *
  * The group may be waiting for an order that holds or releases a pass, so an unanswered
- * one is not left to the next check of open orders. A repeated order that is executed late
- * does no harm: a pass that has begun cannot be held, and the decider ends a hold that it
- * did not expect.
+ * one is not left to the next check of open orders. A repeated order that is executed
+ * late does no harm: a pass that has begun cannot be held, and the decider ends a hold
+ * that it did not expect.
  *
  * @example
  * ```ts
- * await giveUntilAnswered(engine, { kind: "go", epoch: 1, pass: 7 });
+ * await sendUntilAnswered(engine, { kind: "go", epoch: 1, pass: 7 });
  * ```
  */
 export async function sendUntilAnswered(
--- a/src/group/formed/held_pass_watch.ts
+++ b/src/group/formed/held_pass_watch.ts
@@ -8,8 +8,8 @@
 
 /**
  * Milliseconds for which a group may wait for a held pass until the holder's sidecar
- * completes its switch. A decider takes about 50 ms with 24 ranks and 120 ms more for each
- * order that has to be sent again.
+ * completes its switch. A decider takes about 50 ms with 24 ranks and 120 ms more for
+ * each order that has to be sent again.
  */
 const RECOVERY_DELAY_MS = 250;
 
@@ -19,8 +19,9 @@
   #waitingSince = 0;
 
   /**
-   * Records the state of the holder's engine at `now` in milliseconds. Returns how long the
-   * group has waited in milliseconds, or undefined while that is too short to intervene.
+   * Records the state of the holder's engine at `now` in milliseconds. Returns how long
+   * the group has waited in milliseconds, or undefined while that is too short to
+   * intervene.
    *
    * @example
    * ```ts
--- a/src/group/formed/held_switch_incident_test.ts
+++ b/src/group/formed/held_switch_incident_test.ts
@@ -3,19 +3,19 @@
  * for 5 to 19 seconds, and a pass in which one rank uses another map than all others.
  *
  * Both came about when the decider's VM froze right after the pass of a switch was held.
- * The holder's sidecar asked the other ranks to refuse the switch. Before all of them had
- * answered, the decider's VM resumed, every rank answered, and the sidecar continued the
- * same switch: the only rank that had not refused was armed, all others had promised not
- * to be. So the group stalled. When a message of the armed rank was lost, the promises of
- * the others released the pass with the old map.
+ * The holder's sidecar asked the other ranks to refuse the switch. Before all of them
+ * had answered, the decider's VM resumed, every rank answered, and the sidecar continued
+ * the same switch: the only rank that had not refused was armed, all others had promised
+ * not to be. So the group stalled. When a message of the armed rank was lost, the
+ * promises of the others released the pass with the old map.
  *
  * The cause was that a switch could be ended in two ways, neither of which took the
  * promises of the other into account. In these simulations, which lose messages as a
  * frozen VM does, that protocol mixed maps with 52 of 200 seeds.
  *
  * No protocol can avoid one case: the decider's VM also runs a rank. While it is frozen
- * between the order that arms this rank and the first report of it, other processes cannot
- * determine whether the rank is armed.
+ * between the order that arms this rank and the first report of it, other processes
+ * cannot determine whether the rank is armed.
  *
  * @module
  */
@@ -36,9 +36,9 @@
 const FREEZE_MS = 4000;
 const MAX_HOLD_MS = 2000;
 /**
- * Maximum milliseconds of a switch in which a freeze is undecidable: the order that commits
- * it, its answer, the order to the decider's own rank, its answer, and the report of it to
- * the holder.
+ * Maximum milliseconds of a switch in which a freeze is undecidable: the order that
+ * commits it, its answer, the order to the decider's own rank, its answer, and the
+ * report of it to the holder.
  */
 const UNDECIDABLE_MS = 5 * 13;
 /** First freeze time and distance between freeze times; they cover several switches. */
@@ -144,7 +144,7 @@
     }
   });
 
-  it("can leave other processes with the same messages whether its rank is armed or not", () => {
+  it("can leave the same messages whether its rank is armed or not", () => {
     // Any action of theirs would be wrong in one of the two runs, so they have to wait.
     const armedByMessages = new Map<string, Set<boolean>>();
     for (const at of freezeTimes) {
--- a/src/group/formed/hold_margin.ts
+++ b/src/group/formed/hold_margin.ts
@@ -21,7 +21,9 @@
 const MAX_HOLD_MS = 300;
 /** Shorter mean pass durations, in milliseconds, are ignored as implausible. */
 const MIN_PASS_MS = 5;
-/** Weight of the previous value when the recorded hold duration decreases, from 0 to 1. */
+/**
+ * Weight of the previous value when the recorded hold duration decreases, from 0 to 1.
+ */
 const HOLD_DECAY = 0.8;
 /**
  * Ratio of the time that is kept ahead to the duration of recent holds. If the margin is
@@ -82,8 +84,8 @@
   }
 
   /**
-   * Records how many passes remained when all ranks were armed. With at most one, the group
-   * may have waited, so the margin grows; with three or more, it shrinks.
+   * Records how many passes remained when all ranks were armed. With at most one, the
+   * group may have waited, so the margin grows; with three or more, it shrinks.
    *
    * @example
    * ```ts
--- a/src/group/formed/hold_margin_test.ts
+++ b/src/group/formed/hold_margin_test.ts
@@ -33,8 +33,8 @@
 
   /**
    * Engines do not answer some orders, so a hold may take twice as long as earlier ones.
-   * While passes are short, a late map costs little, but a hold that blocks the group makes
-   * the answers of all callers late.
+   * While passes are short, a late map costs little, but a hold that blocks the group
+   * makes the answers of all callers late.
    */
   it("covers a hold of twice the usual duration while passes are short", () => {
     const margin = new HoldMargin();
--- a/src/group/formed/judge_report.ts
+++ b/src/group/formed/judge_report.ts
@@ -43,7 +43,7 @@
  *
  * @example
  * ```ts
- * if (classifyRejection(phase, state).kind === "start_over") startGathering();
+ * if (classifyRejection(phase, state).kind === "start_over") startOver();
  * ```
  */
 export function classifyRejection(
@@ -90,7 +90,7 @@
  *
  * @example
  * ```ts
- * if (hasStrayHold(phase, state)) startGathering();
+ * if (hasStrayHold(phase, state)) startOver();
  * ```
  */
 export function hasStrayHold(phase: DeciderPhase, state: RankState): boolean {
--- a/src/group/formed/map_changes.ts
+++ b/src/group/formed/map_changes.ts
@@ -1,8 +1,8 @@
 /**
  * Encodes the maps on a link between two processes: the first one in full, later ones as
- * the difference from the previous map with a checksum of the full map. With 64 ranks and
- * 12 layers a full map takes 6.2 KB. Sending it to every rank takes 388 KB, which occupies
- * a link of 4.2 Mbit/s for 0.74 s.
+ * the difference from the previous map with a checksum of the full map. With 64 ranks
+ * and 12 layers a full map takes 6.2 KB. Sending it to every rank takes 388 KB, which
+ * occupies a link of 4.2 Mbit/s for 0.74 s.
  *
  * @module
  */
@@ -64,8 +64,9 @@
   }
 
   /**
-   * Decodes an order to prepare a map. Returns undefined if the checksum of the result does
-   * not match, so that no rank ever loads a map that differs from the other ranks' one.
+   * Decodes an order to prepare a map. Returns undefined if the checksum of the result
+   * does not match, so that no rank ever loads a map that differs from the other ranks'
+   * one.
    */
   tryDecode(message: MapChangeMessage): RankOrderMessage | undefined {
     if (this.#lastMap === undefined) return undefined;
@@ -84,7 +85,9 @@
   readonly rows: MapRows | undefined;
 }
 
-/** The last comparison, which applies to most ranks, since they have the same base map. */
+/**
+ * The last comparison, which applies to most ranks, since they have the same base map.
+ */
 let lastComparison: RowComparison | undefined;
 
 /** Returns undefined if a row cannot be derived from its dropped and gained experts. */
--- a/src/group/formed/open_orders.ts
+++ b/src/group/formed/open_orders.ts
@@ -11,11 +11,13 @@
 
 /**
  * Milliseconds after which an order to prepare a map is resent. It carries the full map,
- * about 3 KB for 24 ranks and 16 layers, and a rank takes up to 500 ms to copy the experts
- * that it gains.
+ * about 3 KB for 24 ranks and 16 layers, and a rank takes up to 500 ms to copy the
+ * experts that it gains.
  */
 const PREPARE_RESEND_MS = 1000;
-/** Milliseconds after which any other order is resent, since the group may wait for it. */
+/**
+ * Milliseconds after which any other order is resent, since the group may wait for it.
+ */
 const RESEND_MS = 120;
 
 /** An order that is not known to be executed. */
--- a/src/group/formed/popularity.ts
+++ b/src/group/formed/popularity.ts
@@ -13,7 +13,10 @@
 const DECAY_MS = 350;
 /** Length in milliseconds of the interval whose counts are compared with earlier ones. */
 const COMPARISON_INTERVAL_MS = 100;
-/** Minimum mean count per expert for a comparison, so that noise is not taken as a change. */
+/**
+ * Minimum mean count per expert for a comparison, so that noise is not taken as a
+ * change.
+ */
 const MIN_COMPARED_TOKENS = 20;
 /**
  * Cosine similarity of the counts per expert below which popularity is considered changed
--- a/src/group/formed/rank_agent.ts
+++ b/src/group/formed/rank_agent.ts
@@ -34,7 +34,9 @@
   readonly intervalMs: number;
   /** Milliseconds for which the effect of an accepted order is awaited. */
   readonly timeoutMs: number;
-  /** Milliseconds for which the effect of an unanswered order is awaited before a resend. */
+  /**
+   * Milliseconds for which the effect of an unanswered order is awaited before a resend.
+   */
   readonly unansweredTimeoutMs: number;
 }
 
@@ -65,7 +67,9 @@
 export class RankAgent {
   readonly #engine: FormedEngine;
   readonly #polling: EffectPolling;
-  /** The order in progress, which is not executed twice concurrently if it is repeated. */
+  /**
+   * The order in progress, which is not executed twice concurrently if it is repeated.
+   */
   #currentOrder: RankOrderMessage | undefined;
   readonly #countsEncoder = new CountsEncoder();
   /** Shortest observed load time of a map in milliseconds. */
@@ -98,8 +102,9 @@
     const experts = query.withExperts
       ? await this.#engine.readExperts()
       : undefined;
-    // The state is read last, so that no report is older than one sent before it. A decider
-    // that receives a hold which has already ended treats it as stray and starts over.
+    // The state is read last, so that no report is older than one sent before it. A
+    // decider that receives a hold which has already ended treats it as stray and starts
+    // over.
     const state = await this.#engine.tryReadState();
     if (state === undefined) return;
     send({ kind: "rank_report", state, counts, experts });
@@ -162,7 +167,9 @@
     }
   }
 
-  /** Replaces a fence, which engines do not support, by a map without copies to prepare. */
+  /**
+   * Replaces a fence, which engines do not support, by a map without copies to prepare.
+   */
   async #tryCreateEngineOrder(
     order: RankOrder,
   ): Promise<EngineOrder | undefined> {
@@ -217,8 +224,8 @@
 
   /**
    * Returns how long to poll for the effect of an order. After a rejection one poll is
-   * enough: if an earlier unanswered send was executed, it has taken effect already, except
-   * for a map, which may still be loading.
+   * enough: if an earlier unanswered send was executed, it has taken effect already,
+   * except for a map, which may still be loading.
    */
   #getPollTimeoutMs(
     order: RankOrder,
--- a/src/group/formed/rank_agent_test.ts
+++ b/src/group/formed/rank_agent_test.ts
@@ -55,8 +55,9 @@
   });
 
   /**
-   * Guards against slow resends. Engines do not answer a tenth of their orders and execute
-   * them seconds later; in a group of 63 ranks each switch waits for the last of them.
+   * Guards against slow resends. Engines do not answer a tenth of their orders and
+   * execute them seconds later; in a group of 63 ranks each switch waits for the last of
+   * them.
    */
   it("resends an order after a single poll shows that it was not executed", async () => {
     const { engine, execute } = createFixture();
--- a/src/group/formed/rank_links.ts
+++ b/src/group/formed/rank_links.ts
@@ -121,11 +121,11 @@
   }
 
   /**
-   * Sends an order to the sidecar of a rank's engine, which executes it at no cost. If the
-   * sidecar is disconnected or has not answered, the order also goes directly to the
-   * engine: the engine keeps running while its sidecar restarts, and a switch needs every
-   * rank. This does not help if the VM is frozen, because its engine cannot be reached
-   * then either.
+   * Sends an order to the sidecar of a rank's engine, which executes it at no cost. If
+   * the sidecar is disconnected or has not answered, the order also goes directly to the
+   * engine: the engine keeps running while its sidecar restarts, and a switch needs
+   * every rank. This does not help if the VM is frozen, because its engine cannot be
+   * reached then either.
    */
   sendOrder(effect: SendOrder): void {
     const { rank, orderId, order } = effect;
--- a/src/group/formed/rank_questions.ts
+++ b/src/group/formed/rank_questions.ts
@@ -2,11 +2,11 @@
  * Schedules a decider's queries to ranks within the capacity of its link. Only makes the
  * decisions; the caller provides times and answers.
  *
- * Each rank has at most one pending query. Queries for experts come first, then those for
- * counts, then those for the states of ranks whose counts are not sampled. Counts make up
- * most of the bytes: 3 KB per rank with 12 layers of 256 experts. Popularity is a property
- * of the whole group and each rank's counts are a sample of it, so some ranks are sampled
- * often rather than all of them rarely.
+ * Each rank has at most one pending query. Queries for experts come first, then those
+ * for counts, then those for the states of ranks whose counts are not sampled. Counts
+ * make up most of the bytes: 3 KB per rank with 12 layers of 256 experts. Popularity is
+ * a property of the whole group and each rank's counts are a sample of it, so some ranks
+ * are sampled often rather than all of them rarely.
  *
  * @module
  */
@@ -15,8 +15,8 @@
 /** Milliseconds between two queries for the counts of a rank. */
 const COUNT_INTERVAL_MS = 200;
 /**
- * Number of batches in which the sampled ranks are queried in turn. With two, the counts of
- * one half reveal a change of popularity half an interval earlier.
+ * Number of batches in which the sampled ranks are queried in turn. With two, the counts
+ * of one half reveal a change of popularity half an interval earlier.
  */
 const COUNT_BATCHES = 2;
 /** Milliseconds between two queries for the state of a rank that is not sampled. */
@@ -24,9 +24,9 @@
 /** Milliseconds until the first query for counts times out. */
 const COUNTS_TIMEOUT_MS = 1000;
 /**
- * Milliseconds until the first query without counts times out. It is shorter, because the
- * answer is small and no map can change while the experts of a rank are unknown. The first
- * answer may be missing because the engine is too busy when a process starts.
+ * Milliseconds until the first query without counts times out. It is shorter, because
+ * the answer is small and no map can change while the experts of a rank are unknown. The
+ * first answer may be missing because the engine is too busy when a process starts.
  */
 const STATE_TIMEOUT_MS = 300;
 /** Number of unanswered queries in a row after which the timeout stops doubling. */
@@ -243,7 +243,9 @@
     }
   }
 
-  /** Selects the sampled ranks; keeps the current ones, whose counts have a known base. */
+  /**
+   * Selects the sampled ranks; keeps the current ones, whose counts have a known base.
+   */
   #selectSampled(reachable: ReadonlySet<number>): void {
     const responsive = [...reachable].filter((rank) =>
       this.#lastQueries[rank]?.unansweredCount === 0
--- a/src/group/formed/rank_questions_test.ts
+++ b/src/group/formed/rank_questions_test.ts
@@ -1,9 +1,9 @@
 /**
  * Guards against queries that overload the decider's link. In groups of 64 ranks each
- * decider queried all ranks for state, experts and counts four times a second until it knew
- * every rank, whether or not earlier queries had been answered. The answers of 3.3 KB each
- * exceeded the capacity of the VM's link and queued up, so heartbeats were late, links were
- * closed, and the queries started over. No map was ever changed.
+ * decider queried all ranks for state, experts and counts four times a second until it
+ * knew every rank, whether or not earlier queries had been answered. The answers of 3.3
+ * KB each exceeded the capacity of the VM's link and queued up, so heartbeats were late,
+ * links were closed, and the queries started over. No map was ever changed.
  *
  * The cause was that queries were repeated on a timer without a limit on pending ones.
  *
@@ -23,7 +23,9 @@
 const RUN_MS = 10_000;
 /** Maximum fraction of the link for queries; orders of a switch use the same link. */
 const MAX_LINK_USE = 0.5;
-/** Heartbeats tolerate seconds of delay, but an order must not wait for a pass of 100 ms. */
+/**
+ * Heartbeats tolerate seconds of delay, but an order must not wait for a pass of 100 ms.
+ */
 const MAX_WAIT_MS = 100;
 
 function createOptions(
--- a/src/group/group_process_test.ts
+++ b/src/group/group_process_test.ts
@@ -151,7 +151,7 @@
     assert.deepEqual(group.faults, []);
   });
 
-  it("switches maps again after a member's process was killed and restarted", async () => {
+  it("switches maps after a member's process was killed and restarted", async () => {
     const last = targets[2] as RunningProcess;
     last.child.kill("SIGKILL");
     await exitOf(last.child);
--- a/src/group/map_planner.ts
+++ b/src/group/map_planner.ts
@@ -71,7 +71,8 @@
 
   /**
    * Returns a better map than the current one; undefined if no change is worthwhile.
-   * Yields to the event loop after each layer, so that planning does not block the process.
+   * Yields to the event loop after each layer, so that planning does not block the
+   * process.
    */
   async tryPlan(
     current: ExpertMap,
