--- a/src/group/formed/drifting_group_test.ts
+++ b/src/group/formed/drifting_group_test.ts
@@ -23,7 +23,7 @@
 const MAX_MEAN_SKEW = 2.42;
 const MAX_FRACTION_TOO_LONG = 0.38;
 
-function meanOf(countIntervalMs: number): DriftResult {
+function getMeanResult(countIntervalMs: number): DriftResult {
   const results = SEEDS.map((seed) =>
     new DriftingGroup({ seed, countIntervalMs }).run(RUN_MS)
   );
@@ -42,7 +42,7 @@
    * each copy is charged a full slowdown, 2.47 and 0.36.
    */
   it("adapt quickly with few copies at each rank and many in total", () => {
-    const { meanSkew, partTooLong } = meanOf(COUNT_INTERVAL_MS);
+    const { meanSkew, partTooLong } = getMeanResult(COUNT_INTERVAL_MS);
     assert.ok(meanSkew <= MAX_MEAN_SKEW, `${meanSkew}`);
     assert.ok(partTooLong <= MAX_FRACTION_TOO_LONG, `${partTooLong}`);
   });
