--- a/src/group/formed/decider.ts
+++ b/src/group/formed/decider.ts
@@ -1,17 +1,20 @@
 /**
- * Decides the expert map of a formed group, in the process beside rank 0; and beside
- * the holder, ends a switch that nobody else does.
+ * Decides the expert map of a formed group. Runs in the sidecar of rank 0, and in the
+ * sidecar of the holder to complete a switch that no other process completes.
  *
- * The ranks prepare a map; the holder's engine holds the pass of the switch, so that the
- * group cannot begin it; then the holder is armed, which decides the switch, and only
- * then the others; when every rank is seen to be armed, the pass may begin.
+ * A switch takes these steps: All ranks prepare a map. The holder's engine holds the
+ * pass of the switch, so that the group cannot begin it. The holder is armed, which
+ * commits the switch. All other ranks are armed. Once every rank is known to be armed,
+ * the pass is released.
  *
- * Whoever finds a held pass reads from the holder's engine alone what to do. If it is
- * armed, all others are armed and the pass begins with the new map. If it is not, no
- * rank is: its engine is fenced, so that it cannot be armed for that pass any more, and
- * the pass begins with the old map. Armed and fenced each last until the pass begins, and
- * an engine is never both. So any number of processes may do this at once, each may end
- * at any moment, and no order is harmful when it is carried out late.
+ * Any process that finds a held pass reads from the holder's engine alone how to
+ * proceed. If the holder is armed, the process arms all other ranks and releases the
+ * pass, which runs with the new map. If the holder is not armed, no rank is: the process
+ * fences the holder's engine, so that it can no longer be armed for that pass, and
+ * releases the pass, which runs with the old map. An engine stays armed or fenced until
+ * the pass begins and is never both. Therefore any number of processes may do this
+ * concurrently, each may stop at any time, and no order does harm if it is executed
+ * late.
  *
  * @module
  */
@@ -29,10 +32,10 @@
   Releasing,
   SwitchAtPass,
 } from "./decider_types.ts";
-import { noteGathered, trySettle } from "./gathered_ranks.ts";
+import { recordRankReport, tryGetSettledMap } from "./gathered_ranks.ts";
 import { readHeldPass } from "./held_pass.ts";
 import { HoldMargin } from "./hold_margin.ts";
-import { hasStrayHold, judgeRejection } from "./judge_report.ts";
+import { classifyRejection, hasStrayHold } from "./judge_report.ts";
 import { MapVersions } from "./map_versions.ts";
 import { OpenOrders } from "./open_orders.ts";
 import { PassTimes } from "./pass_times.ts";
@@ -42,11 +45,11 @@
   type RankState,
 } from "../../messages/formed_group_types.ts";
 
-/** Milliseconds between two questions to ranks of which it is unknown what they hold. */
-const GATHERING_LOOK_MS = 250;
-/** Milliseconds between two looks at a group that has yet to begin a pass. */
-const SWITCHING_LOOK_MS = 40;
-/** Weight of the newest report in the mean time of a pass. */
+/** Milliseconds between two queries to ranks whose experts are unknown. */
+const GATHERING_QUERY_INTERVAL_MS = 250;
+/** Milliseconds between two queries while the pass of a switch has not begun. */
+const SWITCHING_QUERY_INTERVAL_MS = 40;
+/** Weight of the newest sample in the mean duration of a pass, from 0 to 1. */
 const PASS_SMOOTHING = 0.4;
 
 /** Decides the expert map of a formed group. */
@@ -54,22 +57,24 @@
   readonly #ranks: number;
   readonly #holder: number;
   #epoch: number;
-  /** The last pass of this epoch that any rank is known to have begun. */
+  /** Last pass of this epoch that any rank is known to have begun. */
   #lastPass: number;
-  /** The same of each rank by itself. */
-  readonly #lastPassOf = new Map<number, number>();
+  /** Last pass of this epoch that each rank is known to have begun. */
+  readonly #lastPassByRank = new Map<number, number>();
   #phase: DeciderPhase;
   #phaseEnteredAt: number;
   readonly #versions: MapVersions;
   readonly #margin = new HoldMargin();
   readonly #passTimes = new PassTimes(PASS_SMOOTHING);
-  /** When the pass of the switch under way was to be held; undefined: by another. */
+  /**
+   * When this decider ordered the hold of the current switch; undefined if it did not.
+   */
   #heldAt: number | undefined;
   readonly #orders: OpenOrders;
-  #askedAt = Number.NEGATIVE_INFINITY;
+  #queriedAt = Number.NEGATIVE_INFINITY;
   readonly #effects = new DeciderEffects();
 
-  /** Knows nothing of the other ranks yet: the first tick asks them. */
+  /** Starts without any state of the other ranks: the first tick queries them. */
   constructor(options: FormedGroupDeciderOptions) {
     this.#versions = new MapVersions(options.random);
     this.#ranks = options.state.ranks;
@@ -81,23 +86,23 @@
     this.#phaseEnteredAt = options.now;
   }
 
-  /** The map in force, when no switch is under way. */
+  /** The map in force; undefined while a switch is in progress or the map is unknown. */
   get settledMap(): ExpertMap | undefined {
     return this.#phase.kind === "settled" ? this.#phase.map : undefined;
   }
 
-  /** Mean time of the last passes in milliseconds; undefined before two reports. */
+  /** Mean duration of recent passes in milliseconds; undefined before two reports. */
   get passMs(): number | undefined {
     return this.#passTimes.meanMs;
   }
 
-  /** Formation of the group that is decided for. */
+  /** Epoch of the group's current formation. */
   get epoch(): number {
     return this.#epoch;
   }
 
   /**
-   * Takes in one event and returns what is to be done, in order.
+   * Processes one event and returns the resulting effects in order.
    *
    * @example
    * ```ts
@@ -108,13 +113,13 @@
     this.#effects.clear();
     switch (event.kind) {
       case "rank_reported":
-        this.#reported(event);
+        this.#onRankReport(event);
         break;
       case "map_proposed":
-        this.#proposed(event);
+        this.#onMapProposed(event);
         break;
       case "tick":
-        this.#tick(event.now);
+        this.#onTick(event.now);
         break;
       default:
         assertNever(event);
@@ -122,77 +127,78 @@
     return this.#effects.all;
   }
 
-  #reported(event: RankReported): void {
+  #onRankReport(event: RankReported): void {
     const { rank, report, now } = event;
     const { state } = report;
     if (state.epoch < this.#epoch) return;
     if (state.epoch > this.#epoch) {
       this.#epoch = state.epoch;
       this.#lastPass = state.pass;
-      this.#lastPassOf.clear();
+      this.#lastPassByRank.clear();
       this.#passTimes.clear();
-      return this.#gather(now);
+      return this.#startGathering(now);
     }
-    if (this.#isOvertaken(rank, state)) return;
-    this.#lastPassOf.set(rank, state.pass);
+    if (this.#isStale(rank, state)) return;
+    this.#lastPassByRank.set(rank, state.pass);
     this.#lastPass = Math.max(this.#lastPass, state.pass);
     if (rank === 0) this.#passTimes.observe(state, now);
-    this.#versions.note(state);
+    this.#versions.record(state);
     const open = this.#orders.tryGet(rank);
-    this.#orders.closeIfDone(rank, state);
+    this.#orders.closeIfExecuted(rank, state);
     if (hasStrayHold(this.#phase, state)) return this.#startOver(event);
     const isRejected = this.#orders.tryGet(rank) !== undefined &&
       report.orderId === open?.id && report.isDone === false;
-    if (isRejected) return this.#rejected(event);
-    this.#progress(event);
+    if (isRejected) return this.#onOrderRejected(event);
+    this.#advance(event);
   }
 
   /**
-   * An engine tells other machines its state as it was a while ago, and the process
-   * beside it as it is. What an older state holds may have ended since.
+   * Returns whether a state is older than one received before. An engine reports its
+   * current state to its sidecar but a delayed one to other VMs; a hold in a delayed
+   * state may have ended since.
    */
-  #isOvertaken(rank: number, state: RankState): boolean {
-    return state.pass < (this.#lastPassOf.get(rank) ?? 0);
+  #isStale(rank: number, state: RankState): boolean {
+    return state.pass < (this.#lastPassByRank.get(rank) ?? 0);
   }
 
-  /** Asks all ranks, and takes what this one says of a held pass. */
+  /** Queries all ranks again and processes the held pass that this report may show. */
   #startOver(event: RankReported): void {
-    this.#gather(event.now);
-    this.#progress(event);
+    this.#startGathering(event.now);
+    this.#advance(event);
   }
 
-  #progress(event: RankReported): void {
+  #advance(event: RankReported): void {
     const { report: { state }, now } = event;
     const phase = this.#phase;
-    const isDone = this.#orders.areDone;
+    const isDone = this.#orders.isEmpty;
     switch (phase.kind) {
       case "gathering":
-        return this.#gathered(phase, event);
+        return this.#onGatheringReport(phase, event);
       case "switching":
         if (state.activeVersion === phase.version) {
-          this.#switched(phase, now);
+          this.#onSwitched(phase, now);
         }
         return;
       case "preparing":
-        if (isDone) this.#hold(phase, now);
+        if (isDone) this.#startHolding(phase, now);
         return;
       case "holding":
-        if (isDone) this.#decide(phase, now);
+        if (isDone) this.#startDeciding(phase, now);
         return;
       case "deciding":
-        if (isDone) this.#armOthers(phase, now);
+        if (isDone) this.#startArming(phase, now);
         return;
       case "arming":
-        if (isDone) this.#armed(phase, now);
+        if (isDone) this.#onAllArmed(phase, now);
         return;
       case "fencing":
         if (!isDone) return;
-        return this.#release(
+        return this.#startReleasing(
           { pass: phase.pass, version: undefined, map: undefined },
           now,
         );
       case "releasing":
-        if (isDone) this.#released(phase, now);
+        if (isDone) this.#onReleased(phase, now);
         return;
       case "settled":
         return;
@@ -201,8 +207,10 @@
     }
   }
 
-  /** A held pass is dealt with first; without one, every rank is to be known. */
-  #gathered(phase: Gathering, event: RankReported): void {
+  /**
+   * Resolves a held pass first; otherwise waits until the state of every rank is known.
+   */
+  #onGatheringReport(phase: Gathering, event: RankReported): void {
     const { rank, report, now } = event;
     if (rank === this.#holder) {
       const held = readHeldPass(report.state);
@@ -210,122 +218,139 @@
         case "nothing_held":
           break;
         case "decided":
-          return this.#armOthers({ ...held, map: undefined }, now);
+          return this.#startArming({ ...held, map: undefined }, now);
         case "in_vain":
-          return this.#release(
+          return this.#startReleasing(
             { pass: held.pass, version: undefined, map: undefined },
             now,
           );
         case "undecided":
-          // Another pass may still be held for another switch meanwhile.
-          if (held.isAwaited) this.#fence(held.pass, now);
+          // Until the group reaches the pass, another switch may still be in progress.
+          if (held.isAwaited) this.#startFencing(held.pass, now);
           return;
         default:
           assertNever(held);
       }
     }
-    noteGathered(phase, event);
-    const map = trySettle(phase, this.#ranks);
-    if (map !== undefined) this.#enter({ kind: "settled", map }, now);
+    recordRankReport(phase, event);
+    const map = tryGetSettledMap(phase, this.#ranks);
+    if (map !== undefined) this.#enterPhase({ kind: "settled", map }, now);
   }
 
-  #proposed({ map, passPart, now }: MapProposed): void {
+  #onMapProposed({ map, passPauseRatio, now }: MapProposed): void {
     if (this.#phase.kind !== "settled") return;
     const version = this.#versions.next();
-    this.#margin.begin(this.#passTimes.meanMs, passPart);
-    const before = this.#phase.map;
-    this.#enter({ kind: "preparing", version, map, before }, now);
+    this.#margin.startSwitch(this.#passTimes.meanMs, passPauseRatio);
+    const previousMap = this.#phase.map;
+    this.#enterPhase(
+      { kind: "preparing", version, map, previousMap },
+      now,
+    );
     for (let rank = 0; rank < this.#ranks; rank++) {
       const { epoch } = this;
-      this.#order(rank, { kind: "prepare", epoch, version, map }, now);
+      this.#sendOrder(rank, { kind: "prepare", epoch, version, map }, now);
     }
   }
 
   /**
-   * Two passes ahead at least. A pass that was given up had all before it begun, so it
-   * is never held for another switch, which a late order to let it go could harm.
+   * Holds a pass that is at least two ahead. A pass is only given up after all passes
+   * before it began, so no pass is ever held for a second switch: a late order to release
+   * the first hold would release the second one, too.
    */
-  #hold(
+  #startHolding(
     { version, map }: Pick<SwitchAtPass, "version" | "map">,
     now: number,
   ): void {
     const pass = this.#lastPass + this.#margin.passes;
     this.#heldAt = now;
-    this.#enter({ kind: "holding", version, pass, map }, now);
-    this.#order(this.#holder, { kind: "hold", ...this.#at(pass) }, now);
+    this.#enterPhase({ kind: "holding", version, pass, map }, now);
+    this.#sendOrder(this.#holder, {
+      kind: "hold",
+      ...this.#createPassFields(pass),
+    }, now);
   }
 
-  #decide({ version, pass, map }: SwitchAtPass, now: number): void {
-    this.#enter({ kind: "deciding", version, pass, map }, now);
-    this.#arm(this.#holder, { version, pass, map }, now);
+  #startDeciding({ version, pass, map }: SwitchAtPass, now: number): void {
+    this.#enterPhase({ kind: "deciding", version, pass, map }, now);
+    this.#sendArm(this.#holder, { version, pass, map }, now);
   }
 
-  #armOthers(planned: SwitchAtPass, now: number): void {
+  #startArming(planned: SwitchAtPass, now: number): void {
     const { version, pass, map } = planned;
     this.#orders.clear();
-    this.#enter({ kind: "arming", version, pass, map }, now);
+    this.#enterPhase({ kind: "arming", version, pass, map }, now);
     for (let rank = 0; rank < this.#ranks; rank++) {
-      if (rank !== this.#holder) this.#arm(rank, planned, now);
+      if (rank !== this.#holder) this.#sendArm(rank, planned, now);
     }
-    if (this.#orders.areDone) this.#armed(planned, now);
+    if (this.#orders.isEmpty) this.#onAllArmed(planned, now);
   }
 
-  #armed(planned: SwitchAtPass, now: number): void {
-    this.#margin.noteArmed(planned.pass - this.#lastPass);
-    this.#release(planned, now);
+  #onAllArmed(planned: SwitchAtPass, now: number): void {
+    this.#margin.recordArmed(planned.pass - this.#lastPass);
+    this.#startReleasing(planned, now);
   }
 
-  #arm(rank: number, { version, pass }: SwitchAtPass, now: number): void {
-    this.#order(rank, { kind: "arm", ...this.#at(pass), version }, now);
+  #sendArm(rank: number, { version, pass }: SwitchAtPass, now: number): void {
+    this.#sendOrder(rank, {
+      kind: "arm",
+      ...this.#createPassFields(pass),
+      version,
+    }, now);
   }
 
-  #fence(pass: number, now: number): void {
+  #startFencing(pass: number, now: number): void {
     const version = this.#versions.next();
-    this.#enter({ kind: "fencing", version, pass }, now);
+    this.#enterPhase({ kind: "fencing", version, pass }, now);
     const { epoch } = this;
-    this.#order(this.#holder, { kind: "fence", epoch, version }, now);
+    this.#sendOrder(this.#holder, { kind: "fence", epoch, version }, now);
   }
 
-  #release(phase: Omit<Releasing, "kind">, now: number): void {
+  #startReleasing(phase: Omit<Releasing, "kind">, now: number): void {
     const { version, pass, map } = phase;
     this.#orders.clear();
-    this.#enter({ kind: "releasing", version, pass, map }, now);
-    this.#order(this.#holder, { kind: "go", ...this.#at(pass) }, now);
+    this.#enterPhase({ kind: "releasing", version, pass, map }, now);
+    this.#sendOrder(this.#holder, {
+      kind: "go",
+      ...this.#createPassFields(pass),
+    }, now);
   }
 
-  #released({ version, map }: Releasing, now: number): void {
-    if (this.#heldAt !== undefined) this.#margin.noteTook(now - this.#heldAt);
+  #onReleased({ version, map }: Releasing, now: number): void {
+    if (this.#heldAt !== undefined) this.#margin.recordHold(now - this.#heldAt);
     this.#heldAt = undefined;
-    if (version === undefined) return this.#gather(now);
-    this.#enter({ kind: "switching", version, map }, now);
+    if (version === undefined) return this.#startGathering(now);
+    this.#enterPhase({ kind: "switching", version, map }, now);
   }
 
-  #switched(
+  #onSwitched(
     { version, map }: Pick<SwitchAtPass, "version" | "map">,
     now: number,
   ): void {
-    this.#effects.putMapInForce(version);
-    if (map === undefined) return this.#gather(now);
-    this.#enter({ kind: "settled", map }, now);
+    this.#effects.recordMapInForce(version);
+    if (map === undefined) return this.#startGathering(now);
+    this.#enterPhase({ kind: "settled", map }, now);
   }
 
-  #rejected(event: RankReported): void {
+  #onOrderRejected(event: RankReported): void {
     const { rank, report: { state }, now } = event;
-    const rejection = judgeRejection(this.#phase, state);
+    const rejection = classifyRejection(this.#phase, state);
     switch (rejection.kind) {
       case "give_up_map":
         this.#orders.clear();
-        return this.#enter({ kind: "settled", map: rejection.before }, now);
+        return this.#enterPhase(
+          { kind: "settled", map: rejection.previousMap },
+          now,
+        );
       case "hold_later":
         this.#orders.clear();
         this.#margin.widen();
-        return this.#hold(rejection, now);
+        return this.#startHolding(rejection, now);
       case "start_over":
         return this.#startOver(event);
       case "postpone":
         return this.#orders.postpone(rank, now);
       case "fence_higher":
-        return this.#fenceHigher(rank, now);
+        return this.#raiseFenceVersion(rank, now);
       case "ignore":
         return;
       default:
@@ -333,40 +358,44 @@
     }
   }
 
-  /** A version that the rank loads is not told yet, and was higher. */
-  #fenceHigher(rank: number, now: number): void {
+  /**
+   * Retries a fence with a higher version: the rank loads one that is not reported yet.
+   */
+  #raiseFenceVersion(rank: number, now: number): void {
     this.#versions.skip();
     const { epoch } = this;
     const version = this.#versions.next();
     this.#orders.open(rank, { kind: "fence", epoch, version }, now);
   }
 
-  #tick(now: number): void {
+  #onTick(now: number): void {
     for (const open of this.#orders.takeDue(now)) {
       this.#effects.sendOrder(open, true);
     }
     const { kind } = this.#phase;
     const isGathering = kind === "gathering";
-    const lookMs = isGathering ? GATHERING_LOOK_MS : SWITCHING_LOOK_MS;
-    const isLooking = isGathering || kind === "switching";
-    if (!isLooking || now - this.#askedAt < lookMs) return;
-    this.#askedAt = now;
-    if (isGathering) return this.#askUnknown();
+    const intervalMs = isGathering
+      ? GATHERING_QUERY_INTERVAL_MS
+      : SWITCHING_QUERY_INTERVAL_MS;
+    const isQuerying = isGathering || kind === "switching";
+    if (!isQuerying || now - this.#queriedAt < intervalMs) return;
+    this.#queriedAt = now;
+    if (isGathering) return this.#queryUnknownRanks();
     this.#effects.sendQuery(0);
   }
 
-  #gather(now: number): void {
+  #startGathering(now: number): void {
     this.#heldAt = undefined;
     this.#orders.clear();
-    this.#enter(
+    this.#enterPhase(
       { kind: "gathering", states: new Map(), experts: new Map() },
       now,
     );
-    this.#askedAt = now;
-    this.#askUnknown();
+    this.#queriedAt = now;
+    this.#queryUnknownRanks();
   }
 
-  #askUnknown(): void {
+  #queryUnknownRanks(): void {
     const phase = this.#phase;
     if (phase.kind !== "gathering") return;
     for (let rank = 0; rank < this.#ranks; rank++) {
@@ -375,18 +404,18 @@
     }
   }
 
-  #enter(phase: DeciderPhase, now: number): void {
+  #enterPhase(phase: DeciderPhase, now: number): void {
     this.#phase = phase;
     const tookMs = now - this.#phaseEnteredAt;
-    this.#effects.enterPhase({ phase, epoch: this.#epoch, tookMs });
+    this.#effects.recordPhase({ phase, epoch: this.#epoch, tookMs });
     this.#phaseEnteredAt = now;
   }
 
-  #order(rank: number, order: RankOrder, now: number): void {
+  #sendOrder(rank: number, order: RankOrder, now: number): void {
     this.#effects.sendOrder(this.#orders.open(rank, order, now), false);
   }
 
-  #at(pass: number) {
+  #createPassFields(pass: number) {
     return { epoch: this.#epoch, pass };
   }
 }
--- a/src/group/member.ts
+++ b/src/group/member.ts
@@ -1,6 +1,6 @@
 /**
- * A rank's member of its group: follows rank 0's decisions and gives the engine
- * its orders. Whatever must survive the process lives in the engine.
+ * The member at each rank of a group: executes the decisions of rank 0 by sending orders
+ * to the rank's engine. All state that must survive a restart is kept by the engine.
  *
  * @module
  */
@@ -16,22 +16,22 @@
   StageMessage,
 } from "../messages/group_types.ts";
 
-/** Milliseconds between two questions for a decision. */
-export const ASK_INTERVAL_MS = 200;
+/** Milliseconds between two requests for a decision. */
+export const DECISION_REQUEST_INTERVAL_MS = 200;
 
-/** A message of rank 0 arrived. */
-export interface CoordinatorSaid {
+/** A message of rank 0 was received. */
+export interface CoordinatorMessageReceived {
   readonly kind: "coordinator_said";
   readonly now: number;
   readonly message: CoordinatorMessage;
 }
 
-/** The engine answered an order, or said how it stands. */
-export interface EngineSaid {
+/** The engine answered an order or reported its state. */
+export interface EngineStateReceived {
   readonly kind: "engine_said";
   readonly now: number;
   readonly engine: EngineState;
-  /** The order that was answered; undefined for a mere report. */
+  /** The order that was answered; undefined for a state that was polled. */
   readonly order?: EngineOrder;
 }
 
@@ -41,45 +41,48 @@
   readonly now: number;
 }
 
-/** Everything that can happen to a member. */
-export type MemberEvent = CoordinatorSaid | EngineSaid | MemberTick;
+/** Input events of a member. */
+export type MemberEvent =
+  | CoordinatorMessageReceived
+  | EngineStateReceived
+  | MemberTick;
 
-/** Say something to rank 0. */
-export interface SayToCoordinator {
+/** Sends a message to rank 0. */
+export interface SendToCoordinator {
   readonly kind: "say";
   readonly message: MemberMessage;
 }
 
-/** Give the engine an order, with a number that grows with each decider. */
-export interface GiveOrder {
+/** Sends an order to the engine, with the epoch of its decider as fencing number. */
+export interface SendEngineOrder {
   readonly kind: "order";
   readonly order: EngineOrder;
   readonly fencingNumber: number;
 }
 
-/** Everything that a member can ask for. */
-export type MemberEffect = SayToCoordinator | GiveOrder;
+/** Output effects of a member. */
+export type MemberEffect = SendToCoordinator | SendEngineOrder;
 
-/** A rank's member of its group. */
+/** Executes the decisions of rank 0 at one rank. */
 export class GroupMember {
-  /** The decider that is followed; epoch 0 before the first. */
+  /** The decider that this member follows; epoch 0 before the first. */
   #decider: Decider = { epoch: 0, decider: "" };
   #engine: EngineState | undefined;
-  /** The order that the engine has not answered; orders go one by one. */
-  #outstanding: EngineOrder | undefined;
-  #waiting: EngineOrder[] = [];
-  /** A bind that is answered once the engine's state is certain. */
-  #isBindOpen = false;
-  #askedAt = Number.NEGATIVE_INFINITY;
+  /** The order that the engine has not answered; only one is sent at a time. */
+  #pendingOrder: EngineOrder | undefined;
+  #queuedOrders: EngineOrder[] = [];
+  /** Whether a bind message is to be answered once no order is pending. */
+  #isBindPending = false;
+  #decisionRequestedAt = Number.NEGATIVE_INFINITY;
   #effects: MemberEffect[] = [];
 
-  /** Number of the decider that is followed. */
+  /** Epoch of the decider that this member follows. */
   get epoch(): number {
     return this.#decider.epoch;
   }
 
   /**
-   * Takes in one event and returns what is to be done, in order.
+   * Processes one event and returns the resulting effects in order.
    *
    * @example
    * ```ts
@@ -90,13 +93,13 @@
     this.#effects = [];
     switch (event.kind) {
       case "coordinator_said":
-        this.#coordinatorSaid(event.message);
+        this.#onCoordinatorMessage(event.message);
         break;
       case "engine_said":
-        this.#engineSaid(event);
+        this.#onEngineState(event);
         break;
       case "tick":
-        this.#askIfHeld(event.now);
+        this.#requestDecisionIfHeld(event.now);
         break;
       default:
         assertNever(event);
@@ -104,152 +107,155 @@
     return this.#effects;
   }
 
-  #coordinatorSaid(message: CoordinatorMessage): void {
-    if (message.kind === "bind") return this.#bind(message);
-    if (!this.#isFollowed(message)) {
-      return this.#say({ kind: "outdated", ...this.#decider });
+  #onCoordinatorMessage(message: CoordinatorMessage): void {
+    if (message.kind === "bind") return this.#onBind(message);
+    if (!this.#isCurrentDecider(message)) {
+      return this.#send({ kind: "outdated", ...this.#decider });
     }
     switch (message.kind) {
       case "stage":
-        return this.#order(stageOrderOf(message));
+        return this.#enqueueOrder(createStageOrder(message));
       case "prepare":
-        return this.#order({
+        return this.#enqueueOrder({
           kind: "hold",
           version: message.version,
           step: message.step,
         });
       case "commit":
-        return this.#order({
+        return this.#enqueueOrder({
           kind: "activate",
           version: message.version,
           step: message.step,
         });
       case "abort":
-        return this.#order({ kind: "release", version: message.version });
+        return this.#enqueueOrder({
+          kind: "release",
+          version: message.version,
+        });
       default:
         assertNever(message);
     }
   }
 
-  #isFollowed(message: Decider): boolean {
+  #isCurrentDecider(message: Decider): boolean {
     return message.epoch === this.epoch &&
       message.decider === this.#decider.decider;
   }
 
   /**
-   * From here on an earlier decider's late word is refused. An order of its
-   * that the engine has not answered may still take effect, so the answer to
-   * the bind waits for it: what we tell must not change behind our back.
+   * Follows a new decider and rejects late messages of earlier ones from now on. An
+   * earlier decider's order that the engine has not answered may still take effect, so
+   * the bind is answered only after it: the reported state must not change afterwards.
    */
-  #bind(message: BindMessage): void {
+  #onBind(message: BindMessage): void {
     const isLater = message.epoch > this.epoch;
-    if (!isLater && !this.#isFollowed(message)) {
-      return this.#say({ kind: "outdated", ...this.#decider });
+    if (!isLater && !this.#isCurrentDecider(message)) {
+      return this.#send({ kind: "outdated", ...this.#decider });
     }
     const { epoch, decider } = message;
     this.#decider = { epoch, decider };
-    if (isLater) this.#waiting = [];
-    this.#isBindOpen = true;
-    this.#answerBind();
+    if (isLater) this.#queuedOrders = [];
+    this.#isBindPending = true;
+    this.#tryAnswerBind();
   }
 
-  #answerBind(): void {
-    if (!this.#isBindOpen || this.#outstanding !== undefined) return;
+  #tryAnswerBind(): void {
+    if (!this.#isBindPending || this.#pendingOrder !== undefined) return;
     if (this.#engine === undefined) return;
-    this.#isBindOpen = false;
-    this.#sayBound(this.#engine);
+    this.#isBindPending = false;
+    this.#sendBound(this.#engine);
   }
 
-  #engineSaid(event: EngineSaid): void {
-    const before = this.#engine;
+  #onEngineState(event: EngineStateReceived): void {
+    const previous = this.#engine;
     this.#engine = event.engine;
     const isAnswer = event.order !== undefined &&
-      event.order === this.#outstanding;
-    if (isAnswer) this.#outstanding = undefined;
-    if (isAnswer && !this.#isBindOpen) this.#answered(event);
-    const isReplaced = before !== undefined && event.order === undefined &&
-      before.incarnation !== event.engine.incarnation;
-    // Only rank 0 can begin a new run with the new engine.
-    if (isReplaced) this.#sayBound(event.engine);
-    this.#answerBind();
-    this.#giveNext();
+      event.order === this.#pendingOrder;
+    if (isAnswer) this.#pendingOrder = undefined;
+    if (isAnswer && !this.#isBindPending) this.#onOrderAnswered(event);
+    const isReplaced = previous !== undefined && event.order === undefined &&
+      previous.incarnation !== event.engine.incarnation;
+    // Rank 0 has to start a new run with the new engine.
+    if (isReplaced) this.#sendBound(event.engine);
+    this.#tryAnswerBind();
+    this.#sendNextOrder();
   }
 
-  #answered(event: EngineSaid): void {
+  #onOrderAnswered(event: EngineStateReceived): void {
     const order = event.order as EngineOrder;
     const { engine } = event;
-    const place = { epoch: this.epoch, version: order.version };
+    const header = { epoch: this.epoch, version: order.version };
     switch (order.kind) {
       case "stage":
       case "assemble":
         if (engine.stagedVersion !== order.version) return;
-        return this.#say({ kind: "staged", ...place, step: engine.step });
+        return this.#send({ kind: "staged", ...header, step: engine.step });
       case "hold":
-        return this.#heldOrTooLate(order, engine);
+        return this.#sendHoldResult(order, engine);
       case "activate":
       case "release":
-        return this.#say({ kind: "applied", ...place });
+        return this.#send({ kind: "applied", ...header });
       default:
         assertNever(order);
     }
   }
 
-  #heldOrTooLate(order: HoldOrder, engine: EngineState): void {
+  #sendHoldResult(order: HoldOrder, engine: EngineState): void {
     const { version, step } = order;
-    const place = { epoch: this.epoch, version, step };
+    const header = { epoch: this.epoch, version, step };
     const isHeld = engine.holdBefore === step &&
       engine.stagedVersion === version;
-    if (isHeld) return this.#say({ kind: "prepared", ...place });
-    this.#say({ kind: "too_late", ...place, engineStep: engine.step });
+    if (isHeld) return this.#send({ kind: "prepared", ...header });
+    this.#send({ kind: "too_late", ...header, engineStep: engine.step });
   }
 
-  /** A rank that stands at its promise asks until it knows the decision. */
-  #askIfHeld(now: number): void {
+  /** Requests the decision repeatedly while the engine holds before a switch step. */
+  #requestDecisionIfHeld(now: number): void {
     const engine = this.#engine;
     if (engine?.holdBefore === undefined) return;
     if (engine.stagedVersion === undefined) return;
-    if (now - this.#askedAt < ASK_INTERVAL_MS) return;
-    this.#askedAt = now;
-    this.#say({
+    if (now - this.#decisionRequestedAt < DECISION_REQUEST_INTERVAL_MS) return;
+    this.#decisionRequestedAt = now;
+    this.#send({
       kind: "ask",
       epoch: this.epoch,
       version: engine.stagedVersion,
     });
   }
 
-  #order(order: EngineOrder): void {
-    const last = this.#waiting.at(-1) ?? this.#outstanding;
+  #enqueueOrder(order: EngineOrder): void {
+    const last = this.#queuedOrders.at(-1) ?? this.#pendingOrder;
     const isRepeated = last !== undefined && isSameOrder(last, order);
     if (isRepeated) return;
-    this.#waiting.push(order);
-    this.#giveNext();
+    this.#queuedOrders.push(order);
+    this.#sendNextOrder();
   }
 
-  #giveNext(): void {
-    if (this.#outstanding !== undefined || this.#engine === undefined) return;
-    const order = this.#waiting.shift();
+  #sendNextOrder(): void {
+    if (this.#pendingOrder !== undefined || this.#engine === undefined) return;
+    const order = this.#queuedOrders.shift();
     if (order === undefined) return;
-    this.#outstanding = order;
+    this.#pendingOrder = order;
     this.#effects.push({ kind: "order", order, fencingNumber: this.epoch });
   }
 
-  #sayBound(engine: EngineState): void {
-    this.#say({ kind: "bound", epoch: this.epoch, engine });
+  #sendBound(engine: EngineState): void {
+    this.#send({ kind: "bound", epoch: this.epoch, engine });
   }
 
-  #say(message: MemberMessage): void {
+  #send(message: MemberMessage): void {
     this.#effects.push({ kind: "say", message });
   }
 }
 
-/** Messages are sent again while the engine works; one order is enough. */
+/** Detects orders of resent messages, which need not be sent to the engine again. */
 function isSameOrder(left: EngineOrder, right: EngineOrder): boolean {
   if (left.kind !== right.kind || left.version !== right.version) return false;
   const hasStep = left.kind === "hold" || left.kind === "activate";
   return !hasStep || left.step === (right as HoldOrder).step;
 }
 
-function stageOrderOf(message: StageMessage): EngineOrder {
+function createStageOrder(message: StageMessage): EngineOrder {
   const { version, map, assemble } = message;
   if (assemble === undefined) return { kind: "stage", version, map };
   return { kind: "assemble", incarnation: assemble, version, map };
--- a/src/group/member_driver.ts
+++ b/src/group/member_driver.ts
@@ -1,7 +1,6 @@
 /**
- * Performs the effects of a member and feeds it events. Calls of the engine go
- * one after the other, so that what it says of itself is never older than the
- * last order that it answered.
+ * Performs the effects of a member and dispatches events to it. Calls of the engine are
+ * serialized, so that a reported state is never older than the last answered order.
  *
  * @module
  */
@@ -17,36 +16,36 @@
 import { GroupMember, type MemberEffect, type MemberEvent } from "./member.ts";
 
 const TICK_MS = 50;
-const RETRY_PAUSE_MS = 100;
+const RETRY_DELAY_MS = 100;
 
 /** Options of a {@link MemberDriver}. */
 export interface MemberDriverOptions {
   readonly engine: RankEngine;
-  /** Sends to rank 0, if it is connected. */
-  readonly say: (message: MemberMessage) => void;
+  /** Sends a message to rank 0 if it is connected. */
+  readonly send: (message: MemberMessage) => void;
 }
 
-/** A running member. */
+/** Runs the member of a rank. */
 export class MemberDriver {
   readonly #options: MemberDriverOptions;
   readonly #member = new GroupMember();
-  #turn: Promise<void> = Promise.resolve();
+  #lastEngineCall: Promise<void> = Promise.resolve();
   #isStopped = false;
 
-  /** Begins to watch the engine at once. */
+  /** Starts polling the engine immediately. */
   constructor(options: MemberDriverOptions) {
     this.#options = options;
-    void this.#watch();
+    void this.#pollEngine();
   }
 
-  /** Rank 0 said something. */
+  /** Processes a message of rank 0. */
   receive(message: CoordinatorMessage): void {
     const now = performance.now();
     this.#dispatch({ kind: "coordinator_said", now, message });
   }
 
-  /** What the engine counted; undefined when it does not answer. */
-  async tryLoad(): Promise<RankLoad | undefined> {
+  /** Reads the load that the engine counted; undefined if it does not answer. */
+  async tryReadLoad(): Promise<RankLoad | undefined> {
     try {
       return await this.#options.engine.readLoad();
     } catch {
@@ -54,14 +53,14 @@
     }
   }
 
-  /** Watches no more. */
+  /** Stops polling the engine. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  async #watch(): Promise<void> {
+  async #pollEngine(): Promise<void> {
     while (!this.#isStopped) {
-      await this.#inTurn(() => this.#readState());
+      await this.#enqueueEngineCall(() => this.#readState());
       this.#dispatch({ kind: "tick", now: performance.now() });
       await sleep(TICK_MS, undefined, { ref: false });
     }
@@ -72,11 +71,11 @@
       const engine = await this.#options.engine.readState();
       this.#dispatch({ kind: "engine_said", now: performance.now(), engine });
     } catch {
-      // The next look tells whether it answers again.
+      // The next poll retries.
     }
   }
 
-  async #giveOrder(order: EngineOrder, fencingNumber: number): Promise<void> {
+  async #sendOrder(order: EngineOrder, fencingNumber: number): Promise<void> {
     while (!this.#isStopped) {
       try {
         const engine = await this.#options.engine
@@ -85,14 +84,14 @@
         this.#dispatch({ kind: "engine_said", now, engine, order });
         return;
       } catch {
-        await sleep(RETRY_PAUSE_MS, undefined, { ref: false });
+        await sleep(RETRY_DELAY_MS, undefined, { ref: false });
       }
     }
   }
 
-  #inTurn(work: () => Promise<void>): Promise<void> {
-    this.#turn = this.#turn.then(work);
-    return this.#turn;
+  #enqueueEngineCall(call: () => Promise<void>): Promise<void> {
+    this.#lastEngineCall = this.#lastEngineCall.then(call);
+    return this.#lastEngineCall;
   }
 
   #dispatch(event: MemberEvent): void {
@@ -100,8 +99,8 @@
   }
 
   #perform(effect: MemberEffect): void {
-    if (effect.kind === "say") return this.#options.say(effect.message);
+    if (effect.kind === "say") return this.#options.send(effect.message);
     const { order, fencingNumber } = effect;
-    void this.#inTurn(() => this.#giveOrder(order, fencingNumber));
+    void this.#enqueueEngineCall(() => this.#sendOrder(order, fencingNumber));
   }
 }
