--- a/src/entry/admission_gate_test.ts
+++ b/src/entry/admission_gate_test.ts
@@ -16,7 +16,7 @@
 const OBJECTIVE_MS = 400;
 const DEADLINE_MS = 8000;
 const IDLE_PASS_MS = 35;
-/** At a cost of half a millisecond: (0.9 * 150 - 35) / 0.5. */
+/** Requests; with a cost of 0.5 ms for each request: (0.9 * 150 - 35) / 0.5. */
 const CAPACITY = 200;
 const GROUP_SETTINGS: GroupSettings = {
   layers: 3,
@@ -32,11 +32,11 @@
 function createTable(priorities: readonly number[]): RoutingTable {
   return new RoutingTable(createDocuments([
     { path: "/organisations/andamaq", text: "kind: organisation" },
-    ...priorities.map((priority, place) => ({
-      path: `/organisations/andamaq/services/s${place}`,
+    ...priorities.map((priority, index) => ({
+      path: `/organisations/andamaq/services/s${index}`,
       text: [
         "kind: service",
-        `pathPrefix: /s${place}`,
+        `pathPrefix: /s${index}`,
         `pool: ${POOL}`,
         `priority: ${priority}`,
         `objectiveMs: ${OBJECTIVE_MS}`,
@@ -47,7 +47,7 @@
   ]));
 }
 
-/** An entry with services `/s0`, `/s1` and so on before one large rank. */
+/** An entry with the services `/s0`, `/s1` and so on, and one large rank. */
 class GateFixture {
   readonly entry = new EntryReducer({
     failureDomain: "a",
@@ -68,7 +68,7 @@
     });
   }
 
-  tellLoad(
+  reportLoad(
     running: number,
     changes: Partial<GroupLoad> = {},
     now = 0,
@@ -96,7 +96,9 @@
     return this.entry.reduce({ kind: "request_arrived", now, request });
   }
 
-  /** Requests of a service that are sent on at once, of a hundred. */
+  /**
+   * Sends 100 requests of a service; returns how many are sent to the rank immediately.
+   */
   sentOf(service: number, now = 0): number {
     return Array.from({ length: 100 }, () => this.request(service, { now }))
       .filter(isSent).length;
@@ -120,31 +122,33 @@
   );
 }
 
-function notesOf(effects: readonly EntryEffect[], name: string) {
-  return ofKind(effects, "log_decision").filter((note) => note.name === name);
+function recordsOf(effects: readonly EntryEffect[], name: string) {
+  return ofKind(effects, "log_decision").filter((record) =>
+    record.name === name
+  );
 }
 
-describe("an entry before a rank group near its capacity", () => {
-  it("sends everything while there is room", () => {
+describe("an entry with a rank group near its capacity", () => {
+  it("sends all requests while the group has capacity left", () => {
     const fixture = new GateFixture();
-    fixture.tellLoad(0.6 * CAPACITY);
+    fixture.reportLoad(0.6 * CAPACITY);
     assert.equal(fixture.sentOf(2), 100);
   });
 
-  it("holds back the least urgent, and never the most urgent", () => {
+  it("defers the less urgent requests, and never the most urgent", () => {
     const fixture = new GateFixture();
-    fixture.tellLoad(1.2 * CAPACITY);
+    fixture.reportLoad(1.2 * CAPACITY);
     assert.equal(fixture.sentOf(0), 100);
     const ofMiddle = fixture.sentOf(1);
     const ofLast = fixture.sentOf(2);
     for (const sent of [ofMiddle, ofLast]) {
-      assert.ok(sent >= 10 && sent <= 40, `${sent} of 100, a quarter is due`);
+      assert.ok(sent >= 10 && sent <= 40, `${sent} of 100 sent, 25 expected`);
     }
   });
 
-  it("lets a request wait a fifth of its objective, then tells when to return", () => {
+  it("refuses a deferred request with a retry delay after a fifth of its objective", () => {
     const fixture = new GateFixture();
-    fixture.tellLoad(1.2 * CAPACITY);
+    fixture.reportLoad(1.2 * CAPACITY);
     for (let count = 0; count < 20; count++) fixture.request(2);
     assert.equal(ofKind(fixture.tick(79), "refuse_request").length, 0);
     const effects = fixture.tick(80);
@@ -155,86 +159,88 @@
     assert.equal(refusals[0]?.problem.status, 503);
     assert.ok(Math.min(...times) >= 1 && Math.max(...times) <= 2.64);
     assert.ok(new Set(times).size > refusals.length / 2, `${times}`);
-    const { details } = notesOf(effects, "REQUEST_REFUSED")[0] ?? {};
+    const { details } = recordsOf(effects, "REQUEST_REFUSED")[0] ?? {};
     assert.equal(details?.load, 1.2 * CAPACITY);
     assert.equal(details?.capacity, CAPACITY);
-    // When it last asked.
+    // The request was last evaluated 79 ms after the report.
     assert.equal(details?.reportAgeMs, 79);
   });
 
-  it("sends what waits as soon as there is room", () => {
+  it("sends deferred requests as soon as the group has capacity left", () => {
     const fixture = new GateFixture();
-    fixture.tellLoad(1.2 * CAPACITY);
-    const held = 100 - fixture.sentOf(2);
-    const effects = fixture.tellLoad(0.5 * CAPACITY, {}, 50);
-    assert.equal(ofKind(effects, "send").length, held);
+    fixture.reportLoad(1.2 * CAPACITY);
+    const deferred = 100 - fixture.sentOf(2);
+    const effects = fixture.reportLoad(0.5 * CAPACITY, {}, 50);
+    assert.equal(ofKind(effects, "send").length, deferred);
   });
 
-  // Guards against a caller that is refused twice, though it came back when it was told
-  // to.
-  it("sends a request that returned once it has waited for long", () => {
+  // Guards against refusing a caller a second time although it retried at the given time.
+  it("sends the request of a retrying caller after the maximum deferral", () => {
     const fixture = new GateFixture();
     const full = { passMs: IDLE_PASS_MS + CAPACITY / 2 };
-    fixture.tellLoad(CAPACITY, full);
-    const returned = Array.from(
+    fixture.reportLoad(CAPACITY, full);
+    const retried = Array.from(
       { length: 50 },
       () => fixture.request(2, { deadlineMs: DEADLINE_MS / 2 }),
     ).flat();
-    const waiting = 50 - returned.filter(({ kind }) => kind === "send").length;
+    const waiting = 50 - retried.filter(({ kind }) => kind === "send").length;
     assert.ok(waiting > 0);
-    fixture.tellLoad(CAPACITY, full, 1290);
+    fixture.reportLoad(CAPACITY, full, 1290);
     assert.equal(isSent(fixture.tick(1290)), false);
     const sent = fixture.tick(1300).filter(({ kind }) => kind === "send");
     assert.equal(sent.length, waiting);
   });
 
-  it("gives a request one answer however often it asks", () => {
+  it("decides the same for a request however often it is evaluated", () => {
     const fixture = new GateFixture();
-    fixture.tellLoad(1.2 * CAPACITY);
+    fixture.reportLoad(1.2 * CAPACITY);
     for (let count = 0; count < 100; count++) fixture.request(2);
     for (let now = 1; now < 79; now++) {
       assert.equal(ofKind(fixture.tick(now), "send").length, 0);
     }
   });
 
-  it("counts each request once, and logs a group once a second", () => {
+  it("counts each deferred request once, and logs a group once per second", () => {
     const fixture = new GateFixture();
-    fixture.tellLoad(1.2 * CAPACITY);
+    fixture.reportLoad(1.2 * CAPACITY);
     const effects = Array.from({ length: 50 }, () => fixture.request(2)).flat();
-    const held = 50 - ofKind(effects, "send").length;
-    assert.equal(ofKind(effects, "count_held_back").length, held);
-    assert.equal(notesOf(effects, "GROUP_HOLDS_BACK").length, 1);
+    const deferred = 50 - ofKind(effects, "send").length;
+    assert.equal(ofKind(effects, "count_held_back").length, deferred);
+    assert.equal(recordsOf(effects, "GROUP_HOLDS_BACK").length, 1);
     const tick = fixture.tick(40);
     assert.equal(ofKind(tick, "count_held_back").length, 0);
   });
 
-  it("holds nothing back by a report that is too old", () => {
+  it("ignores a report that is too old", () => {
     const fixture = new GateFixture();
-    fixture.tellLoad(1.2 * CAPACITY);
+    fixture.reportLoad(1.2 * CAPACITY);
     assert.equal(fixture.sentOf(2, 1501), 100);
   });
 
-  it("holds nothing back by the costs of another formation", () => {
+  it("ignores the request costs of another formation of the group", () => {
     const fixture = new GateFixture();
-    fixture.tellLoad(100, { epoch: 1, passMs: 400 });
+    fixture.reportLoad(100, { epoch: 1, passMs: 400 });
     assert.ok(fixture.sentOf(2) < 50);
-    fixture.tellLoad(100, { epoch: 2 }, 10);
+    fixture.reportLoad(100, { epoch: 2 }, 10);
     assert.equal(fixture.sentOf(2, 10), 100);
   });
 
-  it("shows load and capacity for some seconds", () => {
+  it("returns load and capacity for five seconds after the last request", () => {
     const fixture = new GateFixture();
-    fixture.tellLoad(1.2 * CAPACITY);
+    fixture.reportLoad(1.2 * CAPACITY);
     fixture.request(0);
     const { gate } = fixture.entry;
-    const room = { load: 1.2 * CAPACITY, capacity: CAPACITY, ageMs: 0 };
-    assert.deepEqual(gate.utilizationsAt(4999), new Map([["group", room]]));
+    const utilization = { load: 1.2 * CAPACITY, capacity: CAPACITY, ageMs: 0 };
+    assert.deepEqual(
+      gate.utilizationsAt(4999),
+      new Map([["group", utilization]]),
+    );
     assert.equal(gate.utilizationsAt(5000).size, 0);
   });
 
-  it("holds back nothing in a pool whose services have one priority", () => {
+  it("defers nothing in a pool whose services all have the same priority", () => {
     const fixture = new GateFixture([7, 7, 7]);
-    fixture.tellLoad(1.2 * CAPACITY);
+    fixture.reportLoad(1.2 * CAPACITY);
     assert.equal(fixture.sentOf(2), 100);
   });
 });
--- a/src/entry/announced_leaving_test.ts
+++ b/src/entry/announced_leaving_test.ts
@@ -1,6 +1,7 @@
 /**
- * The failure that these tests guard against: a target says in its answers that it
- * leaves, lists go on to name it, and it is gone with the requests that still reach it.
+ * Guards against sending requests to a target that announced in an answer that it leaves.
+ * Lists still name such a target for a while, and requests that reach it are lost when it
+ * ends.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -20,7 +21,7 @@
 const LEAVING = createNotice({ leaving: { kind: "leaving" } });
 const REQUESTS = 40;
 
-/** One entry before some targets. */
+/** One entry with a list of targets. */
 class LeavingFixture {
   readonly entry = new EntryReducer({
     failureDomain: "a",
@@ -62,7 +63,7 @@
     return this.reduce({ ...event, now: 10, message });
   }
 
-  /** The target says with a whole answer that it leaves. */
+  /** Has the target announce with a whole answer that it leaves. */
   announce(target: string): readonly EntryEffect[] {
     const answer = createEmptyAnswer(this.sendTo(target));
     return answer.flatMap((message) =>
@@ -92,8 +93,8 @@
   return undefined;
 }
 
-describe("a target that says with an answer that it leaves", () => {
-  it("has its answer delivered, and gets no more requests", () => {
+describe("a target that announces with an answer that it leaves", () => {
+  it("has its answer delivered, and gets no further requests", () => {
     const fixture = new LeavingFixture(["one", "two"]);
     const effects = fixture.announce("one");
     assert.ok(effects.some(({ kind }) => kind === "whole_answer"));
@@ -102,16 +103,16 @@
     assert.ok(!fixture.entry.mayBegin("one", 10));
   });
 
-  it("gets no retry of another one's request", () => {
+  it("gets no retry of a request that another target refused", () => {
     const fixture = new LeavingFixture(["one", "two", "three"]);
     const submit = fixture.sendTo("two");
     fixture.announce("one");
     const refused = createRefused(submit, "BACK_END_FULL");
-    const [again] = submitsOf(fixture.receive("two", refused));
-    assert.equal(again?.targetName, "three");
+    const [retry] = submitsOf(fixture.receive("two", refused));
+    assert.equal(retry?.targetName, "three");
   });
 
-  it("gets none when it comes back into the list", () => {
+  it("gets no requests when it is listed again after it was missing", () => {
     const fixture = new LeavingFixture(["one", "two"]);
     fixture.announce("one");
     fixture.list(["two"]);
@@ -127,7 +128,7 @@
     assert.equal(fixture.targetsOfRequests(), "one-again");
   });
 
-  it("is left alone by an entry that another one told", () => {
+  it("gets no requests from an entry that learned of it from another entry", () => {
     const fixture = new LeavingFixture(["one", "two"]);
     const targets = [{ target: "one", knownAt: 0 }];
     fixture.reduce({ kind: "leaving_told", now: 0, targets });
--- a/src/entry/backing_off_targets_test.ts
+++ b/src/entry/backing_off_targets_test.ts
@@ -1,8 +1,8 @@
 /**
- * The failure that these tests guard against: a target in need asks the entry for a
- * backoff, and requests reach it as first attempts, retries, resumed streams, after a
- * wait, for the owner of a key, by a permit, as probes, or over a connection that took
- * long to make.
+ * Guards against sending requests to an overloaded target that requested a backoff from
+ * the entry. Requests can reach a target as first attempts, retries, resumed streams,
+ * after a wait, as requests of a key that it owns, by a permit, as probes, or over a
+ * connection that took long to establish.
  */
 import assert from "node:assert/strict";
 import { Buffer } from "node:buffer";
@@ -36,7 +36,7 @@
   readonly message: SubmitMessage;
 }
 
-/** One entry before some targets. */
+/** One entry with a list of targets. */
 class BackoffFixture {
   readonly entry = new EntryReducer({
     failureDomain: "a",
@@ -79,22 +79,22 @@
     throw new Error(`No request went to ${target}`);
   }
 
-  /** The target refuses a request and asks for a backoff. */
-  askForBackoff(
+  /** Has the target refuse a request and request a backoff. */
+  requestBackoff(
     target: string,
     now: number,
     milliseconds = BACKOFF_MS,
   ): readonly EntryEffect[] {
-    return this.#turnAway(target, this.sendTo(target, now), now, milliseconds);
+    return this.#refuse(target, this.sendTo(target, now), now, milliseconds);
   }
 
-  /** All targets refuse a request each and ask for a backoff. */
-  askForBackoffOfAll(now: number): void {
+  /** Has each target refuse a request and request a backoff. */
+  requestBackoffFromAll(now: number): void {
     const sent = this.#names.map((target) =>
       [target, this.sendTo(target, now)] as const
     );
     for (const [target, submit] of sent) {
-      this.#turnAway(target, submit, now, BACKOFF_MS);
+      this.#refuse(target, submit, now, BACKOFF_MS);
     }
   }
 
@@ -107,13 +107,16 @@
     return this.reduce({ ...event, now, message });
   }
 
-  /** Targets that some requests go to, each once, in alphabetical order. */
+  /**
+   * Returns the targets that several requests are sent to, each once, in alphabetical
+   * order.
+   */
   targetsOfRequests(now: number): string {
     const effects = Array.from({ length: REQUESTS }, () => this.request(now));
     return targetsOf(effects.flat());
   }
 
-  #turnAway(
+  #refuse(
     target: string,
     submit: SubmitMessage,
     now: number,
@@ -148,58 +151,58 @@
   return undefined;
 }
 
-describe("a target that asked for a backoff", () => {
-  it("gets neither first attempts nor retries until its end", () => {
+describe("a target that requested a backoff", () => {
+  it("gets neither first attempts nor retries until the backoff ends", () => {
     const fixture = new BackoffFixture();
-    const effects = fixture.askForBackoff("one", 0);
+    const effects = fixture.requestBackoff("one", 0);
     assert.notEqual(targetsOf(effects), "one");
     assert.equal(fixture.targetsOfRequests(10), "three two");
     assert.equal(fixture.targetsOfRequests(BACKOFF_MS - 1), "three two");
     assert.equal(fixture.targetsOfRequests(2 * BACKOFF_MS), "one three two");
   });
 
-  it("gets nothing though it drops out of the list for a moment", () => {
+  it("gets no requests even if it is missing from one list in between", () => {
     const fixture = new BackoffFixture();
-    fixture.askForBackoff("one", 0);
+    fixture.requestBackoff("one", 0);
     fixture.list(["two", "three"], 100);
     fixture.list(["one", "two", "three"], 200);
     assert.equal(fixture.targetsOfRequests(300), "three two");
   });
 
-  it("is not held to have failed once the backoff is over", () => {
+  it("does not count as failed because of the backoff", () => {
     const fixture = new BackoffFixture();
-    fixture.askForBackoff("one", 0);
+    fixture.requestBackoff("one", 0);
     assert.equal(fixture.entry.registry.tryGet("one")?.failureShare, 0);
   });
 
-  it("gets its load back over time", () => {
+  it("gets its load back gradually", () => {
     const fixture = new BackoffFixture(["one", "two"]);
-    fixture.askForBackoff("one", 0);
+    fixture.requestBackoff("one", 0);
     const countAt = (now: number) =>
       Array.from({ length: 200 }, () => sentOf(fixture.request(now)))
         .flat().filter(({ target }) => target === "one").length;
     const early = countAt(BACKOFF_MS + 100);
-    assert.ok(early < 20, `${early} of 200`);
+    assert.ok(early < 20, `${early} of 200 requests`);
   });
 
-  it("does not get a stream that goes on elsewhere", () => {
+  it("does not get a stream that is resumed after its target failed", () => {
     const fixture = new BackoffFixture(["one", "two", "three"]);
     const submit = fixture.sendTo("two", 0);
-    fixture.askForBackoff("one", 0);
+    fixture.requestBackoff("one", 0);
     const headers = [["content-type", "text/event-stream"]] as const;
     const head = { kind: "answer_head", sequence: 0, status: 200 } as const;
-    fixture.receive("two", { ...head, ...placeOf(submit), headers }, 10);
+    fixture.receive("two", { ...head, ...attemptOf(submit), headers }, 10);
     const bytes = Buffer.from("id: 1\ndata: x\n\n");
     const data = { kind: "answer_data", sequence: 1, bytes } as const;
-    fixture.receive("two", { ...data, ...placeOf(submit) }, 10);
+    fixture.receive("two", { ...data, ...attemptOf(submit) }, 10);
     const broken = createRefused(submit, "BACK_END_FAILED");
     assert.equal(targetsOf(fixture.receive("two", broken, 20)), "three");
   });
 
-  it("does not get the error of another one in place of the caller", () => {
+  it("gets no retry of a request that another target answered with an error", () => {
     const fixture = new BackoffFixture(["one", "two"]);
     const submit = fixture.sendTo("two", 0);
-    fixture.askForBackoff("one", 0);
+    fixture.requestBackoff("one", 0);
     const [head, end] = createEmptyAnswer(submit) as [
       AttemptMessage,
       AttemptMessage,
@@ -214,7 +217,7 @@
     );
   });
 
-  it("does not get the requests for whose key it is the owner", () => {
+  it("does not get requests whose idempotency key it owns", () => {
     const fixture = new BackoffFixture(["one"]);
     const idempotencyKey = "key";
     const service = "/organisations/andamaq/services/confirm";
@@ -228,29 +231,29 @@
       message: { kind: "claims", version: 1, slotCount: 64, slots: [slot] },
     });
     assert.equal(targetsOf(fixture.request(0, { idempotencyKey })), "one");
-    fixture.askForBackoff("one", 0);
+    fixture.requestBackoff("one", 0);
     const refusal = refusalOf(fixture.request(10, { idempotencyKey }));
     assert.equal(refusal?.reason, "TARGETS_BACKING_OFF");
   });
 
-  it("is not sent what was chosen for it before", () => {
+  it("is not sent a request that was assigned to it before", () => {
     const fixture = new BackoffFixture();
     assert.ok(fixture.entry.mayBegin("one", 0));
-    fixture.askForBackoff("one", 0);
+    fixture.requestBackoff("one", 0);
     assert.ok(!fixture.entry.mayBegin("one", 10));
     assert.ok(fixture.entry.mayBegin("two", 10));
     assert.ok(fixture.entry.mayBegin("one", BACKOFF_MS));
   });
 
-  it("loses what was chosen for it before to another one", () => {
+  it("has a request that was assigned to it before sent to another target", () => {
     const fixture = new BackoffFixture(["one", "two"]);
     const submit = fixture.sendTo("one", 0);
-    fixture.askForBackoff("one", 0);
+    fixture.requestBackoff("one", 0);
     const withheld = createRefused(submit, "TARGET_WITHHELD");
     assert.equal(targetsOf(fixture.receive("one", withheld, 600)), "two");
   });
 
-  it("does not get a request by a permit, nor to hear of its limit", () => {
+  it("gets no request by a permit, and none to learn its current limit", () => {
     const fixture = new BackoffFixture(["one"]);
     const entries = ["entry-0"];
     fixture.reduce({ kind: "entries_listed", now: 0, entries });
@@ -259,15 +262,15 @@
       now: 0,
       limits: [{ target: "one", perSecond: 5, version: 1, heardAt: 0 }],
     });
-    fixture.askForBackoff("one", 6000);
+    fixture.requestBackoff("one", 6000);
     assert.equal(fixture.targetsOfRequests(8000), "");
   });
 });
 
-describe("targets all of which asked for a backoff", () => {
-  it("are sent nothing, and callers are told the end at once", () => {
+describe("targets that all requested a backoff", () => {
+  it("get no requests, and callers are refused immediately with a retry delay", () => {
     const fixture = new BackoffFixture(["one", "two"]);
-    fixture.askForBackoffOfAll(0);
+    fixture.requestBackoffFromAll(0);
     const effects = fixture.request(1000);
     const refusal = refusalOf(effects);
     assert.equal(targetsOf(effects), "");
@@ -276,25 +279,25 @@
     assert.ok(seconds >= 1.99 && seconds <= 5, `${seconds}`);
   });
 
-  it("tell the end to those whose requests they refused, too", () => {
+  it("cause a retry delay for callers whose requests they refused, too", () => {
     const fixture = new BackoffFixture(["one"]);
-    const refusal = refusalOf(fixture.askForBackoff("one", 0));
+    const refusal = refusalOf(fixture.requestBackoff("one", 0));
     assert.equal(refusal?.reason, "TARGETS_BACKING_OFF");
     const seconds = refusal?.retryAfterSeconds ?? 0;
     assert.ok(seconds >= 3 && seconds <= 6, `${seconds}`);
   });
 
-  it("get a request that can wait for the end as it comes", () => {
+  it("get a request that can wait for the end of the backoff when it ends", () => {
     const fixture = new BackoffFixture(["one", "two"]);
-    fixture.askForBackoffOfAll(0);
+    fixture.requestBackoffFromAll(0);
     assert.equal(refusalOf(fixture.request(BACKOFF_MS - 50)), undefined);
     const later = fixture.reduce({ kind: "tick", now: BACKOFF_MS });
     assert.equal(sentOf(later).length, 1);
   });
 
-  it("are told of with times that spread", () => {
+  it("cause retry delays that are spread", () => {
     const fixture = new BackoffFixture(["one", "two"]);
-    fixture.askForBackoffOfAll(0);
+    fixture.requestBackoffFromAll(0);
     const times = Array.from(
       { length: REQUESTS },
       () => refusalOf(fixture.request(1000))?.retryAfterSeconds ?? 0,
@@ -303,6 +306,6 @@
   });
 });
 
-function placeOf({ requestId, attempt }: SubmitMessage) {
+function attemptOf({ requestId, attempt }: SubmitMessage) {
   return { requestId, attempt };
 }
--- a/src/entry/drained_targets_test.ts
+++ b/src/entry/drained_targets_test.ts
@@ -1,8 +1,8 @@
 /**
- * The failure that these tests guard against: operators take the machines of a drained
- * failure domain away, and each request that still reaches one of them is lost. Requests
- * come to a target as first attempts, retries, resumed streams, after a wait, and for the
- * owner of a key.
+ * Guards against sending requests to a drained failure domain. Operators remove its VMs,
+ * and each request that still reaches one of them is lost. Requests can reach a target as
+ * first attempts, retries, resumed streams, after a wait, and as requests of a key that
+ * it owns.
  */
 import assert from "node:assert/strict";
 import { Buffer } from "node:buffer";
@@ -27,7 +27,7 @@
   "objectiveMs: 400",
 ];
 
-/** One entry before two targets in each of the failure domains a, b and c. */
+/** One entry with two targets in each of the failure domains a, b and c. */
 class DrainFixture {
   readonly entry = new EntryReducer({
     failureDomain: "a",
@@ -71,7 +71,9 @@
     return this.reduce({ kind: "request_arrived", now, request });
   }
 
-  /** Failure domains that some requests go to, each once, in alphabetical order. */
+  /**
+   * Returns the failure domains that several requests are sent to, in alphabetical order.
+   */
   domainsOfRequests(now = 0): string {
     const sent = Array.from({ length: REQUESTS }, () => this.request({}, now));
     return [...new Set(sent.flatMap(domainsOf))].sort().join(" ");
@@ -102,74 +104,78 @@
 
 interface DrainRow {
   readonly name: string;
-  /** Sets that are told one after the other. */
-  readonly told: readonly (readonly string[])[];
-  /** Failure domains that requests go to after the last of them. */
+  /** Sets of drained failure domains, applied one after the other. */
+  readonly drains: readonly (readonly string[])[];
+  /** Failure domains that requests are sent to after the last set. */
   readonly sentTo: string;
 }
 
 const ROWS: readonly DrainRow[] = [
-  { name: "one failure domain", told: [["a"]], sentTo: "b c" },
-  { name: "two at once", told: [["a", "c"]], sentTo: "b" },
-  { name: "two that cross", told: [["a"], ["a", "b"], ["b"]], sentTo: "a c" },
-  { name: "one that is unknown", told: [["z"]], sentTo: "a b c" },
-  { name: "one given again", told: [["a"], [], ["a"]], sentTo: "b c" },
-  { name: "all", told: [["a", "b", "c"]], sentTo: "" },
+  { name: "one failure domain", drains: [["a"]], sentTo: "b c" },
+  { name: "two at once", drains: [["a", "c"]], sentTo: "b" },
+  {
+    name: "two that overlap in time",
+    drains: [["a"], ["a", "b"], ["b"]],
+    sentTo: "a c",
+  },
+  { name: "one that is unknown", drains: [["z"]], sentTo: "a b c" },
+  { name: "one drained again", drains: [["a"], [], ["a"]], sentTo: "b c" },
+  { name: "all", drains: [["a", "b", "c"]], sentTo: "" },
 ];
 
 describe("a drain of", () => {
-  for (const { name, told, sentTo } of ROWS) {
-    it(`${name} keeps first attempts away`, () => {
+  for (const { name, drains, sentTo } of ROWS) {
+    it(`${name} prevents first attempts there`, () => {
       const fixture = new DrainFixture();
-      for (const domains of told) fixture.drain(domains);
+      for (const domains of drains) fixture.drain(domains);
       assert.equal(fixture.domainsOfRequests(RETURN_MS), sentTo);
     });
   }
 });
 
 describe("a drained failure domain", () => {
-  it("takes nothing at an entry that starts, nor at targets listed later", () => {
+  it("gets no requests from an entry that starts, nor do targets listed later", () => {
     const fixture = new DrainFixture(["a", "d"]);
     assert.equal(fixture.domainsOfRequests(), "b c");
     fixture.list(["a", "b", "d"]);
     assert.equal(fixture.domainsOfRequests(), "b");
   });
 
-  it("takes no retries and no resumed streams", () => {
+  it("gets no retries and no resumed streams", () => {
     const fixture = new DrainFixture(["a", "c"]);
     for (let id = 100; id < 100 + REQUESTS; id++) {
       const [first] = fixture.request({ id }).flatMap((effect) =>
         effect.kind === "send" ? [effect] : []
       );
       assert.ok(first?.message.kind === "submit");
-      const place = { requestId: id, attempt: 1 };
+      const attempt = { requestId: id, attempt: 1 };
       const { targetName } = first;
       const receive = (message: Parameters<typeof createMessage>[1]) =>
         fixture.reduce(createMessage(targetName, message));
       if (id % 2 === 0) {
         receive({
           kind: "answer_head",
-          ...place,
+          ...attempt,
           sequence: 0,
           status: 200,
           headers: [["content-type", "text/event-stream"]],
         });
         const bytes = Buffer.from("id: 1\ndata: x\n\n");
-        receive({ kind: "answer_data", ...place, sequence: 1, bytes });
+        receive({ kind: "answer_data", ...attempt, sequence: 1, bytes });
       }
-      const retry = receive(createRefused(place, "BACK_END_FAILED"));
+      const retry = receive(createRefused(attempt, "BACK_END_FAILED"));
       assert.deepEqual(domainsOf(retry), ["b"]);
     }
   });
 
-  it("finishes what it has", () => {
+  it("finishes its requests in flight", () => {
     const fixture = new DrainFixture(["b", "c"]);
     assert.deepEqual(domainsOf(fixture.request()), ["a"]);
     const effects = fixture.drain(["a", "b", "c"]);
     assert.ok(effects.every(({ kind }) => kind === "log_decision"));
   });
 
-  it("takes no request that waited, which is refused once none is left", () => {
+  it("gets no waiting request, which is refused if no other target is left", () => {
     const fixture = new DrainFixture(["a"]);
     fixture.list([]);
     assert.deepEqual(refusalsOf(fixture.request()), []);
@@ -178,7 +184,7 @@
     assert.deepEqual(refused, ["DOMAINS_DRAINED"]);
   });
 
-  it("takes no request of a key that a target there owns", () => {
+  it("gets no request of a key that a target there owns", () => {
     const fixture = new DrainFixture();
     const idempotencyKey = "key-1";
     const slot = slotOf(fingerprintOf({
@@ -203,7 +209,7 @@
     assert.ok((problem?.retryAfterSeconds ?? 0) > 0);
   });
 
-  it("keeps its ranks at work for the others of their group", () => {
+  it("keeps its ranks running for the other ranks of their group", () => {
     const fixture = new DrainFixture();
     const ids = ["a-1", "a-2", "b-1", "b-2", "c-1", "c-2"];
     const ranks = ids.map((id) => ({
@@ -212,17 +218,17 @@
     }));
     fixture.reduce({ kind: "ranks_listed", ranks });
     fixture.drain(["a"]);
-    const sight = { group: "group", isOpen: true, ageMs: 0 };
+    const observation = { group: "group", isOpen: true, ageMs: 0 };
     fixture.reduce({
       kind: "group_seen",
       now: 0,
-      sight: { kind: "group_sight", ...sight },
+      sight: { kind: "group_sight", ...observation },
     });
     assert.equal(fixture.domainsOfRequests(), "b c");
     assert.ok(fixture.entry.registry.groups.isComplete("group"));
   });
 
-  it("is logged with its targets, and without any as such", () => {
+  it("is logged as drained with targets, or as without targets if it has none", () => {
     const fixture = new DrainFixture();
     assert.deepEqual(loggedOf(fixture.drain(["a", "z"])), [
       "DOMAIN_DRAINED a",
@@ -234,7 +240,10 @@
 });
 
 describe("a failure domain whose drain has ended", () => {
-  /** Share of requests that go to failure domain a so long after the end. */
+  /**
+   * Returns the share of requests sent to failure domain a that long after the drain
+   * ended.
+   */
   function shareAfter(milliseconds: number): number {
     const fixture = new DrainFixture(["a"]);
     fixture.drain([], 0);
@@ -245,15 +254,17 @@
     return sent.filter(([domain]) => domain === "a").length / sent.length;
   }
 
-  it("takes more of the requests from moment to moment", () => {
-    const shares = [0, 0.2, 0.5, 1].map((part) => shareAfter(part * RETURN_MS));
+  it("gets a gradually increasing share of requests", () => {
+    const shares = [0, 0.2, 0.5, 1].map((fraction) =>
+      shareAfter(fraction * RETURN_MS)
+    );
     assert.equal(shares[0], 0);
     const sorted = [...shares].sort((left, right) => left - right);
     assert.deepEqual(shares, sorted);
     assert.ok((shares[1] as number) <= 0.25, `${shares}`);
   });
 
-  it("takes all of them where no other target is free", () => {
+  it("gets all requests if no other target is available", () => {
     const fixture = new DrainFixture(["a", "b", "c"]);
     fixture.drain(["b", "c"], 0);
     assert.equal(fixture.domainsOfRequests(), "a");
--- a/src/entry/ended_targets_test.ts
+++ b/src/entry/ended_targets_test.ts
@@ -11,15 +11,19 @@
 
 interface EndedRow {
   readonly name: string;
-  /** Lists that follow on one with both targets. */
+  /** Lists that follow a list with both targets. */
   readonly lists: readonly (readonly BackEndInstance[])[];
   readonly ended: readonly string[];
 }
 
 const ROWS: readonly EndedRow[] = [
-  { name: "that is missing has ended", lists: [[ONE]], ended: ["two"] },
   {
-    name: "whose address another one has has ended",
+    name: "that is missing from the list has ended",
+    lists: [[ONE]],
+    ended: ["two"],
+  },
+  {
+    name: "whose address another target has now has ended",
     lists: [[
       ONE,
       LEAVING_TWO,
@@ -28,23 +32,23 @@
     ended: ["two"],
   },
   {
-    name: "that said that it leaves has left",
+    name: "that was listed as leaving is not logged as ended",
     lists: [[ONE, LEAVING_TWO], [ONE]],
     ended: [],
   },
   {
-    name: "that stays away is told once",
+    name: "that is missing from several lists is logged once",
     lists: [[ONE], [ONE], [ONE]],
     ended: ["two"],
   },
   {
-    name: "that came back may end once more",
+    name: "that was listed again can end again",
     lists: [[ONE], [ONE, TWO], [ONE]],
     ended: ["two", "two"],
   },
 ];
 
-/** Targets of which is noted that they ended, while the lists are read. */
+/** Returns the targets that are logged as ended while the lists are applied. */
 function endedBy({ lists }: EndedRow): readonly unknown[] {
   const entry = new EntryReducer({
     failureDomain: "a",
--- a/src/entry/limited_targets_test.ts
+++ b/src/entry/limited_targets_test.ts
@@ -1,8 +1,7 @@
 /**
- * The load that these tests tell of: targets in need name limits while callers go on at a
- * fleet of entries, each of which by itself sees a small part of what a target gets. What
- * counts is what a target gets from all of them, and that callers lose nothing that other
- * targets can serve.
+ * Guards against exceeding the limit of an overloaded target. Each entry by itself knows
+ * only a small part of what the target gets, so the tests check the requests that it gets
+ * from all entries together, and that no request is refused that other targets can serve.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -16,15 +15,15 @@
 
 const RUN_MS = 24_000;
 const SEEDS = [1, 2, 3];
-/** Entries from which on one short run has requests enough. */
-const MANY_ENTRIES = 100;
+/** Number of entries from which one short run has enough requests. */
+const LARGE_FLEET_ENTRIES = 100;
 const SHORT_RUN_MS = 10_000;
-/** Milliseconds from the first naming until a limit has to be kept. */
-const HEARD_WITHIN_MS = 1500;
-/** Milliseconds of any span in which requests are counted. */
+/** Milliseconds after which a limit has to be kept since its target named it first. */
+const PROPAGATION_MS = 1500;
+/** Length of the spans in which requests are counted, in milliseconds. */
 const SPAN_MS = 4000;
-/** Milliseconds for which a request may be held that is refused. */
-const MOST_HELD_MS = 350;
+/** Maximum time for which a request waits before it is refused, in milliseconds. */
+const MAX_WAIT_MS = 350;
 
 function createOptions(
   changes: Partial<LimitedEntriesOptions> = {},
@@ -43,7 +42,7 @@
 function runAll(
   changes: Partial<LimitedEntriesOptions>,
 ): readonly LimitedEntriesResult[] {
-  const isLarge = (changes.entries ?? 0) >= MANY_ENTRIES;
+  const isLarge = (changes.entries ?? 0) >= LARGE_FLEET_ENTRIES;
   const seeds = isLarge ? SEEDS.slice(0, 1) : SEEDS;
   return seeds.map((seed) =>
     new LimitedEntries(createOptions({ ...changes, seed }))
@@ -52,15 +51,15 @@
 }
 
 function getRunMs(entries = 0): number {
-  return entries >= MANY_ENTRIES ? SHORT_RUN_MS : RUN_MS;
+  return entries >= LARGE_FLEET_ENTRIES ? SHORT_RUN_MS : RUN_MS;
 }
 
-/** Requests that a target got, also from entries in trouble. */
+/** Returns the requests that a target got, including those of entries with faults. */
 function arrivalsAt(
   { arrivals }: LimitedEntriesResult,
   target: number,
 ): readonly Arrival[] {
-  return arrivals.filter((one) => one.target === target);
+  return arrivals.filter((arrival) => arrival.target === target);
 }
 
 function countBetween(
@@ -71,8 +70,8 @@
   return arrivals.filter(({ at }) => at >= from && at < to).length;
 }
 
-/** Most requests in any span of a part of the run. */
-function mostInSpan(
+/** Returns the maximum number of requests in any span within a part of the run. */
+function getMaxInSpan(
   arrivals: readonly Arrival[],
   from: number,
   to: number,
@@ -84,7 +83,7 @@
   return Math.max(0, ...spans);
 }
 
-function allowedInSpan(perSecond: number): number {
+function getAllowedInSpan(perSecond: number): number {
   return 1.5 * perSecond * SPAN_MS / 1000 + 5;
 }
 
@@ -96,55 +95,60 @@
 
 const SIZES: readonly SizeRow[] = [
   {
-    name: "3 entries, 2 a second",
+    name: "3 entries, 2 per second",
     changes: { entries: 3, targets: 3 },
     perSecond: 2,
   },
-  { name: "9 entries, 1 a second", changes: {}, perSecond: 1 },
-  { name: "41 entries, 1 a second", changes: { entries: 41 }, perSecond: 1 },
+  { name: "9 entries, 1 per second", changes: {}, perSecond: 1 },
+  { name: "41 entries, 1 per second", changes: { entries: 41 }, perSecond: 1 },
   {
-    name: "41 entries, 12 a second of 20",
+    name: "41 entries, 12 per second of 20",
     changes: { entries: 41, requestsPerSecond: 240 },
     perSecond: 12,
   },
   {
-    name: "720 entries, 0.2 a second",
+    name: "720 entries, 0.2 per second",
     changes: { entries: 720, targets: 40, requestsPerSecond: 1440 },
     perSecond: 0.2,
   },
   {
-    name: "720 entries, 50 a second of 120",
+    name: "720 entries, 50 per second of 120",
     changes: { entries: 720, requestsPerSecond: 1440 },
     perSecond: 50,
   },
-  { name: "none at all", changes: { entries: 41 }, perSecond: 0 },
+  { name: "a limit of 0", changes: { entries: 41 }, perSecond: 0 },
 ];
 
-describe("a target that names a limit among others", () => {
+describe("a target with a limit among targets without one", () => {
   for (const { name, changes, perSecond } of SIZES) {
-    it(`gets no more from all entries together: ${name}`, (test) => {
+    it(`gets no more than its limit from all entries together: ${name}`, (test) => {
       const limited = { at: 1000, target: 0, perSecond };
       const results = runAll({ ...changes, changes: [limited] });
-      const most = results.map((result) =>
-        mostInSpan(arrivalsAt(result, 0), 1000 + HEARD_WITHIN_MS, RUN_MS)
+      const counts = results.map((result) =>
+        getMaxInSpan(arrivalsAt(result, 0), 1000 + PROPAGATION_MS, RUN_MS)
       );
       test.diagnostic(
-        `${most} in a span, asked ${results.map(({ questions }) => questions)}`,
+        `${counts} in a span, permit requests: ${
+          results.map(({ questions }) => questions)
+        }`,
       );
-      assert.ok(Math.max(...most) <= allowedInSpan(perSecond), `${most}`);
-      // Callers lose nothing: the other targets take what it does not.
+      assert.ok(
+        Math.max(...counts) <= getAllowedInSpan(perSecond),
+        `${counts}`,
+      );
+      // The other targets serve the requests beyond the limit.
       for (const { refusals } of results) assert.equal(refusals.length, 0);
     });
   }
 
-  it("is used for what it takes, not left alone", () => {
+  it("still gets requests up to its limit", () => {
     for (const result of runAll({ entries: 41 })) {
-      const got = countBetween(arrivalsAt(result, 0), 4000, 24_000);
-      assert.ok(got >= 10, `${got} of 20`);
+      const count = countBetween(arrivalsAt(result, 0), 4000, 24_000);
+      assert.ok(count >= 10, `${count} of 20 requests`);
     }
   });
 
-  it("is used as before within two seconds after its limit has ended", () => {
+  it("gets its usual share within two seconds after its limit has ended", () => {
     for (const entries of [3, 41]) {
       const results = runAll({
         entries,
@@ -154,13 +158,13 @@
         ],
       });
       for (const result of results) {
-        const got = countBetween(arrivalsAt(result, 0), 14_000, 24_000);
-        assert.ok(got >= 35, `${got} of 50, ${entries} entries`);
+        const count = countBetween(arrivalsAt(result, 0), 14_000, 24_000);
+        assert.ok(count >= 35, `${count} of 50 requests, ${entries} entries`);
       }
     }
   });
 
-  it("is held to a lower limit that it names later", () => {
+  it("gets no more than a lower limit that it names later", () => {
     const results = runAll({
       entries: 41,
       changes: [
@@ -169,53 +173,53 @@
       ],
     });
     for (const result of results) {
-      const from = 10_000 + HEARD_WITHIN_MS;
-      const most = mostInSpan(arrivalsAt(result, 0), from, RUN_MS);
-      assert.ok(most <= allowedInSpan(0.5), `${most}`);
+      const from = 10_000 + PROPAGATION_MS;
+      const max = getMaxInSpan(arrivalsAt(result, 0), from, RUN_MS);
+      assert.ok(max <= getAllowedInSpan(0.5), `${max}`);
     }
   });
 });
 
-interface TroubleRow {
+interface FaultRow {
   readonly name: string;
-  readonly troubles: readonly EntryTrouble[];
+  readonly faults: readonly EntryTrouble[];
 }
 
-/** The same trouble of all entries, one after the other. */
-function inTurn(
-  trouble: Pick<EntryTrouble, "forMs" | "kind">,
+/** Returns the same fault for all entries, one after the other. */
+function createRollingFaults(
+  fault: Pick<EntryTrouble, "forMs" | "kind">,
 ): readonly EntryTrouble[] {
   return Array.from({ length: 9 }, (_, entry) => ({
-    ...trouble,
+    ...fault,
     at: 3000 + 2000 * entry,
     entry,
   }));
 }
 
-const TROUBLES: readonly TroubleRow[] = [
+const FAULT_ROWS: readonly FaultRow[] = [
   {
-    name: "the entry that gives permits restarts",
-    troubles: [{ at: 6000, forMs: 1500, kind: "restart" }],
+    name: "the entry that issues permits restarts",
+    faults: [{ at: 6000, forMs: 1500, kind: "restart" }],
   },
   {
-    name: "the entry that gives permits leaves, and comes again",
-    troubles: [{ at: 6000, forMs: 6000, kind: "leave" }],
+    name: "the entry that issues permits leaves and returns",
+    faults: [{ at: 6000, forMs: 6000, kind: "leave" }],
   },
   {
-    name: "the entry that gives permits is cut off from the others",
-    troubles: [{ at: 6000, forMs: 6000, kind: "cut" }],
+    name: "the entry that issues permits is cut off from the others",
+    faults: [{ at: 6000, forMs: 6000, kind: "cut" }],
   },
   {
     name: "all entries restart in turn",
-    troubles: inTurn({ forMs: 1500, kind: "restart" }),
+    faults: createRollingFaults({ forMs: 1500, kind: "restart" }),
   },
   {
-    name: "entries leave and come in turn",
-    troubles: inTurn({ forMs: 3000, kind: "leave" }),
+    name: "entries leave and return in turn",
+    faults: createRollingFaults({ forMs: 3000, kind: "leave" }),
   },
   {
-    name: "half of the entries start anew at once",
-    troubles: Array.from({ length: 5 }, (_, entry) => ({
+    name: "half of the entries restart at once",
+    faults: Array.from({ length: 5 }, (_, entry) => ({
       at: 8000,
       forMs: 1000,
       kind: "restart" as const,
@@ -224,30 +228,33 @@
   },
 ];
 
-describe("a target that names a limit while entries are in trouble", () => {
-  for (const { name, troubles } of TROUBLES) {
+describe("a target with a limit during faults of entries", () => {
+  for (const { name, faults } of FAULT_ROWS) {
     for (const perSecond of [1, 12]) {
-      it(`gets no more: ${name}, ${perSecond} a second`, (test) => {
-        // No target is without a limit, so that each permit is asked for.
+      it(`gets no more than its limit: ${name}, ${perSecond} per second`, (test) => {
+        // All targets have a limit, so that every request needs a permit.
         const results = runAll({
           targets: 2,
           requestsPerSecond: 8 * perSecond,
           changes: [0, 1].map((target) => ({ at: 1000, target, perSecond })),
-          troubles,
+          troubles: faults,
         });
-        const most = results.map((result) =>
-          mostInSpan(arrivalsAt(result, 0), 1000 + HEARD_WITHIN_MS, RUN_MS)
+        const counts = results.map((result) =>
+          getMaxInSpan(arrivalsAt(result, 0), 1000 + PROPAGATION_MS, RUN_MS)
+        );
+        test.diagnostic(`${counts} in a span`);
+        assert.ok(
+          Math.max(...counts) <= getAllowedInSpan(perSecond),
+          `${counts}`,
         );
-        test.diagnostic(`${most} in a span`);
-        assert.ok(Math.max(...most) <= allowedInSpan(perSecond), `${most}`);
       });
     }
   }
 });
 
-describe("targets all of which name limits", () => {
+describe("targets that all have limits", () => {
   for (const entries of [3, 41, 720]) {
-    it(`are sent what they take, ${entries} entries, and the rest is refused at once`, (test) => {
+    it(`get requests up to their limits, and the rest is refused quickly, ${entries} entries`, (test) => {
       const targets = [0, 1, 2];
       const perSecond = 5;
       const results = runAll({
@@ -257,20 +264,23 @@
         changes: targets.map((target) => ({ at: 1000, target, perSecond })),
       });
       for (const result of results) {
-        const most = targets.map((target) =>
-          mostInSpan(arrivalsAt(result, target), 2500, RUN_MS)
+        const counts = targets.map((target) =>
+          getMaxInSpan(arrivalsAt(result, target), 2500, RUN_MS)
         );
         const end = getRunMs(entries);
         const sent = countBetween(result.arrivals, 4000, end);
-        const taken = targets.length * perSecond * (end - 4000) / 1000;
-        const held = Math.max(...result.refusals.map(({ heldMs }) => heldMs));
+        const allowed = targets.length * perSecond * (end - 4000) / 1000;
+        const waitMs = Math.max(...result.refusals.map(({ heldMs }) => heldMs));
         test.diagnostic(
-          `${most} in a span, sent ${sent} of ${taken}, held ${held} ms, ` +
-            `asked ${result.questions}, told ${result.told}`,
+          `${counts} in a span, sent ${sent} of ${allowed}, waited ${waitMs} ms, ` +
+            `permit requests: ${result.questions}, replications: ${result.told}`,
+        );
+        assert.ok(
+          Math.max(...counts) <= getAllowedInSpan(perSecond),
+          `${counts}`,
         );
-        assert.ok(Math.max(...most) <= allowedInSpan(perSecond), `${most}`);
-        assert.ok(sent >= 0.75 * taken, `${sent} of ${taken}`);
-        assert.ok(held <= MOST_HELD_MS, `held ${held} ms`);
+        assert.ok(sent >= 0.75 * allowed, `${sent} of ${allowed}`);
+        assert.ok(waitMs <= MAX_WAIT_MS, `waited ${waitMs} ms`);
         assert.ok(
           result.refusals.every(({ retryAfterSeconds }) =>
             retryAfterSeconds !== undefined && retryAfterSeconds > 0
--- a/src/entry/poison_fleet_test.ts
+++ b/src/entry/poison_fleet_test.ts
@@ -1,8 +1,9 @@
 /**
- * The load that these tests tell of: requests that crash each rank that runs them come
- * again and again at any entry, and stop a whole rank group for seconds each time, while
- * ranks also crash by themselves, some or all at once. What counts for callers is how
- * many ranks end and that nobody else is refused for it.
+ * Guards against requests that crash every rank that runs them (poison requests). Callers
+ * retry them at any entry, and each crash stops a whole rank group for seconds. Ranks
+ * also crash for other reasons, some or all at once. The tests bound how many ranks
+ * poison requests crash, and how many other requests are refused as if they crashed
+ * ranks.
  *
  * @module
  */
@@ -16,13 +17,16 @@
 
 const RUN_MS = 60_000;
 const SEEDS = [1, 2, 3];
-/** Part of the other requests that may be taken for the cause. */
-const MOST_REFUSED_INNOCENT = 0.001;
 /**
- * Times that an entry may tell of changes: it hears of each loss from some entries,
- * several requests at a time, and has nothing to tell in between.
+ * Maximum fraction of other requests that may be refused as if they crashed ranks.
  */
-const MOST_TOLD = 100;
+const MAX_REFUSED_UNAFFECTED = 0.001;
+/**
+ * Maximum number of times that an entry may replicate changes. It learns of each loss
+ * from several entries, for several requests at a time, and replicates nothing in
+ * between.
+ */
+const MAX_REPLICATIONS = 100;
 
 function createOptions(
   changes: Partial<PoisonFleetOptions> = {},
@@ -58,28 +62,28 @@
 interface FleetRow {
   readonly name: string;
   readonly changes: Partial<PoisonFleetOptions>;
-  /** Ranks that may end in each run. */
-  readonly mostCrashes: number;
+  /** Maximum number of ranks that poison requests may crash in each run. */
+  readonly maxCrashes: number;
 }
 
 const ROWS: readonly FleetRow[] = [
   {
-    name: "one such request, one group",
+    name: "one poison request, one group",
     changes: { poisons: 1 },
-    mostCrashes: 3,
+    maxCrashes: 3,
   },
   {
-    name: "three such requests, one group",
+    name: "three poison requests, one group",
     changes: { poisons: 3 },
-    mostCrashes: 9,
+    maxCrashes: 9,
   },
   {
-    name: "one such request, three groups, 39 entries",
+    name: "one poison request, three groups, 39 entries",
     changes: { poisons: 1, groups: 3, ranksPerGroup: 24, entries: 39 },
-    mostCrashes: 6,
+    maxCrashes: 6,
   },
   {
-    name: "a rack, then all ranks, and a rack again",
+    name: "loss of a rack, of all ranks, and of a rack again",
     changes: {
       losses: [
         { at: 10_000, share: 0.3 },
@@ -87,45 +91,50 @@
         { at: 22_000, share: 0.3 },
       ],
     },
-    mostCrashes: 0,
+    maxCrashes: 0,
   },
   {
-    name: "ranks that go down and up by turns",
+    name: "ranks that crash and restart in turn",
     changes: {
       losses: Array.from(
         { length: 10 },
         (_, number) => ({ at: 5000 + number * 4500, share: 0.08 }),
       ),
     },
-    mostCrashes: 0,
+    maxCrashes: 0,
   },
   {
-    name: "all ranks twice, with one such request",
+    name: "loss of all ranks twice, with one poison request",
     changes: {
       poisons: 1,
       losses: [{ at: 10_000, share: 1 }, { at: 16_000, share: 1 }],
     },
-    mostCrashes: 3,
+    maxCrashes: 3,
   },
 ];
 
-describe("ranks that end", () => {
-  for (const { name, changes, mostCrashes } of ROWS) {
+describe("crashes of ranks", () => {
+  for (const { name, changes, maxCrashes } of ROWS) {
     it(name, (test) => {
       const results = runAll(changes);
       const crashes = results.map((result) => result.crashes);
-      const innocent = sumOf(results, (result) => result.innocent);
+      const unaffected = sumOf(results, (result) => result.innocent);
       const refused = sumOf(results, (result) => result.refusedInnocent);
       const served = sumOf(results, (result) => result.served);
       test.diagnostic(
-        `crashes ${crashes}, told ${
+        `crashes ${crashes}, replications ${
           Math.max(...results.map(({ mostTold }) => mostTold))
-        }, refused ${refused} and served ${served} of ${innocent}`,
+        }, refused ${refused} and served ${served} of ${unaffected}`,
+      );
+      assert.ok(Math.max(...crashes) <= maxCrashes, `${crashes}`);
+      const replications = Math.max(
+        ...results.map(({ mostTold }) => mostTold),
+      );
+      assert.ok(
+        replications <= MAX_REPLICATIONS,
+        `replicated ${replications} times`,
       );
-      assert.ok(Math.max(...crashes) <= mostCrashes, `${crashes}`);
-      const told = Math.max(...results.map(({ mostTold }) => mostTold));
-      assert.ok(told <= MOST_TOLD, `told ${told} times`);
-      assert.ok(refused <= innocent * MOST_REFUSED_INNOCENT, `${refused}`);
+      assert.ok(refused <= unaffected * MAX_REFUSED_UNAFFECTED, `${refused}`);
     });
   }
 });
--- a/src/entry/poison_requests_test.ts
+++ b/src/entry/poison_requests_test.ts
@@ -1,7 +1,7 @@
 /**
- * The pattern that these tests tell of: one request crashes each target that begins to
- * run it and comes again, while targets also end for other reasons, and connections break
- * although their targets live.
+ * Guards against a request that crashes every target that starts to run it and is retried
+ * by its caller. Unaffected requests must not be refused when targets end for other
+ * reasons, or when connections break although their targets are alive.
  *
  * @module
  */
@@ -10,70 +10,76 @@
 import { CrashingPool, type SentAttempt } from "../testing/crashing_pool.ts";
 
 const TARGETS = 6;
-/** Milliseconds between a crash and the word that the target is gone. */
-const HEARD_AFTER_MS = 4000;
+/** Milliseconds between a crash and the list that shows the target as gone. */
+const GONE_DETECTED_AFTER_MS = 4000;
 const POISON = "poison";
 
-/** Sends it once more, and its target crashes; returns the attempt. */
-function crash(pool: CrashingPool, body = POISON): SentAttempt {
+/** Sends the request again and crashes its target; returns the attempt. */
+function crashTarget(pool: CrashingPool, body = POISON): SentAttempt {
   const sent = pool.send(body);
   pool.pass(100);
   pool.break(sent);
-  pool.pass(HEARD_AFTER_MS);
+  pool.pass(GONE_DETECTED_AFTER_MS);
   pool.replace(sent.target);
   return sent;
 }
 
 describe("a request that crashes targets", () => {
-  it("is refused from the second crash on, as not run", () => {
+  it("is refused as not run after the second crash", () => {
     const pool = new CrashingPool(TARGETS);
-    crash(pool);
-    crash(pool);
+    crashTarget(pool);
+    crashTarget(pool);
     pool.arrive(POISON);
     assert.equal(pool.refusedFor, "CRASHES_TARGETS");
     assert.deepEqual(pool.sent, []);
     pool.answer(pool.send("another"));
   });
 
-  it("is refused where another entry has seen it", () => {
-    const [seen, told] = [new CrashingPool(TARGETS), new CrashingPool(TARGETS)];
-    crash(seen);
-    crash(seen);
-    told.pass(seen.now);
-    told.tell(seen.remembered);
-    told.arrive(POISON);
-    assert.equal(told.refusedFor, "CRASHES_TARGETS");
+  it("is refused by an entry to which another one replicated the crashes", () => {
+    const [source, replica] = [
+      new CrashingPool(TARGETS),
+      new CrashingPool(TARGETS),
+    ];
+    crashTarget(source);
+    crashTarget(source);
+    replica.pass(source.now);
+    replica.tell(source.remembered);
+    replica.arrive(POISON);
+    assert.equal(replica.refusedFor, "CRASHES_TARGETS");
   });
 
-  it("is refused at once when that is heard while it waits", () => {
-    const [seen, told] = [new CrashingPool(TARGETS), new CrashingPool(1)];
-    crash(seen);
-    crash(seen);
-    told.pass(seen.now);
-    told.retire(told.targets[0] as string);
-    told.entry.reduce({
+  it("is refused immediately when the crashes are replicated while it waits", () => {
+    const [source, replica] = [
+      new CrashingPool(TARGETS),
+      new CrashingPool(1),
+    ];
+    crashTarget(source);
+    crashTarget(source);
+    replica.pass(source.now);
+    replica.retire(replica.targets[0] as string);
+    replica.entry.reduce({
       kind: "instances_listed",
-      now: told.now,
+      now: replica.now,
       instances: [],
     });
-    told.arrive(POISON);
-    assert.deepEqual(told.sent, []);
-    told.tell(seen.remembered);
-    told.pass(1);
-    assert.equal(told.refusedFor, "CRASHES_TARGETS");
+    replica.arrive(POISON);
+    assert.deepEqual(replica.sent, []);
+    replica.tell(source.remembered);
+    replica.pass(1);
+    assert.equal(replica.refusedFor, "CRASHES_TARGETS");
   });
 
-  it("is known as soon as another instance answers where a target was", () => {
+  it("is detected as soon as another instance answers at the address of its target", () => {
     const pool = new CrashingPool(1, ["mostAttempts: 1"]);
     const sent = pool.send(POISON);
-    const beside = pool.send("beside");
+    const other = pool.send("beside");
     pool.break(sent);
     assert.deepEqual(pool.remembered, []);
-    pool.misdirect(beside);
+    pool.misdirect(other);
     assert.equal(pool.remembered.length, 1);
   });
 
-  it("ends one target an attempt, where it might run twice", () => {
+  it("crashes at most one target per attempt in a service whose requests may run twice", () => {
     const pool = new CrashingPool(TARGETS, ["idempotentMethods: [POST]"]);
     const first = pool.send(POISON);
     pool.pass(100);
@@ -81,7 +87,7 @@
     const [second] = pool.sent;
     assert.ok(
       second !== undefined,
-      "It may run twice until a target has ended",
+      "The request was not retried before a crash was known",
     );
     pool.leave(second);
     pool.replace(first.target);
@@ -89,14 +95,14 @@
     assert.deepEqual(pool.sent, []);
   });
 
-  it("that targets fall silent under is refused, too", () => {
+  it("is refused if its targets stop answering without breaking the connection", () => {
     const pool = new CrashingPool(TARGETS);
     for (const _ of [1, 2]) {
-      const beside = pool.send("beside");
-      pool.answer(beside);
-      for (const target of pool.targets) answerAt(pool, target);
+      const other = pool.send("beside");
+      pool.answer(other);
+      for (const target of pool.targets) answerFrom(pool, target);
       const sent = pool.send(POISON);
-      pool.pass(HEARD_AFTER_MS);
+      pool.pass(GONE_DETECTED_AFTER_MS);
       pool.replace(sent.target);
       pool.leave(sent);
     }
@@ -104,56 +110,58 @@
     assert.equal(pool.refusedFor, "CRASHES_TARGETS");
   });
 
-  it("may run again when a minute has passed", () => {
+  it("may run again after a minute", () => {
     const pool = new CrashingPool(TARGETS);
-    crash(pool);
-    crash(pool);
+    crashTarget(pool);
+    crashTarget(pool);
     pool.pass(60_000);
     pool.send(POISON);
   });
 });
 
-/** Has a target answer something, so that it is known to live. */
-function answerAt(pool: CrashingPool, target: string): void {
+/** Has a target answer a request, so that it is known to be alive. */
+function answerFrom(pool: CrashingPool, target: string): void {
   pool.answer(sendTo(pool, target));
 }
 
-/** Sends others until one goes to a target; those before it are answered. */
+/** Sends other requests until one is sent to the target, and answers those before it. */
 function sendTo(pool: CrashingPool, target: string): SentAttempt {
   for (let tries = 0; tries < 200; tries++) {
     const sent = pool.send(`beside ${tries}`);
     if (sent.target === target) return sent;
     pool.answer(sent);
   }
-  assert.fail(`Nothing was sent to ${target}`);
+  assert.fail(`No request was sent to ${target}`);
 }
 
-/** Sends it until it goes to another target; what goes to the same one waits there. */
+/**
+ * Sends the request until it goes to another target; attempts at the same one stay open.
+ */
 function sendElsewhere(pool: CrashingPool, target: string): SentAttempt {
   const sent = pool.send(POISON);
   return sent.target === target ? sendElsewhere(pool, target) : sent;
 }
 
-interface InnocentRow {
+interface UnaffectedRow {
   readonly name: string;
-  /** Six unless given. */
+  /** Number of targets; {@link TARGETS} if undefined. */
   readonly targets?: number;
-  readonly happen: (pool: CrashingPool) => void;
+  readonly simulate: (pool: CrashingPool) => void;
 }
 
-const INNOCENT: readonly InnocentRow[] = [
+const UNAFFECTED_ROWS: readonly UnaffectedRow[] = [
   {
-    name: "whose connections break while the targets live",
-    happen: (pool) => {
+    name: "whose connections break although the targets are alive",
+    simulate: (pool) => {
       for (let times = 0; times < 8; times++) {
         pool.break(pool.send(POISON));
-        pool.pass(HEARD_AFTER_MS);
+        pool.pass(GONE_DETECTED_AFTER_MS);
       }
     },
   },
   {
-    name: "whose targets said that they leave",
-    happen: (pool) => {
+    name: "whose targets announced that they leave",
+    simulate: (pool) => {
       for (let times = 0; times < 3; times++) {
         const sent = pool.send(POISON);
         pool.break(sent);
@@ -162,33 +170,33 @@
     },
   },
   {
-    name: "whose targets had left when others answered in their place",
+    name: "whose targets left before others answered at their addresses",
     targets: 1,
-    happen: (pool) => {
+    simulate: (pool) => {
       for (let times = 0; times < 3; times++) {
         const sent = pool.send(POISON);
-        const beside = pool.send("beside");
+        const other = pool.send("beside");
         pool.startLeaving(sent.target);
         pool.break(sent);
-        pool.misdirect(beside);
+        pool.misdirect(other);
         pool.replace(sent.target);
       }
     },
   },
   {
-    name: "that was at several targets when all were lost at once",
-    happen: (pool) => {
+    name: "that ran at several targets when all were lost at once",
+    simulate: (pool) => {
       const sent = [1, 2, 3].map(() => pool.send(POISON));
       pool.pass(100);
-      for (const one of sent) pool.break(one);
-      pool.pass(HEARD_AFTER_MS);
+      for (const attempt of sent) pool.break(attempt);
+      pool.pass(GONE_DETECTED_AFTER_MS);
       for (const target of pool.targets) pool.replace(target);
     },
   },
   {
-    name: "that waited for two targets that had fallen silent at once",
-    happen: (pool) => {
-      for (const target of pool.targets) answerAt(pool, target);
+    name: "that waited for two targets that stopped answering at once",
+    simulate: (pool) => {
+      for (const target of pool.targets) answerFrom(pool, target);
       pool.pass(50);
       const first = pool.send(POISON);
       pool.pass(2000);
@@ -200,34 +208,34 @@
     },
   },
   {
-    name: "that was answered in between",
-    happen: (pool) => {
-      crash(pool);
+    name: "that was answered between two crashes",
+    simulate: (pool) => {
+      crashTarget(pool);
       pool.answer(pool.send(POISON));
-      crash(pool);
+      crashTarget(pool);
     },
   },
   {
-    name: "that ran beside one that crashes targets",
-    happen: (pool) => {
-      const beside = pool.send(POISON);
+    name: "that ran at the same targets as a request that crashes them",
+    simulate: (pool) => {
+      const other = pool.send(POISON);
       for (let times = 0; times < 2; times++) {
         const sent = pool.send("the cause");
         pool.pass(100);
         pool.break(sent);
-        if (sent.target === beside.target) pool.break(beside);
-        pool.pass(HEARD_AFTER_MS);
+        if (sent.target === other.target) pool.break(other);
+        pool.pass(GONE_DETECTED_AFTER_MS);
         pool.replace(sent.target);
       }
     },
   },
 ];
 
-describe("a request is sent on", () => {
-  for (const { name, happen, targets = TARGETS } of INNOCENT) {
+describe("a request is still sent", () => {
+  for (const { name, simulate, targets = TARGETS } of UNAFFECTED_ROWS) {
     it(name, () => {
       const pool = new CrashingPool(targets);
-      happen(pool);
+      simulate(pool);
       pool.send(POISON);
     });
   }
--- a/src/entry/priority_burst_test.ts
+++ b/src/entry/priority_burst_test.ts
@@ -13,37 +13,40 @@
 } from "../testing/burst_cases.ts";
 import { scoreCalls } from "../testing/burst_score.ts";
 
-describe("a burst before a rank group", () => {
+describe("a burst of requests to a rank group", () => {
   for (const burst of [LEAST_URGENT, MOST_URGENT]) {
     const { name } = burst;
-    const without = meanScore(
+    const unprioritised = meanScore(
       SEEDS.map((seed) => play(burst, { seed, isPrioritised: false })),
     );
 
-    it(`of ${name} makes answers late for all alike if there is one priority`, () => {
-      const { late, onTime } = without;
+    it(`of ${name} delays the answers of all kinds equally if there is one priority`, () => {
+      const { late, onTime } = unprioritised;
       assert.ok(late >= 0.4 && late <= 0.5, `${late} late`);
       const spread = Math.max(...onTime) - Math.min(...onTime);
-      assert.ok(spread < 0.1, `${onTime} on time`);
+      assert.ok(spread < 0.1, `${onTime} on time, spread too large`);
     });
 
-    it(`of ${name} leaves the most urgent on time`, () => {
+    it(`of ${name} does not delay the most urgent requests`, () => {
       const scores = SEEDS.map((seed) => play(burst, { seed }));
-      assertBetter(without, meanScore(scores));
+      assertBetter(unprioritised, meanScore(scores));
     });
   }
 
-  it("leaves nothing stuck when the decider or all entries restart in it", () => {
+  it("leaves no request waiting if the decider or all entries restart during it", () => {
     const until = BURST_FROM_MS + LEAST_URGENT.lastsMs;
     const faults = [
       { silence: { from: BURST_FROM_MS + 1000, until: until + 1000 } },
       { restartAt: BURST_FROM_MS + 2500 },
     ];
     for (const fault of faults) {
-      const world = createWorld(LEAST_URGENT, { seed: 1, ...fault });
+      const simulation = createWorld(LEAST_URGENT, { seed: 1, ...fault });
       const end = until + 3 * LONGEST_CALL_MS;
-      const ended = world.run(end);
-      assert.ok(world.oldestCallMs < LONGEST_CALL_MS, `${world.oldestCallMs}`);
+      const ended = simulation.run(end);
+      assert.ok(
+        simulation.oldestCallMs < LONGEST_CALL_MS,
+        `${simulation.oldestCallMs}`,
+      );
       const from = until + LONGEST_CALL_MS;
       const after = scoreCalls(ended, { from, until: end - LONGEST_CALL_MS });
       const served = after.kinds.map((kind) => kind.served);
@@ -53,16 +56,16 @@
 });
 
 describe("a rank group whose services have one priority", () => {
-  it("gets every request as if its settings were not known", () => {
+  it("gets the same requests as if its settings were not known", () => {
     const record = (knowsGroup: boolean) => {
       const effects: string[] = [];
-      const world = createWorld(MOST_URGENT, {
+      const simulation = createWorld(MOST_URGENT, {
         seed: 1,
         isPrioritised: false,
         knowsGroup,
         onEffect: (effect) => effects.push(JSON.stringify(effect)),
       });
-      world.run(BURST_FROM_MS + 2 * MOST_URGENT.lastsMs);
+      simulation.run(BURST_FROM_MS + 2 * MOST_URGENT.lastsMs);
       return effects;
     };
     const effects = record(true);
--- a/src/entry/priority_fleet_test.ts
+++ b/src/entry/priority_fleet_test.ts
@@ -7,17 +7,20 @@
   play,
 } from "../testing/burst_cases.ts";
 
-/** Sizes of fleets, and seeds: a run of 720 entries takes ten times one of 41. */
+/**
+ * Numbers of entries, and the seeds for each. The large fleet has one seed, as a run of
+ * 720 entries takes ten times as long as one of 41.
+ */
 const SIZES = [[3, [1, 2, 3, 4]], [720, [1]]] as const;
 
-describe("a burst before a rank group, with few or many entries", () => {
+describe("a burst of requests to a rank group, with few or many entries", () => {
   for (const burst of [LEAST_URGENT, MOST_URGENT]) {
     for (const [entries, seeds] of SIZES) {
-      it(`of ${burst.name} leaves the most urgent on time, ${entries} entries`, () => {
-        const [without, with_] = [false, true].map((isPrioritised) =>
+      it(`of ${burst.name} does not delay the most urgent requests, ${entries} entries`, () => {
+        const [baseline, prioritised] = [false, true].map((isPrioritised) =>
           seeds.map((seed) => play(burst, { seed, entries, isPrioritised }))
         );
-        assertBetter(meanScore(without ?? []), meanScore(with_ ?? []));
+        assertBetter(meanScore(baseline ?? []), meanScore(prioritised ?? []));
       });
     }
   }
--- a/src/entry/target_view_test.ts
+++ b/src/entry/target_view_test.ts
@@ -25,7 +25,7 @@
   );
 }
 
-/** Targets of an entry's requests, one after the other ended. */
+/** Returns the targets of an entry's requests, each of which ends before the next one. */
 function targetsOf(
   entryName: string,
   instances: readonly BackEndInstance[],
@@ -50,8 +50,8 @@
   return targets;
 }
 
-describe("view of a large pool", () => {
-  it("is a third of it, mostly of the own failure domain", () => {
+describe("the targets in view of a large pool", () => {
+  it("are a third of the pool, mostly in the entry's failure domain", () => {
     const targets = targetsOf("entry-1", createInstances());
     assert.equal(targets.length, 600);
     const used = new Set(targets);
@@ -60,7 +60,7 @@
     assert.ok(near.length >= 16, `${near.length} near`);
   });
 
-  it("differs from entry to entry, so that all servers are used", () => {
+  it("differ between entries, so that nearly all servers are used", () => {
     const used = new Set<string>();
     for (let number = 0; number < 12; number++) {
       const domain = DOMAINS[number % DOMAINS.length];
@@ -70,7 +70,7 @@
     assert.ok(used.size > 0.8 * SERVERS, `${used.size} servers`);
   });
 
-  it("does not keep a request from a server that is left", () => {
+  it("do not keep requests from other servers when all in view leave", () => {
     const inView = new Set(targetsOf("entry-1", createInstances()));
     const instances = createInstances().map((instance): BackEndInstance => ({
       ...instance,
--- a/src/entry/unreachable_domains_test.ts
+++ b/src/entry/unreachable_domains_test.ts
@@ -1,7 +1,7 @@
 /**
- * The load that these tests tell of: callers reach an entry whose failure domain is cut
- * off from the targets that could serve them. Each attempt took the time limit of a
- * connection, was made a second time, and again when its caller returned.
+ * Guards against waiting for connections to a failure domain that the entry cannot reach.
+ * Callers still reach the entry, and otherwise each attempt, its retry, and the attempts
+ * after the caller's own retry would wait for the connection timeout.
  */
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
@@ -17,8 +17,8 @@
 import { EntryReducer } from "./entry_reducer.ts";
 import type { CallerRequest, EntryEffect } from "./types.ts";
 
-/** A deadline that tells that its caller was refused before. */
-const RETURNED_DEADLINE_MS = 5000;
+/** Deadline of a request whose caller was refused before, in milliseconds. */
+const RETRY_DEADLINE_MS = 5000;
 
 interface Sent {
   readonly target: string;
@@ -39,7 +39,7 @@
   )[0];
 }
 
-class CutOffEntry {
+class IsolatedEntry {
   readonly #entry = new EntryReducer({
     failureDomain: "near",
     random: new RandomSource(1),
@@ -101,8 +101,8 @@
     return this.#entry.reduce({ kind: "tick", now });
   }
 
-  /** Two requests and their retries whose connections all fail. */
-  cutOff(): void {
+  /** Sends two requests; their connections and those of their retries fail. */
+  failRequests(): void {
     for (const id of [1, 2]) {
       const [first] = sentOf(this.request(id, 0));
       assert.ok(first !== undefined);
@@ -112,24 +112,24 @@
   }
 }
 
-describe("an entry whose targets are all cut off from it", () => {
-  let entry: CutOffEntry;
+describe("an entry that can reach none of its targets", () => {
+  let entry: IsolatedEntry;
 
   beforeEach(() => {
-    entry = new CutOffEntry(["far", "far", "far", "far", "far"]);
-    entry.cutOff();
+    entry = new IsolatedEntry(["far", "far", "far", "far", "far"]);
+    entry.failRequests();
     const [probe] = sentOf(entry.request(3, 810));
-    assert.ok(probe !== undefined, "One request probes");
+    assert.ok(probe !== undefined, "No request was sent as a probe");
   });
 
-  it("refuses first requests at once, so that they can return in time", () => {
+  it("refuses first requests immediately, so that callers can retry in time", () => {
     const effects = entry.request(4, 820);
     assert.deepEqual(sentOf(effects), []);
     assert.equal(refusalOf(effects), "TARGETS_UNREACHABLE");
   });
 
-  it("keeps requests that returned until one of them finds a target again", () => {
-    const deadlineMs = RETURNED_DEADLINE_MS;
+  it("keeps requests of retrying callers waiting until one of them reaches a target", () => {
+    const deadlineMs = RETRY_DEADLINE_MS;
     const waiting = entry.request(4, 820, { deadlineMs });
     assert.equal(refusalOf(waiting), undefined);
     const [probe] = sentOf(entry.tick(1100));
@@ -138,8 +138,8 @@
     assert.equal(sentOf(entry.request(5, 1120)).length, 1);
   });
 
-  it("lets a request that returned wait on after its probe has failed", () => {
-    const deadlineMs = RETURNED_DEADLINE_MS;
+  it("keeps the request of a retrying caller waiting after its probe has failed", () => {
+    const deadlineMs = RETRY_DEADLINE_MS;
     entry.request(4, 820, { deadlineMs });
     const [probe] = sentOf(entry.tick(1100));
     const effects = entry.fail(probe as Sent, 1500);
@@ -147,9 +147,9 @@
   });
 });
 
-describe("an entry some of whose targets are cut off from it", () => {
-  it("sends requests to the failure domain that it reaches", () => {
-    const entry = new CutOffEntry(["far", "far", "far", "near"]);
+describe("an entry that cannot reach some of its targets", () => {
+  it("sends requests to the failure domain that it can reach", () => {
+    const entry = new IsolatedEntry(["far", "far", "far", "near"]);
     for (let id = 1; id <= 12; id++) {
       for (const sent of sentOf(entry.request(id, id * 20))) {
         if (sent.target.startsWith("far")) entry.fail(sent, id * 20 + 400);
