--- a/src/entry/admission_gate.ts
+++ b/src/entry/admission_gate.ts
@@ -41,6 +41,7 @@
 /** Why a request is deferred, and when its caller should retry. */
 export interface DeferralDetails {
   readonly utilization: GroupUtilization;
+  /** Retry delay of the caller, in milliseconds. */
   readonly freeInMs: number;
 }
 
--- a/src/entry/crash_watch.ts
+++ b/src/entry/crash_watch.ts
@@ -22,8 +22,9 @@
  */
 const LOST_ATTEMPT_RETENTION_MS = 6000;
 /**
- * Milliseconds for which a target is known as gone. Attempts at a target that stopped
- * answering can stay open for this long.
+ * Milliseconds for which a target that is gone is kept, to be correlated with attempts
+ * that end later. Attempts at a target that stopped answering can stay open for this
+ * long.
  */
 const GONE_TARGET_RETENTION_MS = 10_000;
 /** Lost attempts that are kept: those of the busiest seconds of one entry. */
--- a/src/entry/decision_notes.ts
+++ b/src/entry/decision_notes.ts
@@ -43,12 +43,14 @@
   readonly utilization?: GroupUtilization;
 }
 
-/** Records that a request is sent to a target, as a first attempt or a retry. */
+/**
+ * Creates the record that a request is sent to a target, as a first attempt or a retry.
+ */
 export function createSentNote(
   inFlight: InFlightRequest,
-  facts: SentDetails,
+  details: SentDetails,
 ): LogDecision {
-  const { target, now, serving, limit, share } = facts;
+  const { target, now, serving, limit, share } = details;
   return {
     kind: "log_decision",
     name: "REQUEST_SENT",
@@ -75,10 +77,10 @@
   };
 }
 
-/** Records that a request waits because no target is available now. */
+/** Creates the record that a request waits because no target is available now. */
 export function createWaitsNote(
   inFlight: InFlightRequest,
-  facts: { readonly reason: RefusalName; readonly now: number },
+  details: { readonly reason: RefusalName; readonly now: number },
 ): LogDecision {
   return {
     kind: "log_decision",
@@ -86,19 +88,19 @@
     details: {
       ...identityOf(inFlight.request),
       pool: inFlight.pool,
-      reason: facts.reason,
-      leftMs: Math.round(inFlight.deadlineAt - facts.now),
+      reason: details.reason,
+      leftMs: Math.round(inFlight.deadlineAt - details.now),
     },
   };
 }
 
 /**
- * Records that an attempt failed. The next record of the request shows whether another
- * attempt follows.
+ * Creates the record that an attempt failed. The next record of the request shows whether
+ * another attempt follows.
  */
 export function createAttemptFailedNote(
   inFlight: InFlightRequest,
-  facts: FailureDetails,
+  details: FailureDetails,
 ): LogDecision {
   return {
     kind: "log_decision",
@@ -107,17 +109,17 @@
       ...identityOf(inFlight.request),
       attempt: inFlight.attempt,
       target: inFlight.targetName,
-      reason: facts.reason,
-      submission: facts.submission,
+      reason: details.reason,
+      submission: details.submission,
       // Only a request that may have run can have crashed the target.
-      digest: facts.submission === "unknown" ? inFlight.digest : undefined,
+      digest: details.submission === "unknown" ? inFlight.digest : undefined,
       hasSentEvents: inFlight.isStreaming,
-      leftMs: Math.round(inFlight.deadlineAt - facts.now),
+      leftMs: Math.round(inFlight.deadlineAt - details.now),
     },
   };
 }
 
-/** Records that the known state of a rank group has changed. */
+/** Creates the record that the known state of a rank group has changed. */
 export function createGroupObservedRecord(
   observation: GroupObservationDetails,
   source: "decider" | "rank" | "attempt",
@@ -142,7 +144,7 @@
     readonly lostPeer?: string;
   };
 
-/** Records that a target is gone without having announced that it leaves. */
+/** Creates the record that a target is gone without having announced that it leaves. */
 export function createTargetEndedRecord(target: TargetRecord): LogDecision {
   return {
     kind: "log_decision",
@@ -156,7 +158,7 @@
   };
 }
 
-/** Records that a failure domain became unreachable, or is reachable again. */
+/** Creates the record that a failure domain became unreachable, or is reachable again. */
 export function createReachabilityRecord(
   { failureDomain, name }: TargetRecord,
   isReached: boolean,
@@ -168,7 +170,7 @@
   };
 }
 
-/** Records that a target crashed while it ran a request. */
+/** Creates the record that a target crashed while it ran a request. */
 export function createCrashRecord(crash: NotedCrash): LogDecision {
   const { digest, target, organisation, path, sentAt, endedAt } = crash;
   return {
@@ -185,7 +187,7 @@
   };
 }
 
-/** Records that the caller closed its connection. */
+/** Creates the record that the caller closed its connection. */
 export function createLeftNote(inFlight: InFlightRequest): LogDecision {
   return {
     kind: "log_decision",
@@ -198,7 +200,7 @@
   };
 }
 
-/** Records that the caller received a whole answer. */
+/** Creates the record that the caller received a whole answer. */
 export function createAnsweredNote(
   inFlight: InFlightRequest,
   now: number,
@@ -221,10 +223,12 @@
   };
 }
 
-/** Records that the caller received a refusal, or an answer that was cut off. */
+/**
+ * Creates the record that the caller received a refusal, or an answer that was cut off.
+ */
 export function createFailedNote(
   inFlight: InFlightRequest,
-  facts: FailureDetails,
+  details: FailureDetails,
 ): LogDecision {
   return {
     kind: "log_decision",
@@ -234,22 +238,24 @@
       attempt: inFlight.attempt,
       target: inFlight.targetName,
       pool: inFlight.pool,
-      reason: facts.reason,
-      submission: facts.submission,
+      reason: details.reason,
+      submission: details.submission,
       mayHaveRun: inFlight.mayHaveRun,
-      digest: facts.reason === "CRASHES_TARGETS" ? inFlight.digest : undefined,
-      ...facts.drains,
+      digest: details.reason === "CRASHES_TARGETS"
+        ? inFlight.digest
+        : undefined,
+      ...details.drains,
       isRepeated: inFlight.isRepeated,
-      returnMs: facts.returnMs && Math.round(facts.returnMs),
-      load: facts.utilization?.load,
-      capacity: facts.utilization && Math.round(facts.utilization.capacity),
-      reportAgeMs: facts.utilization && Math.round(facts.utilization.ageMs),
-      leftMs: Math.round(inFlight.deadlineAt - facts.now),
+      returnMs: details.returnMs && Math.round(details.returnMs),
+      load: details.utilization?.load,
+      capacity: details.utilization && Math.round(details.utilization.capacity),
+      reportAgeMs: details.utilization && Math.round(details.utilization.ageMs),
+      leftMs: Math.round(inFlight.deadlineAt - details.now),
     },
   };
 }
 
-/** Records that a request was refused before a target was selected. */
+/** Creates the record that a request was refused before a target was selected. */
 export function createDoorNote(
   request: CallerRequest,
   reason: RefusalName,
--- a/src/entry/limited_targets_test.ts
+++ b/src/entry/limited_targets_test.ts
@@ -18,7 +18,7 @@
 /** Number of entries from which one short run has enough requests. */
 const LARGE_FLEET_ENTRIES = 100;
 const SHORT_RUN_MS = 10_000;
-/** Milliseconds after which a limit has to be kept since its target named it first. */
+/** Milliseconds from the first notice of a limit until it must be kept. */
 const PROPAGATION_MS = 1500;
 /** Length of the spans in which requests are counted, in milliseconds. */
 const SPAN_MS = 4000;
--- a/src/entry/notice_notes.ts
+++ b/src/entry/notice_notes.ts
@@ -12,7 +12,7 @@
 /** Where a notice of a target came from: its own answer, or another entry. */
 export type NoticeSource = "answer" | "entry";
 
-/** Records that a target named a different rate limit, or none any more. */
+/** Creates the record that a target named a different rate limit, or none any more. */
 export function createLimitRecord(
   { target, perSecond, version, heardAt }: TargetLimit,
   { source, now }: { readonly source: NoticeSource; readonly now: number },
@@ -25,7 +25,7 @@
   };
 }
 
-/** Records that a target requested a backoff, or a longer one than before. */
+/** Creates the record that a target requested a backoff, or a longer one than before. */
 export function createBackoffRecord(
   { id, correlationId }: CallerRequest,
   { target, askedMs, since, until }: Backoff,
@@ -45,7 +45,7 @@
   };
 }
 
-/** Records that the backoff of a target has ended. */
+/** Creates the record that the backoff of a target has ended. */
 export function createBackoffEndedRecord(
   { target, askedMs, since, until }: Backoff,
   now: number,
@@ -62,7 +62,7 @@
   };
 }
 
-/** Records that a target announced that it leaves. */
+/** Creates the record that a target announced that it leaves. */
 export function createLeavingRecord(
   target: string,
   { source, ageMs }: { readonly source: NoticeSource; readonly ageMs: number },
@@ -80,7 +80,7 @@
   leaving: "LEAVING_UNREADABLE",
 };
 
-/** Records that a notice of a target could not be parsed. */
+/** Creates the record that a notice of a target could not be parsed. */
 export function createUnreadableRecord(
   { notice, target, text }: {
     readonly notice: keyof BackEndNotice;
--- a/src/entry/target_availability.ts
+++ b/src/entry/target_availability.ts
@@ -57,7 +57,7 @@
   readonly random: RandomSource;
   /** Identifies this entry among those that share the limits of targets. */
   readonly entryName: string;
-  /** The limits on what targets are sent. */
+  /** The rate limits of targets. */
   readonly limits: SendLimits;
   /** The backoffs that targets requested from this entry. */
   readonly backoffs: TargetBackoffs;
@@ -69,7 +69,7 @@
   readonly permits: SendPermits;
   /** Which failure domains this entry cannot reach. */
   readonly reachability = new DomainReachability();
-  /** Which failure domains are drained, or take up load again after a drain. */
+  /** Which failure domains are drained, or ramp up after a drain. */
   readonly drains = new DomainDrains();
   readonly #registry: TargetRegistry;
   readonly #limits: SendLimits;
@@ -86,8 +86,8 @@
     this.permits = new SendPermits(entryName, limits);
   }
 
-  /** Returns the serving targets of a request's pool that no attempt has been sent to. */
-  listServing(inFlight: InFlightRequest): readonly TargetRecord[] {
+  /** Returns the serving targets of a pool that no attempt of the request was sent to. */
+  listUntriedServing(inFlight: InFlightRequest): readonly TargetRecord[] {
     return this.#registry.servingOf(inFlight.pool)
       .filter(({ name }) => !inFlight.hasTried(name));
   }
@@ -100,7 +100,7 @@
     inFlight: InFlightRequest,
     now: number,
   ): Result<readonly TargetRecord[], NoTargetReason> {
-    const serving = this.listServing(inFlight);
+    const serving = this.listUntriedServing(inFlight);
     if (serving.length === 0) return Err(this.#absenceReasonOf(inFlight.pool));
     const running = serving.filter((target) => !target.isGroupClosed(now));
     if (running.length === 0) return Err(this.#closedReasonOf(serving));
@@ -147,15 +147,15 @@
   }
 
   /**
-   * Returns the targets that are candidates for one request. A target that takes up load
-   * again after a drain or a backoff is a candidate for its share of requests only,
-   * unless there is no other target.
+   * Returns the targets that are candidates for one request. A target that ramps up after
+   * a drain or a backoff is a candidate for its share of requests only, unless there is
+   * no other target.
    */
-  filterByReturnShare(
+  filterByRampUpShare(
     targets: readonly TargetRecord[],
     now: number,
   ): readonly TargetRecord[] {
-    // Pools may be large, and usually none of their targets takes up load again.
+    // Pools may be large, and usually none of their targets ramps up.
     if (this.#backoffs.isIdle && this.drains.isIdle(now)) return targets;
     const shares = targets.map((target) => this.getShare(target, now));
     if (shares.every((share) => share >= 1)) return targets;
@@ -192,7 +192,8 @@
   }
 
   /**
-   * Adds to the reason why a request has no target when one may be available, if known.
+   * Completes the reason why a request has no target with the time until one may be
+   * available, if that is known.
    */
   describe(
     inFlight: InFlightRequest,
@@ -213,7 +214,7 @@
   /**
    * Returns a random retry delay for a refused caller, in milliseconds; undefined if it
    * is not known when a target is available. The retries that follow the end of one
-   * backoff are spread over the time in which its target takes up load again.
+   * backoff are spread over the time in which its target ramps up.
    */
   tryDrawReturnMs(
     { freeInMs, spreadMs = 0 }: Unavailability,
@@ -224,8 +225,7 @@
   }
 
   /**
-   * Whether all serving targets of a pool are in a backoff, including those already
-   * tried.
+   * Whether all serving targets of a pool, tried or not, are in a backoff.
    */
   isBackingOffWhole(pool: string, now: number): boolean {
     if (this.#backoffs.isIdle) return false;
@@ -244,7 +244,7 @@
       const owner = this.#tryOwner(inFlight);
       return owner === undefined ? [] : [owner];
     }
-    const untried = this.listServing(inFlight);
+    const untried = this.listUntriedServing(inFlight);
     return untried.length > 0
       ? untried
       : this.#registry.servingOf(inFlight.pool);
@@ -302,11 +302,11 @@
   }
 
   /**
-   * Whether the groups of all targets that could serve the request are closed, though at
-   * least one of them has lost no rank as far as is known.
+   * Whether the groups of all targets that could serve the request are closed, but at
+   * least one of these groups is not known to have lost a rank.
    */
   #isStalled(inFlight: InFlightRequest, now: number): boolean {
-    const serving = this.listServing(inFlight);
+    const serving = this.listUntriedServing(inFlight);
     return serving.length > 0 &&
       serving.every((target) => target.isGroupClosed(now)) &&
       this.#closedReasonOf(serving) === "GROUP_STALLED";
--- a/src/entry/target_news.ts
+++ b/src/entry/target_news.ts
@@ -33,7 +33,7 @@
 }
 
 /** Options of {@link TargetNews}. */
-export interface TargetUpdatesOptions {
+export interface TargetUpdaterOptions {
   readonly selection: TargetSelection;
   readonly crashes: CrashWatch;
   readonly limits: TargetLimits;
@@ -42,10 +42,10 @@
 
 /** Applies updates on targets. */
 export class TargetNews {
-  readonly #options: TargetUpdatesOptions;
+  readonly #options: TargetUpdaterOptions;
 
-  /** Creates the updates for the targets of a selection. */
-  constructor(options: TargetUpdatesOptions) {
+  /** Creates an updater for the targets of a selection. */
+  constructor(options: TargetUpdaterOptions) {
     this.#options = options;
   }
 
@@ -109,11 +109,11 @@
   /** Records that a target refused an attempt, or that the attempt failed there. */
   noteRefused(
     message: RefusedMessage,
-    at: TargetMoment,
+    context: TargetMoment,
   ): readonly EntryEffect[] {
     return [
-      ...this.#recordReachability(message, at),
-      ...this.#recordRefusal(message, at),
+      ...this.#recordReachability(message, context),
+      ...this.#recordRefusal(message, context),
     ];
   }
 
@@ -136,9 +136,9 @@
 
   #recordRefusal(
     { reason, submission, keptMs, lostPeer, notice }: RefusedMessage,
-    at: TargetMoment,
+    context: TargetMoment,
   ): readonly EntryEffect[] {
-    const { target, now } = at;
+    const { target, now } = context;
     // A backoff already determines for how long the target gets no requests.
     if (notice?.backoff.kind !== "backoff") {
       target.countAttempt(isTargetsFault(reason), now);
@@ -151,9 +151,9 @@
         return [];
       case "WRONG_INSTANCE":
         target.setAnnouncedLeaving(true);
-        return target.isListedLeaving ? [] : this.#recordGone(at);
+        return target.isListedLeaving ? [] : this.#recordGone(context);
       case "GROUP_CLOSED":
-        return this.#recordGroupClosed(at, lostPeer);
+        return this.#recordGroupClosed(context, lostPeer);
       default:
         return [];
     }
--- a/src/entry/target_registry.ts
+++ b/src/entry/target_registry.ts
@@ -12,7 +12,9 @@
 import { TargetRecord } from "./target_record.ts";
 import type { ListedRank, TargetIdentity } from "./types.ts";
 
-/** Maximum ratio of a target's time to first byte to that of its pool that is assumed. */
+/**
+ * Upper bound of the ratio of a target's time to first byte to the median of its pool.
+ */
 const MAX_SLOWNESS = 10;
 
 /**
--- a/src/entry/target_selection.ts
+++ b/src/entry/target_selection.ts
@@ -39,7 +39,7 @@
   readonly entryName?: string;
   /** The targets that are known. */
   readonly registry: TargetRegistry;
-  /** The limits on what targets are sent. */
+  /** The rate limits of targets. */
   readonly limits: SendLimits;
   /** The backoffs that targets requested from this entry. */
   readonly backoffs: TargetBackoffs;
@@ -106,9 +106,9 @@
     if (inFlight.request.idempotencyKey !== undefined) {
       return this.availability.findOwner(inFlight, now);
     }
-    const open = this.availability.listEligible(inFlight, now);
-    if (open.isErr()) return open;
-    const admitted = this.gate.admit(inFlight, open.value, {
+    const eligible = this.availability.listEligible(inFlight, now);
+    if (eligible.isErr()) return eligible;
+    const admitted = this.gate.admit(inFlight, eligible.value, {
       now,
       members: this.registry.servingOf(inFlight.pool),
     });
@@ -126,7 +126,7 @@
     if (available.length === 0) return Err("POOL_FULL");
     const notStragglers = available.filter((target) => !target.isStraggler);
     const { permits } = this.availability;
-    const candidates = this.availability.filterByReturnShare(
+    const candidates = this.availability.filterByRampUpShare(
       notStragglers.length > 0 ? notStragglers : available,
       now,
     );
@@ -153,8 +153,8 @@
     count: number,
     now: number,
   ): PermitPlan {
-    const open = this.availability.listEligible(inFlight, now).unwrapOr([]);
-    const targets = open.filter((target) => !isFull(target, now))
+    const eligible = this.availability.listEligible(inFlight, now).unwrapOr([]);
+    const targets = eligible.filter((target) => !isFull(target, now))
       .sort((left, right) => estimateLoad(left) - estimateLoad(right));
     const names = targets.map(({ name }) => name);
     return this.availability.permits.plan(names, count, now);
@@ -168,7 +168,7 @@
   #isFullWithoutReports(inFlight: InFlightRequest, now: number): boolean {
     const { pauseObjectiveMs } = inFlight.route.service;
     if (pauseObjectiveMs === undefined) return false;
-    const serving = this.availability.listServing(inFlight);
+    const serving = this.availability.listUntriedServing(inFlight);
     const areRanks = serving.some(({ group }) => group !== undefined);
     const isKnown = serving.some((target) =>
       hasRecentLoad(target, { withinMs: LOAD_UNKNOWN_AFTER_MS, now })
@@ -184,8 +184,7 @@
   }
 
   /**
-   * Applies a list of the back ends that are called directly; returns those that are
-   * gone.
+   * Applies a list of directly called back ends; returns those that are gone.
    */
   setInstances(
     instances: readonly BackEndInstance[],
@@ -247,8 +246,7 @@
 }
 
 /**
- * Whether a request is not late, or is admitted to the target's group although it is
- * late.
+ * Whether a request is on time, or is admitted to the target's group although late.
  */
 function isAdmittedIfLate(
   inFlight: InFlightRequest,
