--- a/src/entry/caller_buffers.ts
+++ b/src/entry/caller_buffers.ts
@@ -94,9 +94,9 @@
     attempt: AttemptName,
     answers: PausableAnswers | undefined,
   ): void {
-    const open = this.#callers.get(attempt.requestId);
-    if (open === undefined) return;
-    open.source = answers && { attempt, answers };
+    const openCaller = this.#callers.get(attempt.requestId);
+    if (openCaller === undefined) return;
+    openCaller.source = answers && { attempt, answers };
     if (this.#held.isPaused(attempt.requestId)) answers?.pause(attempt);
   }
 
@@ -131,8 +131,8 @@
   /** Releases the body of a request that has ended; its unsent answer still counts. */
   finish(caller: number): void {
     this.#held.releaseBody(caller);
-    const open = this.#callers.get(caller);
-    if (open !== undefined) open.source = undefined;
+    const openCaller = this.#callers.get(caller);
+    if (openCaller !== undefined) openCaller.source = undefined;
   }
 
   /** Updates the held bytes of callers that have unsent bytes. */
@@ -141,9 +141,9 @@
   }
 
   #update(caller: number): void {
-    const open = this.#callers.get(caller);
-    if (open === undefined) return;
-    const { source, connection } = open;
+    const openCaller = this.#callers.get(caller);
+    if (openCaller === undefined) return;
+    const { source, connection } = openCaller;
     const answer = {
       unsentBytes: connection.unsentBytes,
       receivedBytes: source?.answers.getUnreadBytes(source.attempt) ?? 0,
@@ -168,12 +168,12 @@
   }
 
   #pause({ caller, unreadBytes }: PauseAnswer): void {
-    const open = this.#callers.get(caller);
-    if (open?.source === undefined) return;
-    open.source.answers.pause(open.source.attempt);
+    const openCaller = this.#callers.get(caller);
+    if (openCaller?.source === undefined) return;
+    openCaller.source.answers.pause(openCaller.source.attempt);
     this.#options.metrics.countPausedAnswer();
-    if (open.isPauseLogged) return;
-    open.isPauseLogged = true;
+    if (openCaller.isPauseLogged) return;
+    openCaller.isPauseLogged = true;
     this.#write("ANSWER_PAUSED", { request: caller, unreadBytes });
   }
 
--- a/src/entry/event_stream_cursor.ts
+++ b/src/entry/event_stream_cursor.ts
@@ -68,9 +68,9 @@
       : Buffer.concat([this.#pending, bytes]);
     let acceptedEnd = 0;
     for (
-      let end = endOfEvent(buffer, 0);
+      let end = findEventEnd(buffer, 0);
       end > 0;
-      end = endOfEvent(buffer, end)
+      end = findEventEnd(buffer, end)
     ) {
       if (!this.#tryAcceptEvent(buffer.toString("latin1", acceptedEnd, end))) {
         return { events: buffer.subarray(0, acceptedEnd), hasGap: true };
@@ -94,7 +94,7 @@
 }
 
 /** Returns the index after the blank line that ends the event at `start`, or 0. */
-function endOfEvent(buffer: Buffer, start: number): number {
+function findEventEnd(buffer: Buffer, start: number): number {
   let lineEnd = buffer.indexOf(LINE_FEED, start);
   while (lineEnd !== -1) {
     const next = buffer[lineEnd + 1];
--- a/src/entry/request_dispatcher.ts
+++ b/src/entry/request_dispatcher.ts
@@ -175,8 +175,8 @@
       targetName: target.name,
       message: createSubmitMessage(inFlight, now),
     });
-    const ahead = this.#availability.tryPlanAhead(inFlight.pool, now);
-    if (ahead !== undefined) this.#requestPermits(ahead);
+    const permitRequest = this.#availability.tryPlanAhead(inFlight.pool, now);
+    if (permitRequest !== undefined) this.#requestPermits(permitRequest);
   }
 
   #failUnsent(
@@ -190,11 +190,11 @@
       ? this.#options.drains.getFacts(now)
       : undefined;
     const failure = createUnsentFailure(reason, isKeyed);
-    const hold = this.#selection.gate.tryHoldFacts(inFlight, reason, now);
+    const deferral = this.#selection.gate.tryHoldFacts(inFlight, reason, now);
     const freeInMs = reason === "TARGETS_BACKING_OFF"
       ? this.#availability.tryDrawReturnMs(unavailability)
       : undefined;
-    this.fail(inFlight, { ...failure, freeInMs, ...hold, drains }, now);
+    this.fail(inFlight, { ...failure, freeInMs, ...deferral, drains }, now);
   }
 
   /** Retries after a failed attempt if that is safe, or queues or refuses the request. */
--- a/src/entry/slow_callers_test.ts
+++ b/src/entry/slow_callers_test.ts
@@ -35,21 +35,21 @@
 } as const;
 
 type FramingName = keyof typeof FRAMINGS;
-const NAMES = Object.keys(FRAMINGS) as readonly FramingName[];
+const FRAMING_NAMES = Object.keys(FRAMINGS) as readonly FramingName[];
 
 /** An entry with one back end, over real sockets. */
 class SlowCallersFixture {
-  /** Connections to the back end. */
-  readonly calls: Socket[] = [];
+  /** Connections that the back end accepted. */
+  readonly accepted: Socket[] = [];
   readonly callers: Socket[] = [];
   #address = "";
   readonly #metrics: Metrics;
   readonly #server: RequestServer;
   readonly #pool: DirectTargetPool;
   readonly #backEnd = createServer((socket) => {
-    this.calls.push(socket);
+    this.accepted.push(socket);
     socket.on("error", () => {/* Some tests reset the connection. */});
-    socket.once("data", () => this.#answer(socket));
+    socket.once("data", () => this.#sendAnswer(socket));
   });
   readonly #framing: FramingName;
 
@@ -107,14 +107,14 @@
   }
 
   stop(): void {
-    for (const socket of [...this.callers, ...this.calls]) socket.destroy();
+    for (const socket of [...this.callers, ...this.accepted]) socket.destroy();
     this.#server.close();
     this.#pool.close();
     this.#backEnd.close();
   }
 
   /** Connects a caller that sends a request and reads nothing. */
-  call(headers = "", body = ""): Socket {
+  connectCaller(headers = "", body = ""): Socket {
     const [host, port] = this.#address.split(":");
     const socket = connect(Number(port), host);
     socket.on(
@@ -128,7 +128,7 @@
   }
 
   /** Reads the value of a counter or gauge. */
-  async read(name: string): Promise<number> {
+  async readMetric(name: string): Promise<number> {
     const { text: page } = await this.#metrics.pages["/metrics"]!();
     return Number(
       new RegExp(`^lagoonwharf_${name} (.*)$`, "m").exec(page)?.[1],
@@ -139,11 +139,11 @@
   async waitForPaused(count: number): Promise<void> {
     await waitUntil(
       `${count} back ends are paused`,
-      async () => await this.read("paused_callers") >= count,
+      async () => await this.readMetric("paused_callers") >= count,
     );
   }
 
-  #answer(socket: Socket): void {
+  #sendAnswer(socket: Socket): void {
     socket.write(FRAMINGS[this.#framing]);
     socket.write(Buffer.alloc(ANSWER_BYTES, "~"));
     if (this.#framing === "chunks") socket.write("\r\n0\r\n\r\n");
@@ -198,26 +198,26 @@
 describe("callers that read slowly", () => {
   afterEach(() => fixture.stop());
 
-  for (const framing of NAMES) {
+  for (const framing of FRAMING_NAMES) {
     it(`get a complete answer with ${framing}, of which the entry holds little`, async () => {
       await start(framing);
-      const caller = fixture.call();
+      const caller = fixture.connectCaller();
       await fixture.waitForPaused(1);
       await delay(300);
-      assert.ok(await fixture.read("held_answer_bytes") < MIB);
+      assert.ok(await fixture.readMetric("held_answer_bytes") < MIB);
       assert.equal(await readAll(caller, framing), "whole");
     });
 
     it(`are cut off and see that they are, when answers with ${framing} exceed the limit`, async () => {
       await start(framing, MIB);
-      for (let count = 0; count < 8; count++) fixture.call();
+      for (let count = 0; count < 8; count++) fixture.connectCaller();
       await waitUntil(
         "a caller is cut",
-        async () => await fixture.read("slow_callers_cut_total") > 0,
+        async () => await fixture.readMetric("slow_callers_cut_total") > 0,
       );
       await delay(300);
-      assert.ok(await fixture.read("held_answer_bytes") <= MIB);
-      const cut = await fixture.read("slow_callers_cut_total");
+      assert.ok(await fixture.readMetric("held_answer_bytes") <= MIB);
+      const cut = await fixture.readMetric("slow_callers_cut_total");
       const outcomes: string[] = [];
       for (const caller of fixture.callers) {
         outcomes.push(await readAll(caller, framing));
@@ -229,10 +229,10 @@
 
     it(`are cut off when the back end of an answer with ${framing} is reset`, async () => {
       await start(framing);
-      const caller = fixture.call();
+      const caller = fixture.connectCaller();
       await fixture.waitForPaused(1);
-      Object.assign(fixture.calls[0] ?? {}, { resetAndClosing: true });
-      fixture.calls[0]?.destroy();
+      Object.assign(fixture.accepted[0] ?? {}, { resetAndClosing: true });
+      fixture.accepted[0]?.destroy();
       await waitUntil(
         "the reset is detected",
         async () => await Promise.resolve(fixture.openExchanges === 0),
@@ -244,7 +244,7 @@
   // After a stall, events are deferred for a turn of the event loop; nothing is written.
   it("get a complete answer although the process stalls repeatedly", async () => {
     await start("known length", MIB);
-    const caller = fixture.call();
+    const caller = fixture.connectCaller();
     await fixture.waitForPaused(1);
     let bytesUntilStall = 0;
     caller.on("data", (chunk) => {
@@ -259,28 +259,28 @@
 
   it("are cut off at their deadline while their back end is paused", async () => {
     await start("known length");
-    const caller = fixture.call("lagoonwharf-deadline-ms: 900\r\n");
+    const caller = fixture.connectCaller("lagoonwharf-deadline-ms: 900\r\n");
     await fixture.waitForPaused(1);
     await waitUntil(
       "the deadline has passed",
       async () => await Promise.resolve(fixture.openExchanges === 0),
     );
     assert.equal(await readAll(caller, "known length"), "cut");
-    assert.equal(await fixture.read("held_answer_bytes"), 0);
+    assert.equal(await fixture.readMetric("held_answer_bytes"), 0);
   });
 
   it("release their back end when they disconnect while it is paused", async () => {
     await start("known length");
-    const caller = fixture.call();
+    const caller = fixture.connectCaller();
     await fixture.waitForPaused(1);
-    const [call] = fixture.calls;
-    assert.ok(call !== undefined);
-    const closed = new Promise((resolve) => call.once("close", resolve));
+    const [connection] = fixture.accepted;
+    assert.ok(connection !== undefined);
+    const closed = new Promise((resolve) => connection.once("close", resolve));
     caller.destroy();
     await closed;
     await waitUntil(
       "nothing is held",
-      async () => await fixture.read("held_answer_bytes") === 0,
+      async () => await fixture.readMetric("held_answer_bytes") === 0,
     );
   });
 });
@@ -290,17 +290,17 @@
 
   const length = 900 * 1024;
   const large = "b".repeat(length);
-  const FORMS = {
+  const BODY_FORMS = {
     "is known": [`Content-Length: ${length}\r\n`, ""],
     "is not known": [
       "Transfer-Encoding: chunked\r\n",
       `${length.toString(16)}\r\n${large}\r\n`,
     ],
   } as const;
-  for (const [name, [headers, body]] of Object.entries(FORMS)) {
+  for (const [name, [headers, body]] of Object.entries(BODY_FORMS)) {
     it(`are refused, and nothing is sent to a back end, if the length ${name}`, async () => {
       await start("known length", MIB);
-      const caller = fixture.call(headers, body);
+      const caller = fixture.connectCaller(headers, body);
       let text = "";
       caller.setEncoding("latin1").on("data", (chunk) => text += chunk);
       caller.resume();
@@ -308,8 +308,8 @@
       assert.match(text, /^HTTP\/1.1 503 /);
       assert.match(text, /connection: close/i);
       assert.match(text, /5038/);
-      assert.equal(fixture.calls.length, 0);
-      assert.equal(await fixture.read("held_body_bytes"), 0);
+      assert.equal(fixture.accepted.length, 0);
+      assert.equal(await fixture.readMetric("held_body_bytes"), 0);
     });
   }
 });
--- a/src/entry/stall_guard_test.ts
+++ b/src/entry/stall_guard_test.ts
@@ -15,7 +15,7 @@
   });
 
   /** Passes an event to the guard in the same way as the request server. */
-  feed(event: EntryEvent): void {
+  dispatch(event: EntryEvent): void {
     if (!this.guard.tryDefer(event)) this.delivered.push(event.kind);
   }
 
@@ -38,7 +38,7 @@
     const fixture = new GuardFixture();
     for (let tick = 1; tick <= 5; tick++) {
       fixture.now += MAX_GAP_MS;
-      fixture.feed(createTick());
+      fixture.dispatch(createTick());
     }
     assert.equal(fixture.delivered.length, 5);
   });
@@ -46,9 +46,9 @@
   it("delivers a caller's disconnection before earlier events of the same turn", async () => {
     const fixture = new GuardFixture();
     fixture.now = MAX_GAP_MS + 1;
-    fixture.feed({ kind: "entries_listed", entries: ["one"], now: 0 });
-    fixture.feed(createTick());
-    fixture.feed(createGone());
+    fixture.dispatch({ kind: "entries_listed", entries: ["one"], now: 0 });
+    fixture.dispatch(createTick());
+    fixture.dispatch(createGone());
     assert.deepEqual(fixture.delivered, ["caller_gone"]);
     await fixture.turn();
     assert.deepEqual(
@@ -60,10 +60,10 @@
   it("defers no events after that turn", async () => {
     const fixture = new GuardFixture();
     fixture.now = 2000;
-    fixture.feed(createTick());
+    fixture.dispatch(createTick());
     await fixture.turn();
     fixture.now += 1;
-    fixture.feed(createTick());
+    fixture.dispatch(createTick());
     assert.deepEqual(fixture.delivered, ["tick", "tick"]);
   });
 });
