--- a/src/entry/direct_requests_test.ts
+++ b/src/entry/direct_requests_test.ts
@@ -78,7 +78,7 @@
     });
   }
 
-  tellLoad(
+  reportLoad(
     loads: readonly RankLoadRow[],
     options: { readonly isOpen?: boolean; readonly now?: number } = {},
   ): readonly EntryEffect[] {
@@ -102,8 +102,8 @@
     });
   }
 
-  /** A rank near the entry tells whether the group runs. */
-  see(isOpen: boolean, now: number): readonly EntryEffect[] {
+  /** Receives a report from a rank near the entry on whether the group is running. */
+  observeGroup(isOpen: boolean, now: number): readonly EntryEffect[] {
     return this.entry.reduce({
       kind: "group_seen",
       now,
@@ -115,12 +115,12 @@
     return this.entry.reduce({ kind: "tick", now });
   }
 
-  /** Starts a stream and sends events 1 and 2 of it. */
+  /** Starts a stream and receives its events 1 and 2. */
   startStream(submit: SubmitMessage, target: string): void {
-    const place = { requestId: submit.requestId, attempt: submit.attempt };
+    const attempt = { requestId: submit.requestId, attempt: submit.attempt };
     this.receive(target, {
       kind: "answer_head",
-      ...place,
+      ...attempt,
       sequence: 0,
       status: 200,
       headers: STREAM_HEAD,
@@ -128,7 +128,7 @@
     for (const id of [1, 2]) {
       this.receive(target, {
         kind: "answer_data",
-        ...place,
+        ...attempt,
         sequence: id,
         bytes: createEvent(id),
       });
@@ -141,7 +141,7 @@
   readonly message: SubmitMessage;
 }
 
-function sentOf(effects: readonly EntryEffect[]): readonly Sent[] {
+function getAllSent(effects: readonly EntryEffect[]): readonly Sent[] {
   return effects.flatMap((effect) =>
     effect.kind === "send" && effect.message.kind === "submit"
       ? [{ target: effect.targetName, message: effect.message }]
@@ -150,19 +150,19 @@
 }
 
 function getSent(effects: readonly EntryEffect[]): Sent {
-  const [first] = sentOf(effects);
+  const [first] = getAllSent(effects);
   assert.ok(first !== undefined, "Nothing was sent");
   return first;
 }
 
-function problemOf(effects: readonly EntryEffect[]) {
+function tryGetProblem(effects: readonly EntryEffect[]) {
   return effects.flatMap((effect) =>
     effect.kind === "refuse_request" ? [effect.problem] : []
   )[0];
 }
 
-describe("back ends that an entry calls itself", () => {
-  it("leave by the list, and get nothing new", () => {
+describe("back ends that an entry calls directly", () => {
+  it("get no new requests once they are listed as leaving or not listed", () => {
     const fixture = new DirectFixture(["one", "two"]);
     fixture.list([
       createInstance("one", { state: "leaving" }),
@@ -173,10 +173,10 @@
     }
     fixture.list([]);
     fixture.request({ id: 9 });
-    assert.equal(problemOf(fixture.tick(1000))?.reason, "NO_TARGET");
+    assert.equal(tryGetProblem(fixture.tick(1000))?.reason, "NO_TARGET");
   });
 
-  it("that are another instance get nothing new, and the request goes on", () => {
+  it("get no new requests if they are another instance, and the request is retried", () => {
     const fixture = new DirectFixture(["one", "two"], {
       service: ["retryShare: 1"],
     });
@@ -190,7 +190,7 @@
     assert.equal(getSent(fixture.request({ id: 2 })).target, second.target);
   });
 
-  it("may be asked no more often than the service allows", () => {
+  it("get no more attempts of a request than the service allows", () => {
     const fixture = new DirectFixture(["one", "two"], {
       service: ["retryShare: 1", "mostAttempts: 1"],
     });
@@ -199,11 +199,11 @@
       target,
       createRefused(message, "BACK_END_FULL"),
     );
-    assert.equal(problemOf(effects)?.submission, "not-run");
-    assert.equal(problemOf(effects)?.status, 503);
+    assert.equal(tryGetProblem(effects)?.submission, "not-run");
+    assert.equal(tryGetProblem(effects)?.status, 503);
   });
 
-  it("are not said not to have run what an earlier attempt may have run", () => {
+  it("that refuse a retry do not make its outcome known if an earlier attempt may have run", () => {
     const fixture = new DirectFixture(["one", "two"], {
       service: ["retryShare: 1", "idempotentMethods: [POST]"],
     });
@@ -218,11 +218,11 @@
       second.target,
       createRefused(second.message, "BACK_END_FULL"),
     );
-    assert.equal(problemOf(effects)?.submission, "unknown");
-    assert.equal(problemOf(effects)?.status, 502);
+    assert.equal(tryGetProblem(effects)?.submission, "unknown");
+    assert.equal(tryGetProblem(effects)?.status, 502);
   });
 
-  it("that answer with an error are replaced where that does no harm", () => {
+  it("that answer with an error are replaced by another only for idempotent requests", () => {
     const service = ["retryShare: 1", "idempotentMethods: [GET]"];
     for (const method of ["GET", "POST"]) {
       const fixture = new DirectFixture(["one", "two"], { service });
@@ -253,7 +253,7 @@
 });
 
 describe("streams over several targets", () => {
-  it("go on after the last whole event, under the first head", () => {
+  it("continue after the last complete event, with the first head", () => {
     const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
     const first = getSent(fixture.request());
     fixture.startStream(first.message, first.target);
@@ -268,24 +268,24 @@
       ["last-event-id", "2"],
     );
     const { requestId, attempt } = second.message;
-    const place = { requestId, attempt };
+    const identity = { requestId, attempt };
     fixture.receive(second.target, {
       kind: "answer_head",
-      ...place,
+      ...identity,
       sequence: 0,
       status: 200,
       headers: STREAM_HEAD,
     });
     const effects = fixture.receive(second.target, {
       kind: "answer_data",
-      ...place,
+      ...identity,
       sequence: 1,
       bytes: createEvent(3),
     });
     assert.deepEqual(effects.map(({ kind }) => kind), ["continue_answer"]);
   });
 
-  it("are cut when the other run does not follow", () => {
+  it("are aborted when the other target does not continue after the last event", () => {
     const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
     const first = getSent(fixture.request());
     fixture.startStream(first.message, first.target);
@@ -315,11 +315,11 @@
     assert.ok(!effects.some(({ kind }) => kind === "continue_answer"));
   });
 
-  it("leave a rank that holds back its group", () => {
+  it("move away from a rank that slows down its group", () => {
     const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
     const first = getSent(fixture.request());
     fixture.startStream(first.message, first.target);
-    const effects = fixture.tellLoad([
+    const effects = fixture.reportLoad([
       createRow("one", { pace: first.target === "one" ? 12 : 1 }),
       createRow("two", { pace: first.target === "two" ? 12 : 1 }),
     ]);
@@ -333,7 +333,7 @@
   });
 });
 
-/** An entry that was told by one rank of a group that the other one is lost. */
+/** Creates an entry to which one rank of a group reported that the other one is lost. */
 function createFixtureWithLostRank() {
   const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
   fixture.listRanks(["one", "two"]);
@@ -341,122 +341,134 @@
   const lost = target === "one" ? "two" : "one";
   const refused = createRefused(message, "GROUP_CLOSED");
   const refusal = fixture.receive(target, { ...refused, lostPeer: lost });
-  return { fixture, refusal, lives: target, lost };
+  return { fixture, refusal, survivor: target, lost };
 }
 
 describe("pools that are full or lost", () => {
   it("refuse a first request after a fifth of its objective", () => {
     const fixture = new DirectFixture(["one"], STREAM_LINES);
-    fixture.tellLoad([createRow("one", { running: 8, queued: 4 })]);
-    assert.equal(problemOf(fixture.request({ deadlineMs: 8022 })), undefined);
-    assert.equal(problemOf(fixture.tick(70)), undefined);
-    assert.equal(problemOf(fixture.tick(90))?.reason, "POOL_FULL");
+    fixture.reportLoad([createRow("one", { running: 8, queued: 4 })]);
+    assert.equal(
+      tryGetProblem(fixture.request({ deadlineMs: 8022 })),
+      undefined,
+    );
+    assert.equal(tryGetProblem(fixture.tick(70)), undefined);
+    assert.equal(tryGetProblem(fixture.tick(90))?.reason, "POOL_FULL");
   });
 
-  it("are waited for by a request that comes back", () => {
+  it("let a caller's retry wait until they are available", () => {
     const fixture = new DirectFixture(["one"], STREAM_LINES);
-    fixture.tellLoad([createRow("one")], { isOpen: false });
-    assert.equal(problemOf(fixture.request({ deadlineMs: 5000 })), undefined);
-    fixture.tellLoad([createRow("one")], { isOpen: false, now: 800 });
-    assert.equal(problemOf(fixture.tick(900)), undefined);
-    const effects = fixture.tellLoad([createRow("one")], { now: 1000 });
+    fixture.reportLoad([createRow("one")], { isOpen: false });
+    assert.equal(
+      tryGetProblem(fixture.request({ deadlineMs: 5000 })),
+      undefined,
+    );
+    fixture.reportLoad([createRow("one")], { isOpen: false, now: 800 });
+    assert.equal(tryGetProblem(fixture.tick(900)), undefined);
+    const effects = fixture.reportLoad([createRow("one")], { now: 1000 });
     assert.equal(getSent(effects).target, "one");
   });
 
-  it("refuse a first request at once while a rank of their group is gone", () => {
+  it("refuse a first request immediately while a rank of their group is lost", () => {
     const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
-    fixture.tellLoad([createRow("one"), createRow("two")]);
+    fixture.reportLoad([createRow("one"), createRow("two")]);
     fixture.list([createInstance("one")]);
-    fixture.see(false, 5);
-    const problem = problemOf(fixture.request({ deadlineMs: 8022 }));
+    fixture.observeGroup(false, 5);
+    const problem = tryGetProblem(fixture.request({ deadlineMs: 8022 }));
     assert.equal(problem?.reason, "GROUP_CLOSED");
     assert.equal(problem?.submission, "not-run");
-    // A third of the eight seconds that its caller has left.
+    // A third of the 8 s that remain until the caller's deadline.
     assert.equal(problem?.retryAfterSeconds, 2.6);
   });
 
-  it("keep a first request until its caller would leave while all ranks are there", () => {
+  it("let a first request wait as long as its caller does while no rank is known to be lost", () => {
     const fixture = new DirectFixture(["one"], STREAM_LINES);
-    fixture.tellLoad([createRow("one")], { isOpen: false });
-    assert.equal(problemOf(fixture.request({ deadlineMs: 8022 })), undefined);
-    fixture.see(false, 1000);
-    assert.equal(problemOf(fixture.tick(1600)), undefined);
-    const problem = problemOf(fixture.tick(1700));
+    fixture.reportLoad([createRow("one")], { isOpen: false });
+    assert.equal(
+      tryGetProblem(fixture.request({ deadlineMs: 8022 })),
+      undefined,
+    );
+    fixture.observeGroup(false, 1000);
+    assert.equal(tryGetProblem(fixture.tick(1600)), undefined);
+    const problem = tryGetProblem(fixture.tick(1700));
     assert.equal(problem?.reason, "GROUP_STALLED");
     assert.equal(problem?.submission, "not-run");
-    // A third of the six seconds that its caller has left.
+    // A third of the 6 s that remain until the caller's deadline.
     assert.equal(problem?.retryAfterSeconds, 2.04);
   });
 
-  it("refuse a first request as soon as a rank is known to be gone", () => {
+  it("refuse a first request as soon as a rank is known to be lost", () => {
     const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
-    fixture.tellLoad([createRow("one"), createRow("two")]);
-    fixture.see(false, 5);
-    assert.equal(problemOf(fixture.request({ deadlineMs: 8022 })), undefined);
+    fixture.reportLoad([createRow("one"), createRow("two")]);
+    fixture.observeGroup(false, 5);
+    assert.equal(
+      tryGetProblem(fixture.request({ deadlineMs: 8022 })),
+      undefined,
+    );
     fixture.list([createInstance("one")]);
-    assert.equal(problemOf(fixture.tick(100))?.reason, "GROUP_CLOSED");
+    assert.equal(tryGetProblem(fixture.tick(100))?.reason, "GROUP_CLOSED");
   });
 
-  // Guards against holding requests for a group of which a rank is known to be lost, before
-  // the platform's list says so.
-  it("refuse a first request at once where a server names the rank that is lost", () => {
+  // Guards against requests that wait for a group although a server has reported the loss
+  // of one of its ranks, because the platform's list does not show it yet.
+  it("refuse a first request immediately if a server names the lost rank", () => {
     const { fixture, refusal } = createFixtureWithLostRank();
-    assert.equal(problemOf(refusal)?.reason, "GROUP_CLOSED");
-    const next = problemOf(fixture.request({ id: 2, deadlineMs: 8022 }));
+    assert.equal(tryGetProblem(refusal)?.reason, "GROUP_CLOSED");
+    const next = tryGetProblem(fixture.request({ id: 2, deadlineMs: 8022 }));
     assert.equal(next?.reason, "GROUP_CLOSED");
   });
 
-  it("wait again once a rank that was named as lost has started anew", () => {
-    const { fixture, lives, lost } = createFixtureWithLostRank();
+  it("let requests wait again once a rank that was named as lost has restarted", () => {
+    const { fixture, survivor, lost } = createFixtureWithLostRank();
     const address = `${lost}:80`;
     fixture.list([
-      createInstance(lives),
+      createInstance(survivor),
       createInstance("anew", { address }),
     ]);
     const next = fixture.request({ id: 2, deadlineMs: 8022 });
-    assert.equal(problemOf(next), undefined);
+    assert.equal(tryGetProblem(next), undefined);
   });
 
-  it("are served at once where the rank that was named as lost is seen to run", () => {
+  it("let requests wait again once a rank reports the group as running", () => {
     const { fixture } = createFixtureWithLostRank();
-    fixture.see(true, 700);
-    fixture.see(false, 900);
+    fixture.observeGroup(true, 700);
+    fixture.observeGroup(false, 900);
     const next = fixture.request({ id: 2, deadlineMs: 8022 });
-    assert.equal(problemOf(next), undefined);
+    assert.equal(tryGetProblem(next), undefined);
   });
 
-  it("serve a first request as soon as their group runs again", () => {
+  it("serve a first request as soon as their group is running again", () => {
     const fixture = new DirectFixture(["one"], STREAM_LINES);
-    fixture.tellLoad([createRow("one")], { isOpen: false });
+    fixture.reportLoad([createRow("one")], { isOpen: false });
     fixture.request({ deadlineMs: 8022 });
-    const effects = fixture.tellLoad([createRow("one")], { now: 200 });
+    const effects = fixture.reportLoad([createRow("one")], { now: 200 });
     assert.equal(getSent(effects).target, "one");
     assert.equal(getSent(effects).message.priority, PRIORITIES_BY_NAME.normal);
   });
 
-  it("let a first request that has become late wait for those on time", () => {
+  it("serve a first request that has become late with background priority", () => {
     const fixture = new DirectFixture(["one"], STREAM_LINES);
-    fixture.tellLoad([createRow("one")], { isOpen: false });
+    fixture.reportLoad([createRow("one")], { isOpen: false });
     fixture.request({ deadlineMs: 8022 });
-    const effects = fixture.tellLoad([createRow("one")], { now: 900 });
+    const effects = fixture.reportLoad([createRow("one")], { now: 900 });
     assert.equal(
       getSent(effects).message.priority,
       PRIORITIES_BY_NAME.background,
     );
   });
 
-  it("are known to be lost from a rank near the entry", () => {
+  it("are known to be lost by the report of a rank near the entry", () => {
     const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
     fixture.listRanks(["one", "two"]);
-    fixture.see(false, 5);
-    assert.deepEqual(sentOf(fixture.request({ deadlineMs: 8022 })), []);
-    const waits = fixture.request({ id: 2, deadlineMs: 5000 });
-    assert.deepEqual(sentOf(waits), []);
-    const sent = sentOf(fixture.see(true, 700));
+    fixture.observeGroup(false, 5);
+    assert.deepEqual(getAllSent(fixture.request({ deadlineMs: 8022 })), []);
+    const retry = fixture.request({ id: 2, deadlineMs: 5000 });
+    assert.deepEqual(getAllSent(retry), []);
+    const sent = getAllSent(fixture.observeGroup(true, 700));
     assert.deepEqual(sent.map(({ message }) => message.requestId), [1, 2]);
   });
 
-  it("are known to be lost from a server that says so", () => {
+  it("are known to be lost by the refusal of a server", () => {
     const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
     fixture.listRanks(["one", "two"]);
     const first = getSent(fixture.request({ deadlineMs: 8022 }));
@@ -464,14 +476,14 @@
       first.target,
       createRefused(first.message, "GROUP_CLOSED"),
     );
-    // The other target belongs to the same group: it is not asked.
-    assert.deepEqual(sentOf(effects), []);
-    const problem = problemOf(fixture.tick(1700));
+    // The other target belongs to the same group, so the request is not sent there.
+    assert.deepEqual(getAllSent(effects), []);
+    const problem = tryGetProblem(fixture.tick(1700));
     assert.equal(problem?.reason, "GROUP_STALLED");
     assert.equal(problem?.submission, "not-run");
   });
 
-  it("are waited for by a request that came back and was sent there", () => {
+  it("let a caller's retry wait again after a server refused it", () => {
     const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
     fixture.listRanks(["one", "two"]);
     const first = getSent(fixture.request({ deadlineMs: 5000 }));
@@ -479,11 +491,14 @@
       first.target,
       createRefused(first.message, "GROUP_CLOSED"),
     );
-    assert.equal(problemOf(effects), undefined);
-    assert.notEqual(getSent(fixture.see(true, 700)).target, first.target);
+    assert.equal(tryGetProblem(effects), undefined);
+    assert.notEqual(
+      getSent(fixture.observeGroup(true, 700)).target,
+      first.target,
+    );
   });
 
-  it("are found by the address of the incarnation that serves", () => {
+  it("are matched to their group by the address of the current incarnation", () => {
     const fixture = new DirectFixture([], STREAM_LINES);
     const address = "one:80";
     fixture.list([
@@ -491,27 +506,27 @@
       { ...createInstance("before", { state: "leaving" }), address },
     ]);
     fixture.listRanks(["one"]);
-    fixture.see(false, 5);
-    assert.deepEqual(sentOf(fixture.request({ deadlineMs: 8022 })), []);
-    const problem = problemOf(fixture.tick(1700));
+    fixture.observeGroup(false, 5);
+    assert.deepEqual(getAllSent(fixture.request({ deadlineMs: 8022 })), []);
+    const problem = tryGetProblem(fixture.tick(1700));
     assert.equal(problem?.reason, "GROUP_STALLED");
   });
 
-  it("are not taken for full on an old word", () => {
+  it("are not treated as full because of an old load report", () => {
     const fixture = new DirectFixture(["one"], STREAM_LINES);
-    fixture.tellLoad([createRow("one", { running: 8, queued: 9 })], {
+    fixture.reportLoad([createRow("one", { running: 8, queued: 9 })], {
       now: -2000,
     });
     assert.equal(getSent(fixture.request()).target, "one");
   });
 });
 
-describe("rank groups whose loads nobody has told yet", () => {
+describe("rank groups without a load report", () => {
   const lines: RouteLines = {
     service: [...STREAM_LINES.service ?? [], "pauseObjectiveMs: 120"],
   };
 
-  /** How many of so many requests are sent at once. */
+  /** Counts how many of the requests are sent immediately. */
   function countSent(fixture: DirectFixture, requests: number): number {
     const effects = Array.from(
       { length: requests },
@@ -520,7 +535,7 @@
     return effects.filter(({ kind }) => kind === "send").length;
   }
 
-  /** One rank with eight places, and four entries that start with this one. */
+  /** Creates an entry with one rank of concurrency 8, and three other entries. */
   function createFixture(): DirectFixture {
     const fixture = new DirectFixture(["one"], lines);
     fixture.listRanks(["one"]);
@@ -532,23 +547,23 @@
     return fixture;
   }
 
-  it("are sent the entry's share, so that all entries leave places free", () => {
+  it("are sent the entry's share, so that all entries together do not fill them", () => {
     assert.equal(countSent(createFixture(), 6), 3);
   });
 
-  it("are sent what fits as soon as their loads are told", () => {
+  it("are sent requests up to their capacity as soon as their loads are reported", () => {
     const fixture = createFixture();
-    fixture.tellLoad([createRow("one")]);
+    fixture.reportLoad([createRow("one")]);
     assert.equal(countSent(fixture, 6), 6);
   });
 
-  it("are not held back where no other entry is known", () => {
+  it("are sent requests without deferral if no other entry is known", () => {
     const fixture = new DirectFixture(["one"], lines);
     fixture.listRanks(["one"]);
     assert.equal(countSent(fixture, 6), 6);
   });
 
-  it("are told apart from servers that belong to no group", () => {
+  it("are limited to a share, but servers that belong to no group are not", () => {
     const fixture = new DirectFixture(["one"], lines);
     fixture.entry.reduce({
       kind: "entries_listed",
@@ -565,7 +580,7 @@
     organisation: [`accessKeySha256: ["${"a".repeat(64)}"]`],
   };
 
-  it("are let in by a key that is in force", () => {
+  it("are admitted with a key that is in the settings", () => {
     const fixture = new DirectFixture(["one"], lines);
     const { message } = getSent(
       fixture.request({ accessKeySha256: "a".repeat(64) }),
@@ -576,7 +591,7 @@
   for (const key of [undefined, "b".repeat(64)]) {
     it(`are refused with ${key === undefined ? "no" : "another"} key`, () => {
       const fixture = new DirectFixture(["one"], lines);
-      const problem = problemOf(fixture.request({ accessKeySha256: key }));
+      const problem = tryGetProblem(fixture.request({ accessKeySha256: key }));
       assert.equal(problem?.status, 401);
     });
   }
--- a/src/entry/entry_reducer.ts
+++ b/src/entry/entry_reducer.ts
@@ -1,6 +1,6 @@
 /**
- * The entry role as one reducer: lets requests in, chooses targets, follows
- * answers, retries, and refuses.
+ * The reducer of the entry role: admits requests, selects targets, relays answers,
+ * retries, and refuses.
  *
  * @module
  */
@@ -20,13 +20,16 @@
 import { type CrashMemory, CrashWatch } from "./crash_watch.ts";
 import { createLeftNote } from "./decision_notes.ts";
 import { DrainWatch } from "./drain_watch.ts";
-import { createUnknown } from "./failures.ts";
+import { createUnknownFailure } from "./failures.ts";
 import { InFlightRequest } from "./in_flight_request.ts";
 import { NoticeWatch } from "./notice_watch.ts";
 import { RequestDispatcher } from "./request_dispatcher.ts";
-import { createDoorRefusal, createForward } from "./request_effects.ts";
+import {
+  createArrivalRefusal,
+  createForwardEffect,
+} from "./request_effects.ts";
 import { RetryPolicy } from "./retry_policy.ts";
-import { ReturningCallers } from "./returning_callers.ts";
+import { RetryingCallers } from "./returning_callers.ts";
 import type { Route } from "./routing_table.ts";
 import type { TargetAvailability } from "./target_availability.ts";
 import { TargetNews } from "./target_news.ts";
@@ -46,21 +49,21 @@
 /** Options of an {@link EntryReducer}. */
 export interface EntryReducerOptions {
   readonly failureDomain: string;
-  /** Tells entries apart that each send to part of a large pool only. */
+  /** Name of the entry; selects its subset of the targets of a large pool. */
   readonly entryName?: string;
   readonly random: RandomSource;
-  /** How targets are chosen; scored by default. */
+  /** How targets are selected; by score by default. */
   readonly choice?: TargetChoice;
-  /** Key of the digests of requests: the deployment's secret, the same in all entries. */
+  /** Key of the request digests: the deployment's secret, which all entries share. */
   readonly digestKey?: string;
-  /** Retries that all entries together may make; unlimited by default. */
+  /** Limits on the retries of all entries together; unlimited by default. */
   readonly poolRetries?: PoolRetryLimits;
 }
 
 /** Milliseconds between two comparisons of the targets of a pool. */
-const COMPARE_INTERVAL_MS = 500;
+const COMPARISON_INTERVAL_MS = 500;
 
-/** The entry role as one reducer over all its events. */
+/** Reduces all events of the entry role to effects. */
 export class EntryReducer {
   readonly #admission = new Admission();
   readonly #selection: TargetSelection;
@@ -68,23 +71,23 @@
   readonly #pools: PoolChoice;
   readonly #dispatcher: RequestDispatcher;
   readonly #answers: AnswerReceiver;
-  /** Requests that the old scripts have. */
-  readonly #withScripts = new Map<number, Route>();
-  readonly #returning = new ReturningCallers();
+  /** Routes of the requests that were forwarded to the old scripts, by request id. */
+  readonly #forwardedRequests = new Map<number, Route>();
+  readonly #retryingCallers = new RetryingCallers();
   readonly #digestKey: string;
   readonly #crashes: CrashWatch;
   readonly #notices: NoticeWatch;
   readonly #drains: DrainWatch;
-  /** Which targets warm up. */
+  /** Tracks which targets are warming up. */
   readonly warmUp = new WarmUpWatch();
-  readonly #news: TargetNews;
+  readonly #targetUpdates: TargetNews;
   #isDraining = false;
-  #saidDrained = false;
+  #isDrained = false;
   #comparedAt = 0;
-  /** What the event under way leads to, in order. */
+  /** Effects of the event that is being reduced, in order. */
   readonly #effects: EntryEffect[] = [];
 
-  /** Begins without settings or targets. */
+  /** Creates a reducer without settings or targets. */
   constructor(options: EntryReducerOptions) {
     const registry = new TargetRegistry();
     this.#notices = new NoticeWatch(registry.leaving);
@@ -103,7 +106,7 @@
     this.#crashes = new CrashWatch((name) =>
       this.registry.tryGet(name)?.answeredAt ?? 0
     );
-    this.#news = new TargetNews({
+    this.#targetUpdates = new TargetNews({
       selection: this.#selection,
       crashes: this.#crashes,
       limits,
@@ -122,49 +125,49 @@
     this.#answers = new AnswerReceiver({
       dispatcher: this.#dispatcher,
       notices: this.#notices,
-      news: this.#news,
+      targetUpdates: this.#targetUpdates,
       crashes: this.#crashes,
       effects: this.#effects,
     });
   }
 
-  /** Requests on their way. */
+  /** Number of requests in flight. */
   get inFlight(): number {
-    return this.#dispatcher.size + this.#withScripts.size;
+    return this.#dispatcher.size + this.#forwardedRequests.size;
   }
 
-  /** What is remembered of targets that ended under requests. */
+  /** The recorded crashes of targets under requests. */
   get crashes(): CrashMemory {
     return this.#crashes;
   }
 
-  /** What is remembered of the limits that targets name. */
+  /** The limits that targets announced. */
   get limits(): TargetLimits {
     return this.#notices.limits;
   }
 
-  /** What targets say of themselves with their answers. */
+  /** The notices that targets send with their answers. */
   get notices(): NoticeWatch {
     return this.#notices;
   }
 
-  /** Who may send to targets that have limits. */
+  /** The permits to send to targets with limits. */
   get permits(): SendPermits {
     return this.#availability.permits;
   }
 
-  /** Holds back requests from rank groups near their capacity. */
+  /** Defers requests to rank groups that are near their capacity. */
   get gate(): AdmissionGate {
     return this.#selection.gate;
   }
 
-  /** The targets that are known. */
+  /** The known targets. */
   get registry(): TargetRegistry {
     return this.#selection.registry;
   }
 
   /**
-   * Takes in one event and returns what is to be done, in order.
+   * Reduces one event and returns its effects, in order.
    *
    * @example
    * ```ts
@@ -184,26 +187,26 @@
   #reduce(event: EntryEvent): void {
     switch (event.kind) {
       case "request_arrived":
-        return this.#requestArrived(event);
+        return this.#onRequestArrived(event);
       case "caller_gone":
-        return this.#callerGone(event.requestId, event.now);
+        return this.#onCallerGone(event.requestId, event.now);
       case "caller_too_slow":
-        return this.#callerTooSlow(event.requestId, event.now);
+        return this.#onCallerTooSlow(event.requestId, event.now);
       case "target_connected":
         this.registry.connect(event.target).setNow(event.now);
         return;
       case "target_disconnected":
-        return this.#targetDisconnected(event.targetName, event.now);
+        return this.#onTargetDisconnected(event.targetName, event.now);
       case "message_received":
-        return this.#messageReceived(event);
+        return this.#onMessageReceived(event);
       case "machines_listed":
         return this.registry.setMachines(event.machines);
       case "settings_in_force":
-        return this.#settingsInForce(event);
+        return this.#onSettingsInForce(event);
       case "scripts_finished":
-        return this.#scriptsFinished(event.requestId);
+        return this.#onScriptsFinished(event.requestId);
       case "instances_listed":
-        this.#effects.push(...this.#news.noteListed(event));
+        this.#effects.push(...this.#targetUpdates.noteListed(event));
         this.#effects.push(...this.#drains.noteTargets());
         return this.#dispatcher.submitWaiting(event.now);
       case "entries_listed":
@@ -213,8 +216,8 @@
         this.permits.noteOutcome(event.outcome, event.now);
         return this.#dispatcher.submitWaiting(event.now);
       case "group_load_told":
-        this.#effects.push(...this.#news.noteGroupLoad(event));
-        this.#dispatcher.leaveStragglers(event.now);
+        this.#effects.push(...this.#targetUpdates.noteGroupLoad(event));
+        this.#dispatcher.rerouteFromSlowRanks(event.now);
         return this.#dispatcher.submitWaiting(event.now);
       case "crashes_told":
         this.#effects.push(...this.#crashes.noteTold(event));
@@ -232,11 +235,11 @@
       case "ranks_listed":
         return this.registry.setRanks(event.ranks);
       case "group_seen":
-        return this.#groupSeen(event);
+        return this.#onGroupObserved(event);
       case "pool_retries_limited":
         return this.#retries.setLimits(event.limits);
       case "tick":
-        return this.#tick(event.now);
+        return this.#onTick(event.now);
       case "drain_requested":
         this.#isDraining = true;
         return;
@@ -245,30 +248,30 @@
     }
   }
 
-  #groupSeen(event: GroupSeen): void {
-    const news = this.#news.noteGroupSeen(event);
-    this.#effects.push(...news);
-    const hasOpened = news.length > 0 && event.sight.isOpen;
+  #onGroupObserved(event: GroupSeen): void {
+    const effects = this.#targetUpdates.noteGroupSeen(event);
+    this.#effects.push(...effects);
+    const hasOpened = effects.length > 0 && event.sight.isOpen;
     if (hasOpened) this.#dispatcher.submitWaiting(event.now);
   }
 
-  /** Whether a request that was chosen for a target earlier may still be sent there. */
+  /** Whether a request for which a target was selected may still be sent there. */
   mayBegin(targetName: string, now: number): boolean {
     return this.#availability.mayBegin(targetName, now);
   }
 
-  #requestArrived({ request, now, readAt = now }: RequestArrived): void {
-    if (this.#isDraining) return this.#refuseAtDoor(request, "ENTRY_DRAINING");
+  #onRequestArrived({ request, now, readAt = now }: RequestArrived): void {
+    if (this.#isDraining) return this.#refuse(request, "ENTRY_DRAINING");
     const admitted = this.#admission.admit(request, now);
-    if (admitted.isErr()) return this.#refuseAtDoor(request, admitted.error);
+    if (admitted.isErr()) return this.#refuse(request, admitted.error);
     const route = admitted.value;
     const deadlineMs = Math.min(
       request.deadlineMs ?? route.service.defaultDeadlineMs,
       route.service.longestDeadlineMs,
     );
     if (route.service.handover === "scripts") {
-      this.#withScripts.set(request.id, route);
-      this.#effects.push(createForward(request, route, deadlineMs));
+      this.#forwardedRequests.set(request.id, route);
+      this.#effects.push(createForwardEffect(request, route, deadlineMs));
       return;
     }
     const pool = this.#pools.choose(route.service);
@@ -277,7 +280,7 @@
       deadlineAt: readAt + deadlineMs,
       pool,
       poolPriorities: this.#admission.tryPrioritiesOf(pool),
-      isRepeated: this.#returning.observe(request, route, now),
+      isRepeated: this.#retryingCallers.observe(request, route, now),
       digestKey: this.#digestKey,
     });
     this.#retries.countRequest(inFlight, now);
@@ -285,71 +288,75 @@
     this.#dispatcher.add(inFlight, now);
   }
 
-  #messageReceived(event: TargetMessageReceived): void {
+  #onMessageReceived(event: TargetMessageReceived): void {
     const target = this.registry.tryGet(event.targetName);
     if (target === undefined) return;
     const { message, now } = event;
     if (isAttemptMessage(message)) {
       return this.#answers.receive(message, target, now);
     }
-    this.#news.noteWord(message, { target, now });
+    this.#targetUpdates.noteWord(message, { target, now });
   }
 
-  #targetDisconnected(targetName: string, now: number): void {
+  #onTargetDisconnected(targetName: string, now: number): void {
     this.registry.tryGet(targetName)?.disconnect();
     this.#selection.forgetTarget(targetName);
     for (const inFlight of this.#dispatcher.inFlight) {
       if (inFlight.targetName !== targetName) continue;
-      this.#dispatcher.attemptFailed(
+      this.#dispatcher.onAttemptFailed(
         inFlight,
-        createUnknown("TARGET_LOST"),
+        createUnknownFailure("TARGET_LOST"),
         now,
       );
     }
   }
 
-  #callerGone(requestId: number, now: number): void {
+  #onCallerGone(requestId: number, now: number): void {
     const inFlight = this.#dispatcher.tryGet(requestId);
     if (inFlight === undefined) return;
-    this.#dispatcher.noteLost(inFlight, { now, isBroken: false });
+    this.#dispatcher.recordLostAttempt(inFlight, { now, isBroken: false });
     this.#dispatcher.cancel(inFlight);
     this.#effects.push(createLeftNote(inFlight));
     this.#dispatcher.drop(inFlight);
   }
 
-  #callerTooSlow(requestId: number, now: number): void {
+  #onCallerTooSlow(requestId: number, now: number): void {
     const inFlight = this.#dispatcher.tryGet(requestId);
     if (inFlight === undefined) return;
     this.#dispatcher.cancel(inFlight);
-    this.#dispatcher.fail(inFlight, createUnknown("CALLER_TOO_SLOW"), now);
+    this.#dispatcher.fail(
+      inFlight,
+      createUnknownFailure("CALLER_TOO_SLOW"),
+      now,
+    );
   }
 
-  #settingsInForce(event: SettingsInForce): void {
+  #onSettingsInForce(event: SettingsInForce): void {
     const { routes, changed, now, groups } = event;
     if (groups !== undefined) this.gate.setGroups(groups);
     this.#admission.setRoutes(routes);
     this.#effects.push(...this.warmUp.noteSettings(event));
     this.registry.setLeavingBySettings(event.leavingTargets ?? new Set());
-    const concerned = changed === undefined
+    const changedRoutes = changed === undefined
       ? routes.routes()
       : changed.flatMap((path) => routes.tryGet(path) ?? []);
-    for (const route of concerned) {
+    for (const route of changedRoutes) {
       this.#admission.setLimits(route, now);
       this.#retries.setRoute(route);
     }
   }
 
-  #scriptsFinished(requestId: number): void {
-    const route = this.#withScripts.get(requestId);
+  #onScriptsFinished(requestId: number): void {
+    const route = this.#forwardedRequests.get(requestId);
     if (route === undefined) return;
-    this.#withScripts.delete(requestId);
+    this.#forwardedRequests.delete(requestId);
     this.#admission.release(route);
   }
 
-  #tick(now: number): void {
+  #onTick(now: number): void {
     this.#effects.push(...this.warmUp.noteTime(now));
     this.#effects.push(...this.#notices.noteTime(now));
-    if (now - this.#comparedAt >= COMPARE_INTERVAL_MS) {
+    if (now - this.#comparedAt >= COMPARISON_INTERVAL_MS) {
       this.#comparedAt = now;
       this.registry.updateSlowness(now);
     }
@@ -357,27 +364,27 @@
     this.#dispatcher.submitWaiting(now);
     for (const inFlight of this.#dispatcher.inFlight) {
       if (inFlight.deadlineAt > now) continue;
-      this.#countSilence(inFlight, now);
-      this.#dispatcher.noteLost(inFlight, { now, isBroken: false });
+      this.#countMissingFirstByte(inFlight, now);
+      this.#dispatcher.recordLostAttempt(inFlight, { now, isBroken: false });
       this.#dispatcher.cancel(inFlight);
-      this.#dispatcher.fail(inFlight, createUnknown("DEADLINE"), now);
+      this.#dispatcher.fail(inFlight, createUnknownFailure("DEADLINE"), now);
     }
   }
 
-  /** A target that gave no first byte before the deadline may be frozen. */
-  #countSilence(inFlight: InFlightRequest, now: number): void {
+  /** Counts a failure of a target without a first byte in time, as it may be frozen. */
+  #countMissingFirstByte(inFlight: InFlightRequest, now: number): void {
     if (inFlight.head !== undefined) return;
     const target = this.registry.tryGet(inFlight.targetName ?? "");
     target?.countAttempt(true, now);
   }
 
-  #refuseAtDoor(request: CallerRequest, reason: RefusalName): void {
-    this.#effects.push(...createDoorRefusal(request, reason));
+  #refuse(request: CallerRequest, reason: RefusalName): void {
+    this.#effects.push(...createArrivalRefusal(request, reason));
   }
 
   #checkDrained(): void {
-    if (!this.#isDraining || this.#saidDrained || this.inFlight > 0) return;
-    this.#saidDrained = true;
+    if (!this.#isDraining || this.#isDrained || this.inFlight > 0) return;
+    this.#isDrained = true;
     this.#effects.push({ kind: "drained" });
   }
 }
--- a/src/entry/request_dispatcher.ts
+++ b/src/entry/request_dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Sends requests to targets: for the first time, again, and after a wait; and ends those
- * that get no answer.
+ * Sends admitted requests to targets, retries them, queues them while no target is
+ * available, and ends requests that get no answer.
  *
  * @module
  */
@@ -15,16 +15,20 @@
   createWaitsNote,
 } from "./decision_notes.ts";
 import type { DrainWatch } from "./drain_watch.ts";
-import { createUnsent, type Failure, TARGET_SLOW } from "./failures.ts";
+import {
+  createUnsentFailure,
+  type Failure,
+  SLOW_TARGET_FAILURE,
+} from "./failures.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
 import { relayEnd } from "./answer_relay.ts";
 import {
   createAnswerCounts,
-  createCancel,
+  createCancelEffect,
   createFailureEffects,
 } from "./request_effects.ts";
 import type { RetryPolicy } from "./retry_policy.ts";
-import { createSubmit } from "./submit_message.ts";
+import { createSubmitMessage } from "./submit_message.ts";
 import type {
   TargetAvailability,
   Unavailability,
@@ -35,7 +39,7 @@
 import { WaitingRequests } from "./waiting_requests.ts";
 import type { WarmUpWatch } from "./warm_up_watch.ts";
 
-/** What a {@link RequestDispatcher} works with. */
+/** Options of a {@link RequestDispatcher}. */
 export interface RequestDispatcherOptions {
   readonly selection: TargetSelection;
   readonly retries: RetryPolicy;
@@ -44,55 +48,55 @@
   readonly drains: DrainWatch;
   readonly warmUp: WarmUpWatch;
   readonly sendLimits: SendLimits;
-  /** Takes what is to be done, in order. */
+  /** Receives the effects, in order. */
   readonly effects: Pick<EntryEffect[], "push">;
 }
 
-/** A request that is sent nowhere, as targets have ended under it. */
+/** The reason to refuse a request under which targets have crashed. */
 interface CrashingRequest {
   readonly reason: "CRASHES_TARGETS";
 }
 
-/** Sends requests to targets, and ends those that get no answer. */
+/** Sends admitted requests to targets, and ends those that get no answer. */
 export class RequestDispatcher {
   readonly #options: RequestDispatcherOptions;
   readonly #waiting = new WaitingRequests();
   readonly #inFlight = new Map<number, InFlightRequest>();
 
-  /** Nothing is in flight yet. */
+  /** Creates a dispatcher without requests. */
   constructor(options: RequestDispatcherOptions) {
     this.#options = options;
   }
 
-  /** Requests that were let in and are not over. */
+  /** Admitted requests that have not ended. */
   get inFlight(): readonly InFlightRequest[] {
     return [...this.#inFlight.values()];
   }
 
-  /** How many there are. */
+  /** Number of requests in flight. */
   get size(): number {
     return this.#inFlight.size;
   }
 
-  /** A request that is not over. */
+  /** Returns a request in flight by its id. */
   tryGet(requestId: number): InFlightRequest | undefined {
     return this.#inFlight.get(requestId);
   }
 
-  /** A request was let in. */
+  /** Adds a request that was admitted. */
   add(inFlight: InFlightRequest, now: number): void {
     this.#inFlight.set(inFlight.request.id, inFlight);
     this.submitOrWait(inFlight, now);
   }
 
-  /** Sends a request to a target, lets it wait for one, or refuses it. */
+  /** Sends a request to a target, queues it until one is available, or refuses it. */
   submitOrWait(inFlight: InFlightRequest, now: number): void {
     if (this.#tryRefuseCrashing(inFlight, now)) return;
     const selected = this.#selection.select(inFlight, now);
     this.#options.effects.push(...this.#selection.gate.takeNotes());
     if (selected.isOk()) return this.#submit(inFlight, selected.value, now);
     const reason = selected.error;
-    if (reason === "TARGETS_LIMITED" && !this.#tryAskFor(inFlight, now)) return;
+    if (reason === "TARGETS_LIMITED" && !this.#tryPermit(inFlight, now)) return;
     const unavailability = this.#availability.describe(inFlight, reason, now);
     if (this.#waiting.tryAdd(inFlight, unavailability, now)) {
       this.#options.effects.push(createWaitsNote(inFlight, { reason, now }));
@@ -102,8 +106,8 @@
   }
 
   /**
-   * A request under which targets have ended would end the next one, too, and cost all
-   * others that run there, or in its group, their answers.
+   * Refuses a request under which targets have crashed. It would crash the next target
+   * too, and all other requests that run there or in its group would lose their answers.
    */
   #tryRefuseCrashing(inFlight: InFlightRequest, now: number): boolean {
     if (this.#options.crashes.mayRun(inFlight, now)) return false;
@@ -111,7 +115,7 @@
     return true;
   }
 
-  /** Tries again for those that wait, in the order in which they are due. */
+  /** Sends the waiting requests for which a target is available, in queue order. */
   submitWaiting(now: number): void {
     for (const inFlight of this.#waiting.all(now)) {
       if (this.#tryRefuseCrashing(inFlight, now)) continue;
@@ -121,9 +125,13 @@
       });
       if (selected.isErr()) {
         const reason = selected.error;
-        if (reason === "TARGETS_LIMITED") this.#tryAskFor(inFlight, now);
-        const why = this.#availability.describe(inFlight, reason, now);
-        this.#waiting.noteReason(id, why, now);
+        if (reason === "TARGETS_LIMITED") this.#tryPermit(inFlight, now);
+        const unavailability = this.#availability.describe(
+          inFlight,
+          reason,
+          now,
+        );
+        this.#waiting.updateReason(id, unavailability, now);
         continue;
       }
       this.#waiting.take(id);
@@ -132,22 +140,25 @@
   }
 
   /**
-   * Asks for a permit, for it and those that wait for one; refuses it where no target that
-   * could serve it has any now.
+   * Requests permits for a request and for those that already wait for one. Refuses the
+   * request and returns false if no suitable target has a permit left.
    */
-  #tryAskFor(inFlight: InFlightRequest, now: number): boolean {
+  #tryPermit(inFlight: InFlightRequest, now: number): boolean {
     const count = 1 + this.#waiting.countOf("TARGETS_LIMITED");
     const plan = this.#selection.planPermits(inFlight, count, now);
-    if (plan.kind === "ask") this.#askPermits(plan.question);
+    if (plan.kind === "ask") this.#requestPermits(plan.question);
     if (plan.kind !== "none") return true;
     const isKeyed = inFlight.request.idempotencyKey !== undefined;
-    const failure = createUnsent("TARGETS_LIMITED", isKeyed);
+    const failure = createUnsentFailure("TARGETS_LIMITED", isKeyed);
     this.fail(inFlight, { ...failure, freeInMs: plan.freeInMs }, now);
     return false;
   }
 
-  #askPermits(question: PermitQuestion): void {
-    this.#options.effects.push({ kind: "ask_permits", question });
+  #requestPermits(permitRequest: PermitQuestion): void {
+    this.#options.effects.push({
+      kind: "ask_permits",
+      question: permitRequest,
+    });
   }
 
   #submit(
@@ -156,16 +167,16 @@
     now: number,
   ): void {
     inFlight.startAttempt(target.name, now);
-    this.#noteChoice(inFlight, target, now);
+    this.#recordChoice(inFlight, target, now);
     target.addInFlight(inFlight.request.id, now);
     this.#selection.noteSent(inFlight, target, now);
     this.#options.effects.push({
       kind: "send",
       targetName: target.name,
-      message: createSubmit(inFlight, now),
+      message: createSubmitMessage(inFlight, now),
     });
-    const ahead = this.#availability.tryPlanAhead(inFlight.pool, now);
-    if (ahead !== undefined) this.#askPermits(ahead);
+    const permitRequest = this.#availability.tryPlanAhead(inFlight.pool, now);
+    if (permitRequest !== undefined) this.#requestPermits(permitRequest);
   }
 
   #failUnsent(
@@ -178,59 +189,59 @@
     const drains = reason === "DOMAINS_DRAINED"
       ? this.#options.drains.getFacts(now)
       : undefined;
-    const failure = createUnsent(reason, isKeyed);
-    const hold = this.#selection.gate.tryHoldFacts(inFlight, reason, now);
+    const failure = createUnsentFailure(reason, isKeyed);
+    const deferral = this.#selection.gate.tryHoldFacts(inFlight, reason, now);
     const freeInMs = reason === "TARGETS_BACKING_OFF"
       ? this.#availability.tryDrawReturnMs(unavailability)
       : undefined;
-    this.fail(inFlight, { ...failure, freeInMs, ...hold, drains }, now);
+    this.fail(inFlight, { ...failure, freeInMs, ...deferral, drains }, now);
   }
 
-  /** Retries where that can do no harm; otherwise answers at once. */
-  attemptFailed(
+  /** Retries after a failed attempt if that is safe, or queues or refuses the request. */
+  onAttemptFailed(
     inFlight: InFlightRequest,
     failure: Failure,
     now: number,
   ): void {
-    this.#leaveTarget(inFlight);
+    this.#removeFromTarget(inFlight);
     this.#options.effects.push(
       createAttemptFailedNote(inFlight, { ...failure, now }),
     );
     const isBroken = failure.reason !== "DEADLINE";
     if (failure.submission === "unknown") {
-      this.noteLost(inFlight, { now, isBroken });
+      this.recordLostAttempt(inFlight, { now, isBroken });
     }
     inFlight.endAttempt(failure.submission);
-    if (this.tryAgain(inFlight, failure, now)) return;
-    if (this.#tryWaitAgain(inFlight, failure, now)) return;
-    if (this.#tryTellBackoff(inFlight, failure, now)) return;
+    if (this.tryRetry(inFlight, failure, now)) return;
+    if (this.#tryRequeue(inFlight, failure, now)) return;
+    if (this.#tryRefuseBackingOff(inFlight, failure, now)) return;
     this.fail(inFlight, failure, now);
   }
 
-  /** The attempt under way has ended without an answer. */
-  noteLost(inFlight: InFlightRequest, end: AttemptEnd): void {
+  /** Records that the current attempt ended without an answer. */
+  recordLostAttempt(inFlight: InFlightRequest, end: AttemptEnd): void {
     this.#options.effects.push(
       ...this.#options.crashes.noteLost(inFlight, end),
     );
   }
 
-  /** Where the last target asked for a backoff as all others did, its end is known. */
-  #tryTellBackoff(
+  /** Refuses a request with a retry delay if all targets of its pool back off. */
+  #tryRefuseBackingOff(
     inFlight: InFlightRequest,
     failure: Failure,
     now: number,
   ): boolean {
-    const isKnown = failure.submission === "not-run" &&
+    const isBackingOff = failure.submission === "not-run" &&
       this.#availability.isBackingOffWhole(inFlight.pool, now);
-    if (!isKnown) return false;
+    if (!isBackingOff) return false;
     const reason = "TARGETS_BACKING_OFF";
-    const why = this.#availability.describe(inFlight, reason, now);
-    this.#failUnsent(inFlight, why, now);
+    const unavailability = this.#availability.describe(inFlight, reason, now);
+    this.#failUnsent(inFlight, unavailability, now);
     return true;
   }
 
-  /** Lets it wait for what was lost, as if it had not been sent there. */
-  #tryWaitAgain(
+  /** Queues a request for targets that became unavailable, as if it had not been sent. */
+  #tryRequeue(
     inFlight: InFlightRequest,
     failure: Failure,
     now: number,
@@ -244,27 +255,28 @@
     if (reason === undefined) return false;
     if (!this.#waiting.mayWait(inFlight, { reason }, now)) return false;
     if (!this.#options.retries.tryTake(inFlight, failure, now)) return false;
-    // The target that could not be reached may be the only one, and come back.
-    if (reason === "TARGETS_UNREACHABLE") inFlight.forgetLastTarget();
+    // The unreachable target may be the only one and may become reachable again.
+    if (reason === "TARGETS_UNREACHABLE") inFlight.allowLastTargetAgain();
     if (!this.#waiting.tryAdd(inFlight, { reason }, now)) return false;
     this.#options.effects.push(createWaitsNote(inFlight, { reason, now }));
     return true;
   }
 
-  /** Sends it to another target; false if that may do harm or cannot help. */
-  tryAgain(
+  /** Sends a request to another target; returns false if that is unsafe or futile. */
+  tryRetry(
     inFlight: InFlightRequest,
     failure: Failure,
     now: number,
   ): boolean {
-    // Its caller may ask again; one attempt of it ends no second target.
-    const isSuspect = failure.submission === "unknown" &&
+    // If the attempt crashed its target, the entry must not crash a second one. The
+    // caller may still retry.
+    const hasCrashedTarget = failure.submission === "unknown" &&
       this.#options.crashes.hasCrashed(inFlight);
-    const mayTryAgain = !isSuspect &&
+    const canRetry = !hasCrashedTarget &&
       this.#availability.hasOther(inFlight, now) &&
       this.#options.retries.tryTake(inFlight, failure, now);
-    if (!mayTryAgain) return false;
-    this.#leaveTarget(inFlight);
+    if (!canRetry) return false;
+    this.#removeFromTarget(inFlight);
     inFlight.endAttempt(failure.submission);
     this.#options.effects.push({ kind: "count_retry", reason: failure.reason });
     this.submitOrWait(inFlight, now);
@@ -272,29 +284,31 @@
   }
 
   /**
-   * A rank's own requests hold back every pass of its group by its pace. Those
-   * that may go on elsewhere do, as long as another target is free.
+   * Retries requests at slow ranks elsewhere, if another target is available. Each pass
+   * of a group takes as long as at its slowest rank.
    */
-  leaveStragglers(now: number): void {
+  rerouteFromSlowRanks(now: number): void {
     for (const inFlight of this.inFlight) {
       const target = this.#selection.registry.tryGet(inFlight.targetName ?? "");
       if (target?.holdsBackGroup !== true) continue;
       if (this.#selection.select(inFlight, now).isErr()) continue;
       const { attempt } = inFlight;
-      if (!this.tryAgain(inFlight, TARGET_SLOW, now)) continue;
-      this.#options.effects.push(createCancel(inFlight, target.name, attempt));
+      if (!this.tryRetry(inFlight, SLOW_TARGET_FAILURE, now)) continue;
+      this.#options.effects.push(
+        createCancelEffect(inFlight, target.name, attempt),
+      );
     }
   }
 
-  /** Refuses those whose wait is over. */
+  /** Refuses waiting requests whose wait has expired. */
   refuseExpired(now: number): void {
     for (const { inFlight, reason } of this.#waiting.takeExpired(now)) {
-      const why = this.#availability.describe(inFlight, reason, now);
-      this.#failUnsent(inFlight, why, now);
+      const unavailability = this.#availability.describe(inFlight, reason, now);
+      this.#failUnsent(inFlight, unavailability, now);
     }
   }
 
-  #noteChoice(
+  #recordChoice(
     inFlight: InFlightRequest,
     target: TargetRecord,
     now: number,
@@ -303,18 +317,20 @@
     const limit = this.#options.sendLimits.tryGet(target.name);
     this.#options.warmUp.noteSent(target.name, inFlight.pool);
     const share = this.#availability.getShare(target, now);
-    const facts = { target, now, serving, limit, share };
-    this.#options.effects.push(createSentNote(inFlight, facts));
+    const details = { target, now, serving, limit, share };
+    this.#options.effects.push(createSentNote(inFlight, details));
   }
 
-  /** Tells the target of the attempt under way that nobody waits for it. */
+  /** Cancels the current attempt at its target. */
   cancel(inFlight: InFlightRequest): void {
     const { targetName, attempt } = inFlight;
     if (targetName === undefined) return;
-    this.#options.effects.push(createCancel(inFlight, targetName, attempt));
+    this.#options.effects.push(
+      createCancelEffect(inFlight, targetName, attempt),
+    );
   }
 
-  /** Gives the caller an answer that is whole. */
+  /** Ends a request whose answer is complete. */
   finish(inFlight: InFlightRequest, now: number): void {
     this.#end(inFlight);
     const { effects } = this.#options;
@@ -323,26 +339,26 @@
     effects.push(...relayEnd(inFlight));
   }
 
-  /** Ends a request that gets no answer, or the error that a target gave before. */
+  /** Ends a request with a refusal, or with the error answer of an earlier attempt. */
   fail(inFlight: InFlightRequest, failure: Failure, now: number): void {
-    if (inFlight.tryRestoreAnswer()) return this.finish(inFlight, now);
+    if (inFlight.tryRestoreFallbackAnswer()) return this.finish(inFlight, now);
     this.#end(inFlight);
     this.#options.effects.push(...createFailureEffects(inFlight, failure, now));
   }
 
-  /** The caller has left. */
+  /** Ends a request whose caller has disconnected. */
   drop(inFlight: InFlightRequest): void {
     this.#end(inFlight);
   }
 
   #end(inFlight: InFlightRequest): void {
-    this.#leaveTarget(inFlight);
+    this.#removeFromTarget(inFlight);
     this.#waiting.remove(inFlight.request.id);
     this.#inFlight.delete(inFlight.request.id);
     this.#options.admission.release(inFlight.route);
   }
 
-  #leaveTarget(inFlight: InFlightRequest): void {
+  #removeFromTarget(inFlight: InFlightRequest): void {
     if (inFlight.targetName === undefined) return;
     this.#selection.registry.tryGet(inFlight.targetName)
       ?.removeInFlight(inFlight.request.id);
--- a/src/entry/request_effects.ts
+++ b/src/entry/request_effects.ts
@@ -1,5 +1,5 @@
 /**
- * Effects that end a request or one of its attempts.
+ * Creates the effects that end a request or one of its attempts.
  *
  * @module
  */
@@ -8,25 +8,29 @@
 import type { RefusalName } from "../refusals/catalogue.ts";
 import { createProblem } from "../refusals/problem.ts";
 import { createDoorNote, createFailedNote } from "./decision_notes.ts";
-import { createUnsent, type Failure, overAllAttempts } from "./failures.ts";
+import {
+  createOverallFailure,
+  createUnsentFailure,
+  type Failure,
+} from "./failures.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
 import type { Route } from "./routing_table.ts";
-import { type Obstruction, tryReturnFacts } from "./return_facts.ts";
+import { type RefusalCause, tryCreateRetryDetails } from "./return_facts.ts";
 import type { CallerRequest, EntryEffect, SendToTarget } from "./types.ts";
 
-/** Refuses a request that was not let in. */
-export function createDoorRefusal(
+/** Refuses a request that was not admitted. */
+export function createArrivalRefusal(
   request: CallerRequest,
   reason: RefusalName,
 ): readonly EntryEffect[] {
   const isKeyed = request.idempotencyKey !== undefined;
   return [
     createDoorNote(request, reason),
-    ...createRefusal(request.id, createUnsent(reason, isKeyed)),
+    ...createRefusal(request.id, createUnsentFailure(reason, isKeyed)),
   ];
 }
 
-/** Ends a request that gets no answer: with a refusal, or by cutting it off. */
+/** Ends a request that gets no answer: refuses it, or aborts an answer that has begun. */
 export function createFailureEffects(
   inFlight: InFlightRequest,
   failure: Failure,
@@ -34,11 +38,15 @@
 ): readonly EntryEffect[] {
   const requestId = inFlight.request.id;
   if (!inFlight.isStreaming) {
-    const known = overAllAttempts(inFlight, failure);
-    const returnMs = tryReturnMs(inFlight, known, now);
-    const note = createFailedNote(inFlight, { ...failure, now, returnMs });
+    const overallFailure = createOverallFailure(inFlight, failure);
+    const returnMs = tryGetRetryDelayMs(inFlight, overallFailure, now);
+    const logRecord = createFailedNote(inFlight, { ...failure, now, returnMs });
     const counts = createRefusalCounts(inFlight, returnMs);
-    return [note, ...counts, ...createRefusal(requestId, known, returnMs)];
+    return [
+      logRecord,
+      ...counts,
+      ...createRefusal(requestId, overallFailure, returnMs),
+    ];
   }
   return [
     createFailedNote(inFlight, { ...failure, now }),
@@ -47,7 +55,7 @@
   ];
 }
 
-/** Counts what an answer that is whole tells of pauses and of returning callers. */
+/** Counts the longest pause of a complete answer, and a caller's retry that it served. */
 export function createAnswerCounts(
   { isRepeated, longestPause }: InFlightRequest,
 ): readonly EntryEffect[] {
@@ -61,7 +69,7 @@
 }
 
 /** Cancels an attempt at a target. */
-export function createCancel(
+export function createCancelEffect(
   inFlight: InFlightRequest,
   targetName: string,
   attempt: number,
@@ -72,14 +80,14 @@
 }
 
 /** Passes a request to the old scripts. */
-export function createForward(
+export function createForwardEffect(
   request: CallerRequest,
   route: Route,
   deadlineMs: number,
 ): EntryEffect {
   const address = Debug.getDefined(
     route.service.scriptsAddress,
-    "A service on the scripts has their address",
+    "A service that the scripts handle has their address",
   );
   return { kind: "forward_to_scripts", address, deadlineMs, request };
 }
@@ -93,14 +101,14 @@
   return [{ kind: "count_return", outcome: "told" }];
 }
 
-/** When the caller should come back; undefined: the catalogue says. */
-function tryReturnMs(
+/** Returns the caller's retry delay; undefined: the refusal catalogue defines it. */
+function tryGetRetryDelayMs(
   inFlight: InFlightRequest,
-  obstruction: Obstruction,
+  cause: RefusalCause,
   now: number,
 ): number | undefined {
-  const facts = tryReturnFacts(inFlight, obstruction, now);
-  return facts && getReturnMs(facts);
+  const details = tryCreateRetryDetails(inFlight, cause, now);
+  return details && getReturnMs(details);
 }
 
 function createRefusal(
@@ -118,7 +126,7 @@
   ];
 }
 
-/** Seconds with a fraction of two digits, never more than were meant. */
+/** Converts milliseconds to seconds, rounded down to hundredths. */
 function toSeconds(milliseconds: number): number {
   return Math.floor(milliseconds / 10) / 100;
 }
--- a/src/entry/request_server.ts
+++ b/src/entry/request_server.ts
@@ -1,5 +1,5 @@
 /**
- * Serves callers: reads requests, feeds the entry's reducer, and performs its
+ * Serves callers: reads requests, passes events to the entry's reducer, and performs its
  * effects.
  *
  * @module
@@ -32,38 +32,40 @@
 } from "./types.ts";
 
 /**
- * Milliseconds between two ticks with requests in flight, and without. Deadlines
- * are kept to the first; each tick costs a wake-up of the process.
+ * Milliseconds between two ticks while requests are in flight, and while none are. The
+ * first bounds how late a deadline is noticed; each tick wakes up the process.
  */
 const BUSY_TICK_MS = 40;
 const IDLE_TICK_MS = 250;
-/** Longest gap between two ticks that is not taken for a pause. */
-const PAUSE_MS = 3000;
+/** Milliseconds between two ticks above which the process counts as having stalled. */
+const MIN_STALL_MS = 3000;
 
-/** What a request server works with. */
+/** Options of a {@link RequestServer}. */
 export interface RequestServerOptions {
   readonly reducer: EntryReducer;
   readonly protocol: CallerProtocol;
   readonly metrics: Metrics;
   readonly log: EventLog;
-  /** Bytes that may be held for all callers; undefined: only each caller has a bound. */
+  /** Maximum bytes held for all callers together; undefined: only a limit per caller. */
   readonly heldBytesLimit?: number;
-  /** Called after the process stood still; requests wait for the result. */
+  /** Called after the process stalled; requests wait until the promise settles. */
   readonly onPaused: (gapMs: number) => Promise<void>;
-  /** Called when other entries are to hear what this one remembers. */
+  /** Called when state that is replicated to other entries has changed. */
   readonly onMemoriesChanged?: () => void;
-  /** Called to ask another entry for permits. */
-  readonly onPermitsWanted?: (question: PermitQuestion) => void;
+  /** Called to request permits from another entry. */
+  readonly onPermitsWanted?: (permitRequest: PermitQuestion) => void;
 }
 
+/** A caller's request that was read completely. */
 interface CallerArrival {
   readonly connection: CallerConnection;
-  /** When its head was read. */
-  readonly startedAt: number;
+  /** When the head of the request was read. */
+  readonly headReadAt: number;
 }
 
+/** A caller's request that has not been answered. */
 interface CallerExchange extends CallerArrival {
-  /** Lets the HTTP handler return. */
+  /** Completes the HTTP handler. */
   readonly close: () => void;
 }
 
@@ -73,20 +75,20 @@
   readonly #exchanges = new Map<number, CallerExchange>();
   readonly #listener: HttpListener;
   readonly #buffers: CallerBuffers | undefined;
-  readonly #stalls = new StallGuard({
+  readonly #stallGuard = new StallGuard({
     now: () => performance.now(),
-    turn: turnEventLoop,
+    waitForTurn: turnEventLoop,
     deliver: (event) => this.#reduce(event),
   });
   #links: TargetLinks | undefined;
   readonly #tick: MeasuredTimer;
-  #tickedAt = performance.now();
+  #lastTickAt = performance.now();
   #catchUp: Promise<void> | undefined;
   #nextRequestId = 1;
-  #closesConnections = false;
+  #isClosing = false;
   #onDrained: (() => void) | undefined;
 
-  /** Does not listen yet. */
+  /** Creates a server; {@link listen} starts it. */
   constructor(options: RequestServerOptions) {
     this.#options = options;
     this.#tick = new MeasuredTimer(options.metrics.loopDelays);
@@ -96,24 +98,25 @@
       : new CallerBuffers({
         ...options,
         limitBytes: heldBytesLimit,
-        onCut: (caller, connection) => void this.#cutSlow(caller, connection),
+        onCut: (caller, connection) =>
+          void this.#abortSlowCaller(caller, connection),
       });
     this.#listener = new HttpListener((incoming, outgoing) =>
       this.#onRequest(incoming, outgoing)
     );
   }
 
-  /** Requests that have not been answered whole. */
+  /** Number of requests that have not been answered completely. */
   get openExchanges(): number {
     return this.#exchanges.size;
   }
 
-  /** Sends attempts over these from now on. */
+  /** Sets the links over which attempts are sent. */
   setLinks(links: TargetLinks): void {
     this.#links = links;
   }
 
-  /** Milliseconds for which an idle connection of a caller is kept. */
+  /** Sets the milliseconds for which an idle caller connection is kept open. */
   setIdleLimit(limitMs: number): void {
     this.#listener.setIdleLimit(limitMs);
   }
@@ -121,19 +124,19 @@
   /**
    * Listens for callers.
    *
-   * @throws when the address cannot be had
+   * @throws if the address cannot be bound
    */
   async listen(address: string): Promise<void> {
     await this.#listener.listen(address);
     this.#planTick();
   }
 
-  /** Asks callers to leave with their next answer; all are still served. */
+  /** Closes caller connections after their next answer; requests are still served. */
   startClosing(): void {
-    this.#closesConnections = true;
+    this.#isClosing = true;
   }
 
-  /** Takes nothing new; `onDrained` is called when nothing is in flight. */
+  /** Refuses new requests; calls `onDrained` when none are in flight any more. */
   drain(onDrained: () => void): void {
     this.startClosing();
     this.#onDrained = onDrained;
@@ -141,15 +144,15 @@
     this.dispatch({ kind: "drain_requested", now: performance.now() });
   }
 
-  /** Closes whatever is still open. */
+  /** Closes all connections. */
   close(): void {
     this.#tick.stop();
     this.#listener.close();
   }
 
-  /** Feeds the reducer and performs what it asks for. */
+  /** Passes an event to the reducer and performs the effects. */
   dispatch(event: EntryEvent): void {
-    if (this.#stalls.tryHold(event)) this.#buffers?.noteHeldBack(event);
+    if (this.#stallGuard.tryDefer(event)) this.#buffers?.onEventDeferred(event);
     else this.#reduce(event);
   }
 
@@ -169,9 +172,9 @@
 
   #onTick(): void {
     const now = performance.now();
-    const gap = now - this.#tickedAt;
-    this.#tickedAt = now;
-    if (gap > PAUSE_MS) {
+    const gap = now - this.#lastTickAt;
+    this.#lastTickAt = now;
+    if (gap > MIN_STALL_MS) {
       this.#options.log.write("PAUSED", { milliseconds: Math.round(gap) });
       this.#catchUp = this.#options.onPaused(gap)
         .finally(() => this.#catchUp = undefined);
@@ -185,14 +188,14 @@
     const connection = new CallerConnection(incoming, outgoing, protocol);
     this.#serve(connection).catch((error) => {
       log.write("REQUEST_FAULT", { cause: String(error) });
-      connection.cut();
+      connection.abort();
     });
   }
 
   async #serve(connection: CallerConnection): Promise<void> {
-    const startedAt = performance.now();
+    const headReadAt = performance.now();
     this.#options.metrics.countRequest();
-    if (this.#closesConnections) connection.closeAfterAnswer();
+    if (this.#isClosing) connection.closeAfterAnswer();
     const id = this.#nextRequestId++;
     this.#buffers?.open(id, connection);
     const meter = this.#buffers?.createMeter(id);
@@ -201,12 +204,13 @@
       this.#buffers?.finish(id);
       return this.#refuseUnread(connection, request.error);
     }
-    if (performance.now() - this.#tickedAt > PAUSE_MS) this.#onTick();
+    if (performance.now() - this.#lastTickAt > MIN_STALL_MS) this.#onTick();
     await this.#catchUp;
-    // A caller may have left while its request lay unread; its close is read after it.
+    // A caller may have disconnected before its request was read. The end of its socket
+    // is read only after the request.
     await turnEventLoop();
-    if (connection.isGone) return this.#noteLeft(request.value, startedAt);
-    await this.#takeIn(request.value, { connection, startedAt });
+    if (connection.isClosed) return this.#logLeft(request.value, headReadAt);
+    await this.#process(request.value, { connection, headReadAt });
   }
 
   #refuseUnread(connection: CallerConnection, reason: RefusalName): void {
@@ -219,25 +223,28 @@
     connection.refuse(problem);
   }
 
-  #noteLeft({ id, correlationId }: CallerRequest, startedAt: number): void {
+  #logLeft(
+    { id, correlationId }: CallerRequest,
+    headReadAt: number,
+  ): void {
     this.#buffers?.finish(id);
     this.#options.log.write("CALLER_LEFT", {
       request: id,
       correlation: correlationId,
-      waitedMs: Math.round(performance.now() - startedAt),
+      waitedMs: Math.round(performance.now() - headReadAt),
     });
   }
 
-  /** Ends when the request has. */
-  #takeIn(request: CallerRequest, arrival: CallerArrival): Promise<void> {
+  /** Passes a request to the reducer; resolves when the request has ended. */
+  #process(request: CallerRequest, arrival: CallerArrival): Promise<void> {
     const { id } = request;
     return new Promise((close) => {
       this.#exchanges.set(id, { ...arrival, close });
-      arrival.connection.onGone(() => this.#onCallerGone(id));
+      arrival.connection.onClosed(() => this.#onCallerGone(id));
       this.dispatch({
         kind: "request_arrived",
         now: performance.now(),
-        readAt: arrival.startedAt,
+        readAt: arrival.headReadAt,
         request,
       });
     });
@@ -265,13 +272,13 @@
         return this.#continueAnswer(effect.requestId, effect.bytes);
       case "finish_answer":
         this.#exchanges.get(effect.requestId)?.connection.finish();
-        return this.#answered(effect.requestId);
+        return this.#onAnswered(effect.requestId);
       case "whole_answer":
         this.#exchanges.get(effect.requestId)?.connection
-          .sendWhole(effect.status, effect.headers, effect.body);
-        return this.#answered(effect.requestId);
+          .sendComplete(effect.status, effect.headers, effect.body);
+        return this.#onAnswered(effect.requestId);
       case "cut_answer":
-        return this.#cut(effect.requestId);
+        return this.#abort(effect.requestId);
       case "refuse_request":
         this.#exchanges.get(effect.requestId)?.connection
           .refuse(effect.problem);
@@ -312,8 +319,8 @@
   #startAnswer(effect: StartAnswer): void {
     const exchange = this.#exchanges.get(effect.requestId);
     if (exchange === undefined) return;
-    const waited = performance.now() - exchange.startedAt;
-    this.#options.metrics.countFirstByte(waited);
+    const waitedMs = performance.now() - exchange.headReadAt;
+    this.#options.metrics.countFirstByte(waitedMs);
     const { connection } = exchange;
     if (effect.endsWithConnection) connection.endWithConnection();
     connection.start(effect.status, effect.headers);
@@ -335,38 +342,38 @@
   #continueAnswer(requestId: number, bytes: Uint8Array): void {
     const exchange = this.#exchanges.get(requestId);
     if (exchange === undefined || exchange.connection.write(bytes)) return;
-    // Not from within the reducer's own effects.
-    setImmediate(() => this.#noteTooSlow(requestId));
+    // Deferred, as an event must not be dispatched while effects are performed.
+    setImmediate(() => this.#reportTooSlow(requestId));
   }
 
-  #noteTooSlow(requestId: number): void {
+  #reportTooSlow(requestId: number): void {
     const now = performance.now();
     this.dispatch({ kind: "caller_too_slow", now, requestId });
   }
 
-  async #cutSlow(
+  async #abortSlowCaller(
     requestId: number,
     connection: CallerConnection,
   ): Promise<void> {
-    this.#noteTooSlow(requestId);
-    // The reducer has ended streamed answers by now; this ends complete answers that were not
-    // taken, and those of the old scripts.
+    this.#reportTooSlow(requestId);
+    // The reducer has ended streamed answers by now. This ends complete answers that the
+    // caller has not read, and answers of the old scripts.
     await turnEventLoop();
-    connection.cut();
+    connection.abort();
   }
 
-  #answered(requestId: number): void {
+  #onAnswered(requestId: number): void {
     const exchange = this.#exchanges.get(requestId);
     if (exchange === undefined) return;
-    const took = performance.now() - exchange.startedAt;
-    this.#options.metrics.countAnswer(took);
+    const tookMs = performance.now() - exchange.headReadAt;
+    this.#options.metrics.countAnswer(tookMs);
     this.#finish(requestId);
   }
 
-  #cut(requestId: number): void {
+  #abort(requestId: number): void {
     const exchange = this.#exchanges.get(requestId);
     this.#finish(requestId);
-    exchange?.connection.cut();
+    exchange?.connection.abort();
   }
 
   #finish(requestId: number): void {
--- a/src/entry/spare_answers_test.ts
+++ b/src/entry/spare_answers_test.ts
@@ -1,7 +1,7 @@
 /**
- * The failure that these tests guard against: a target answers with an error, the request is
- * sent on, no other target answers it, and its caller gets an error of ours in place of the
- * answer that was at hand.
+ * Guards against the loss of an error answer: a target answers with an error, the request
+ * is retried, no other target answers it, and the caller gets a refusal of the entry
+ * instead of the target's answer.
  */
 import assert from "node:assert/strict";
 import { Buffer } from "node:buffer";
@@ -19,8 +19,8 @@
 
 const BODY = Buffer.from("error");
 
-/** One entry before two targets, and one request that may run twice. */
-class SpareFixture {
+/** An entry with two targets and an idempotent request. */
+class FallbackAnswerFixture {
   readonly #entry = new EntryReducer({
     failureDomain: "a",
     random: new RandomSource(5),
@@ -44,19 +44,19 @@
     return this.#entry.reduce({ ...event, now: 10, message });
   }
 
-  /** A target gives a whole answer of a status. */
+  /** Receives a complete answer with a status from a target. */
   answer(
     { targetName, message }: Sent,
     status: number,
   ): readonly EntryEffect[] {
-    const place = { requestId: message.requestId, attempt: message.attempt };
+    const attempt = { requestId: message.requestId, attempt: message.attempt };
     const headers = [["content-length", String(BODY.length)]] as const;
     const messages: readonly AttemptMessage[] = [
-      { kind: "answer_head", ...place, sequence: 0, status, headers },
-      { kind: "answer_data", ...place, sequence: 1, bytes: BODY },
+      { kind: "answer_head", ...attempt, sequence: 0, status, headers },
+      { kind: "answer_data", ...attempt, sequence: 1, bytes: BODY },
       {
         kind: "answer_end",
-        ...place,
+        ...attempt,
         sequence: 2,
         byteCount: BODY.length,
         queued: 0,
@@ -76,7 +76,7 @@
   readonly message: SubmitMessage;
 }
 
-function sentOf(effects: readonly EntryEffect[]): Sent {
+function getSent(effects: readonly EntryEffect[]): Sent {
   for (const effect of effects) {
     if (effect.kind === "send" && effect.message.kind === "submit") {
       return { targetName: effect.targetName, message: effect.message };
@@ -85,8 +85,8 @@
   throw new Error("Nothing was sent");
 }
 
-/** Status and body that the caller got, if it got a whole answer. */
-function answerOf(effects: readonly EntryEffect[]): string | undefined {
+/** Returns the status and body of the complete answer that the caller got, if any. */
+function tryGetAnswer(effects: readonly EntryEffect[]): string | undefined {
   for (const effect of effects) {
     if (effect.kind !== "whole_answer") continue;
     return `${effect.status} ${Buffer.concat(effect.body).toString()}`;
@@ -95,24 +95,24 @@
 }
 
 describe("a request that one target answered with an error", () => {
-  it("gets that answer where the next one refuses it", () => {
-    const fixture = new SpareFixture();
-    const again = sentOf(fixture.answer(sentOf(fixture.request()), 500));
-    const refused = createRefused(again.message, "BACK_END_FULL");
-    const effects = fixture.receive(again.targetName, refused);
-    assert.equal(answerOf(effects), "500 error");
+  it("gets that answer if the next target refuses it", () => {
+    const fixture = new FallbackAnswerFixture();
+    const retry = getSent(fixture.answer(getSent(fixture.request()), 500));
+    const refused = createRefused(retry.message, "BACK_END_FULL");
+    const effects = fixture.receive(retry.targetName, refused);
+    assert.equal(tryGetAnswer(effects), "500 error");
     assert.ok(effects.every(({ kind }) => kind !== "refuse_request"));
   });
 
   it("gets that answer at its deadline", () => {
-    const fixture = new SpareFixture();
-    fixture.answer(sentOf(fixture.request()), 500);
-    assert.equal(answerOf(fixture.tick(1001)), "500 error");
+    const fixture = new FallbackAnswerFixture();
+    fixture.answer(getSent(fixture.request()), 500);
+    assert.equal(tryGetAnswer(fixture.tick(1001)), "500 error");
   });
 
-  it("gets the next one's answer where there is one", () => {
-    const fixture = new SpareFixture();
-    const again = sentOf(fixture.answer(sentOf(fixture.request()), 500));
-    assert.equal(answerOf(fixture.answer(again, 200)), "200 error");
+  it("gets the next target's answer if there is one", () => {
+    const fixture = new FallbackAnswerFixture();
+    const retry = getSent(fixture.answer(getSent(fixture.request()), 500));
+    assert.equal(tryGetAnswer(fixture.answer(retry, 200)), "200 error");
   });
 });
--- a/src/entry/stall_guard_test.ts
+++ b/src/entry/stall_guard_test.ts
@@ -1,22 +1,22 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { LONGEST_GAP_MS, StallGuard } from "./stall_guard.ts";
+import { MAX_GAP_MS, StallGuard } from "./stall_guard.ts";
 import type { EntryEvent } from "./types.ts";
 
 class GuardFixture {
   now = 0;
-  /** Ends the turn under way. */
+  /** Ends the current turn of the event loop. */
   endTurn: () => void = () => undefined;
   readonly delivered: string[] = [];
   readonly guard = new StallGuard({
     now: () => this.now,
-    turn: () => new Promise((resolve) => this.endTurn = resolve),
+    waitForTurn: () => new Promise((resolve) => this.endTurn = resolve),
     deliver: (event) => this.delivered.push(event.kind),
   });
 
-  /** Feeds an event as a server does. */
-  feed(event: EntryEvent): void {
-    if (!this.guard.tryHold(event)) this.delivered.push(event.kind);
+  /** Passes an event to the guard in the same way as the request server. */
+  dispatch(event: EntryEvent): void {
+    if (!this.guard.tryDefer(event)) this.delivered.push(event.kind);
   }
 
   async turn(): Promise<void> {
@@ -34,21 +34,21 @@
 }
 
 describe("the guard against stalls", () => {
-  it("lets events through while the process runs", () => {
+  it("does not defer events while the process runs", () => {
     const fixture = new GuardFixture();
     for (let tick = 1; tick <= 5; tick++) {
-      fixture.now += LONGEST_GAP_MS;
-      fixture.feed(createTick());
+      fixture.now += MAX_GAP_MS;
+      fixture.dispatch(createTick());
     }
     assert.equal(fixture.delivered.length, 5);
   });
 
-  it("hears who has left before anything that was there first", async () => {
+  it("delivers a caller's disconnection before earlier events of the same turn", async () => {
     const fixture = new GuardFixture();
-    fixture.now = LONGEST_GAP_MS + 1;
-    fixture.feed({ kind: "entries_listed", entries: ["one"], now: 0 });
-    fixture.feed(createTick());
-    fixture.feed(createGone());
+    fixture.now = MAX_GAP_MS + 1;
+    fixture.dispatch({ kind: "entries_listed", entries: ["one"], now: 0 });
+    fixture.dispatch(createTick());
+    fixture.dispatch(createGone());
     assert.deepEqual(fixture.delivered, ["caller_gone"]);
     await fixture.turn();
     assert.deepEqual(
@@ -57,13 +57,13 @@
     );
   });
 
-  it("holds nothing back after that turn", async () => {
+  it("defers no events after that turn", async () => {
     const fixture = new GuardFixture();
     fixture.now = 2000;
-    fixture.feed(createTick());
+    fixture.dispatch(createTick());
     await fixture.turn();
     fixture.now += 1;
-    fixture.feed(createTick());
+    fixture.dispatch(createTick());
     assert.deepEqual(fixture.delivered, ["tick", "tick"]);
   });
 });
--- a/src/entry/submit_message.ts
+++ b/src/entry/submit_message.ts
@@ -1,13 +1,16 @@
 /**
- * The message by which an attempt goes to a target.
+ * Creates the message that submits an attempt to a target.
  *
  * @module
  */
 import type { Header, SubmitMessage } from "../messages/types.ts";
-import { type InFlightRequest, LAST_EVENT_ID } from "./in_flight_request.ts";
+import {
+  type InFlightRequest,
+  LAST_EVENT_ID_HEADER,
+} from "./in_flight_request.ts";
 
-/** The message of the attempt under way. */
-export function createSubmit(
+/** Creates the message that submits the current attempt. */
+export function createSubmitMessage(
   inFlight: InFlightRequest,
   now: number,
 ): SubmitMessage {
@@ -30,12 +33,12 @@
   };
 }
 
-/** A stream that broke off goes on after the last event that was whole. */
+/** Returns the headers; a broken stream continues after its last complete event. */
 function headersOf(inFlight: InFlightRequest): readonly Header[] {
   const { cursor, request } = inFlight;
   if (cursor?.lastEventId === undefined) return request.headers;
   return [
-    ...request.headers.filter(([name]) => name !== LAST_EVENT_ID),
-    [LAST_EVENT_ID, cursor.lastEventId],
+    ...request.headers.filter(([name]) => name !== LAST_EVENT_ID_HEADER),
+    [LAST_EVENT_ID_HEADER, cursor.lastEventId],
   ];
 }
--- a/src/entry/waiting_requests.ts
+++ b/src/entry/waiting_requests.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that wait at the entry for a target to get free.
+ * Queues the requests that wait at the entry until a target is available.
  *
  * @module
  */
@@ -7,12 +7,12 @@
 import { FairQueue, type QueuedItem } from "../policy/fair_queue.ts";
 import { getLongestWaitMs } from "../policy/return_time.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
-import { tryReturnFacts } from "./return_facts.ts";
+import { tryCreateRetryDetails } from "./return_facts.ts";
 import type { NoTargetReason, Unavailability } from "./target_availability.ts";
 
-/** Requests that wait at one entry, at most. */
-const MOST_WAITING = 256;
-/** Reasons that say that something is gone which the request needs. */
+/** Maximum number of requests that wait at one entry. */
+const MAX_WAITING = 256;
+/** Reasons that mean that something the request needs is known to be unavailable. */
 const OUTAGE_REASONS: ReadonlySet<NoTargetReason> = new Set([
   "GROUP_CLOSED",
   "TARGETS_UNREACHABLE",
@@ -21,46 +21,46 @@
   "TARGETS_BACKING_OFF",
 ]);
 
-interface Waiting extends QueuedItem {
+interface WaitingRequest extends QueuedItem {
   readonly inFlight: InFlightRequest;
   until: number;
   reason: NoTargetReason;
 }
 
-/** A request whose wait is over without a target. */
+/** A request whose wait expired before a target was available. */
 export interface ExpiredWait {
   readonly inFlight: InFlightRequest;
   readonly reason: NoTargetReason;
 }
 
 /**
- * Requests that wait for a target to get free: in pools whose services differ in priority
- * in the order of targets' queues, elsewhere oldest first.
+ * Queues requests until a target is available: in the order of the targets' queues for
+ * pools whose services differ in priority, and oldest first for other pools.
  */
 export class WaitingRequests {
-  readonly #byId = new Map<number, Waiting>();
-  /** Of pools with one priority; all in one line, so oldest first. */
-  readonly #plain = new FairQueue<Waiting>(MOST_WAITING);
-  /** Of pools whose services differ in priority. */
-  readonly #ordered = new FairQueue<Waiting>(MOST_WAITING);
-  /** Those that gave up their place to more urgent ones. */
-  #dropped: Waiting[] = [];
-
-  /** Requests that wait. */
+  readonly #byId = new Map<number, WaitingRequest>();
+  /** Requests of pools with a single priority, oldest first. */
+  readonly #firstInFirstOut = new FairQueue<WaitingRequest>(MAX_WAITING);
+  /** Requests of pools whose services differ in priority. */
+  readonly #prioritized = new FairQueue<WaitingRequest>(MAX_WAITING);
+  /** Requests that more urgent ones displaced from the full queue. */
+  #displaced: WaitingRequest[] = [];
+
+  /** Number of waiting requests. */
   get size(): number {
     return this.#byId.size;
   }
 
-  /** Whether waiting can help a request, if there is a place. */
+  /** Whether a request can benefit from waiting, if the queue has room. */
   mayWait(
     inFlight: InFlightRequest,
     unavailability: Unavailability,
     now: number,
   ): boolean {
-    return getWaitEnd(inFlight, unavailability, now) > now;
+    return getWaitEndAt(inFlight, unavailability, now) > now;
   }
 
-  /** Lets a request wait; false when it is to be refused at once. */
+  /** Queues a request; returns false if it must be refused immediately. */
   tryAdd(
     inFlight: InFlightRequest,
     unavailability: Unavailability,
@@ -68,24 +68,24 @@
   ): boolean {
     if (!this.mayWait(inFlight, unavailability, now)) return false;
     const { reason } = unavailability;
-    const until = getWaitEnd(inFlight, unavailability, now);
-    const waiting = createWaiting(inFlight, { until, reason, now });
-    if (this.#byId.size >= MOST_WAITING && !this.#tryReplace(waiting)) {
+    const until = getWaitEndAt(inFlight, unavailability, now);
+    const waiting = createWaitingRequest(inFlight, { until, reason, now });
+    if (this.#byId.size >= MAX_WAITING && !this.#tryDisplace(waiting)) {
       return false;
     }
     this.#add(waiting);
     return true;
   }
 
-  /** Requests that wait for a reason. */
+  /** Counts the requests that wait for a given reason. */
   countOf(reason: NoTargetReason): number {
     return [...this.#byId.values()]
       .filter((waiting) => waiting.reason === reason).length;
   }
 
-  /** The request waits no more. */
+  /** Removes a request from the queue. */
   remove(requestId: number): void {
-    this.#dropped = this.#dropped.filter(({ inFlight }) =>
+    this.#displaced = this.#displaced.filter(({ inFlight }) =>
       inFlight.request.id !== requestId
     );
     const waiting = this.#byId.get(requestId);
@@ -94,7 +94,7 @@
     this.#queueOf(waiting).removeWhere((other) => other === waiting);
   }
 
-  /** The request goes to a target; it was its organisation's turn. */
+  /** Removes a request that is sent to a target, as its organisation's turn. */
   take(requestId: number): void {
     const waiting = this.#byId.get(requestId);
     if (waiting === undefined) return;
@@ -102,18 +102,18 @@
     this.#queueOf(waiting).take(waiting);
   }
 
-  /** Those that wait, in the order in which they are due. */
+  /** Returns the waiting requests in the order in which they are to be sent. */
   all(now: number): readonly InFlightRequest[] {
     this.#demoteLate(now);
-    return [...this.#plain.inOrder(), ...this.#ordered.inOrder()]
+    return [...this.#firstInFirstOut.inOrder(), ...this.#prioritized.inOrder()]
       .map(({ inFlight }) => inFlight);
   }
 
   /**
-   * There still was no target. Once something is known to be gone, the request waits no
-   * longer than one that comes now.
+   * Updates the reason for which a request still waits. Once something it needs is known
+   * to be unavailable, it waits no longer than a request that arrives now.
    */
-  noteReason(
+  updateReason(
     requestId: number,
     unavailability: Unavailability,
     now: number,
@@ -123,61 +123,63 @@
     const { reason } = unavailability;
     waiting.reason = reason;
     if (!OUTAGE_REASONS.has(reason)) return;
-    const until = getWaitEnd(waiting.inFlight, unavailability, now);
+    const until = getWaitEndAt(waiting.inFlight, unavailability, now);
     waiting.until = Math.min(waiting.until, until);
   }
 
-  /** Takes out those whose wait is over. */
+  /** Removes and returns the requests whose wait has expired, and displaced requests. */
   takeExpired(now: number): readonly ExpiredWait[] {
     const expired = [...this.#byId.values()]
       .filter(({ until }) => until <= now);
     for (const { inFlight } of expired) this.remove(inFlight.request.id);
-    const dropped = this.#dropped;
-    this.#dropped = [];
-    return [...dropped, ...expired];
+    const displaced = this.#displaced;
+    this.#displaced = [];
+    return [...displaced, ...expired];
   }
 
-  #add(waiting: Waiting): void {
+  #add(waiting: WaitingRequest): void {
     this.#byId.set(waiting.inFlight.request.id, waiting);
     this.#queueOf(waiting).add(waiting);
   }
 
-  /** Makes room for one that is more urgent than some that waits. */
-  #tryReplace(waiting: Waiting): boolean {
+  /** Displaces the least urgent request to make room for a more urgent one. */
+  #tryDisplace(waiting: WaitingRequest): boolean {
     if (waiting.inFlight.poolPriorities === undefined) return false;
-    const last = this.#ordered.inOrder().at(-1);
+    const last = this.#prioritized.inOrder().at(-1);
     if (last === undefined || last.priority <= waiting.priority) return false;
-    const dropped = this.#ordered.tryDrop();
-    if (dropped === undefined) return false;
-    this.#byId.delete(dropped.inFlight.request.id);
-    this.#dropped.push(dropped);
+    const displaced = this.#prioritized.tryDrop();
+    if (displaced === undefined) return false;
+    this.#byId.delete(displaced.inFlight.request.id);
+    this.#displaced.push(displaced);
     return true;
   }
 
-  /** Those that have become late go after those of their kind that can be on time. */
+  /** Moves requests that have become late behind those that can still be on time. */
   #demoteLate(now: number): void {
-    const late = this.#ordered.removeWhere(({ inFlight, priority }) =>
+    const late = this.#prioritized.removeWhere(({ inFlight, priority }) =>
       inFlight.priorityAt(now) !== priority
     );
     for (const { inFlight, until, reason } of late) {
-      this.#add(createWaiting(inFlight, { until, reason, now }));
+      this.#add(createWaitingRequest(inFlight, { until, reason, now }));
     }
   }
 
-  #queueOf({ inFlight }: Waiting): FairQueue<Waiting> {
-    return inFlight.poolPriorities === undefined ? this.#plain : this.#ordered;
+  #queueOf({ inFlight }: WaitingRequest): FairQueue<WaitingRequest> {
+    return inFlight.poolPriorities === undefined
+      ? this.#firstInFirstOut
+      : this.#prioritized;
   }
 }
 
-function createWaiting(
+function createWaitingRequest(
   inFlight: InFlightRequest,
-  facts: {
+  details: {
     readonly until: number;
     readonly reason: NoTargetReason;
     readonly now: number;
   },
-): Waiting {
-  const { until, reason, now } = facts;
+): WaitingRequest {
+  const { until, reason, now } = details;
   const { poolPriorities, route } = inFlight;
   return {
     inFlight,
@@ -195,18 +197,18 @@
 }
 
 /**
- * When a request has waited as long as it may, in milliseconds. One that is known to find no
- * target until then does not wait.
+ * Returns the time at which a request's wait expires, in milliseconds. Returns negative
+ * infinity, so that the request does not wait, if no target can be available by then.
  */
-function getWaitEnd(
+function getWaitEndAt(
   inFlight: InFlightRequest,
   { reason, freeInMs = 0 }: Unavailability,
   now: number,
 ): number {
-  // A permit is asked for now, however long the request has been here.
+  // The permit is requested now, so the wait starts now, whenever the request arrived.
   const startAt = reason === "TARGETS_LIMITED" ? now : inFlight.arrivedAt;
-  const facts = tryReturnFacts(inFlight, { reason }, startAt);
-  if (facts === undefined) return Number.NEGATIVE_INFINITY;
-  const end = startAt + getLongestWaitMs(facts);
+  const details = tryCreateRetryDetails(inFlight, { reason }, startAt);
+  if (details === undefined) return Number.NEGATIVE_INFINITY;
+  const end = startAt + getLongestWaitMs(details);
   return now + freeInMs < end ? end : Number.NEGATIVE_INFINITY;
 }
--- a/src/entry/waiting_requests_test.ts
+++ b/src/entry/waiting_requests_test.ts
@@ -5,16 +5,16 @@
 import { RoutingTable } from "./routing_table.ts";
 import { WaitingRequests } from "./waiting_requests.ts";
 
-const MOST_WAITING = 256;
+const MAX_WAITING = 256;
 /** Priorities of the services `/s0`, `/s1` and `/s2` of one pool. */
 const PRIORITIES = [3, 5, 7];
 const TABLE = new RoutingTable(createDocuments([
   { path: "/organisations/andamaq", text: "kind: organisation" },
-  ...PRIORITIES.map((priority, place) => ({
-    path: `/organisations/andamaq/services/s${place}`,
+  ...PRIORITIES.map((priority, index) => ({
+    path: `/organisations/andamaq/services/s${index}`,
     text: [
       "kind: service",
-      `pathPrefix: /s${place}`,
+      `pathPrefix: /s${index}`,
       "pool: ranks",
       `priority: ${priority}`,
       "objectiveMs: 400",
@@ -52,8 +52,8 @@
   waiting: WaitingRequests,
   callers: readonly Caller[],
 ): readonly boolean[] {
-  return callers.map((caller, place) =>
-    waiting.tryAdd(createRequest(place + 1, caller), STALLED, 0)
+  return callers.map((caller, index) =>
+    waiting.tryAdd(createRequest(index + 1, caller), STALLED, 0)
   );
 }
 
@@ -61,8 +61,8 @@
   return waiting.all(now).map(({ request }) => request.id);
 }
 
-describe("requests that wait", () => {
-  it("go by priority, then organisations in turn, then age", () => {
+describe("waiting requests", () => {
+  it("are ordered by priority, then by organisations in turn, then by age", () => {
     const waiting = new WaitingRequests();
     addAll(waiting, [
       { service: 2 },
@@ -74,7 +74,7 @@
     assert.deepEqual(idsOf(waiting), [5, 2, 4, 3, 1]);
   });
 
-  it("count what was sent as its organisation's turn", () => {
+  it("that are sent count as the turn of their organisation", () => {
     const waiting = new WaitingRequests();
     addAll(waiting, [
       { organisation: "large" },
@@ -85,13 +85,13 @@
     assert.deepEqual(idsOf(waiting), [3, 2]);
   });
 
-  it("go after their kind once they are late", () => {
+  it("rank below others of their priority once they are late", () => {
     const waiting = new WaitingRequests();
     addAll(waiting, [{}, { arrivedAt: 200 }, { service: 2, arrivedAt: 200 }]);
     assert.deepEqual(idsOf(waiting, 241), [2, 1, 3]);
   });
 
-  it("go oldest first where the pool has one priority", () => {
+  it("are ordered by age if the pool has a single priority", () => {
     const waiting = new WaitingRequests();
     const isMixed = false;
     addAll(waiting, [
@@ -103,10 +103,10 @@
     assert.deepEqual(idsOf(waiting), [1, 2, 3, 4]);
   });
 
-  it("give up a place for a more urgent one when there are too many", () => {
+  it("are displaced by a more urgent one when the queue is full", () => {
     const waiting = new WaitingRequests();
     const callers = Array.from(
-      { length: MOST_WAITING },
+      { length: MAX_WAITING },
       () => ({ service: 2 }),
     );
     addAll(waiting, callers);
@@ -115,10 +115,10 @@
     assert.equal(add(1000, { service: 2 }), false);
     assert.equal(add(1001, { isMixed: false }), false);
     assert.equal(add(1002, { service: 0 }), true);
-    assert.equal(waiting.size, MOST_WAITING);
+    assert.equal(waiting.size, MAX_WAITING);
     assert.equal(idsOf(waiting)[0], 1002);
-    const [dropped, ...others] = waiting.takeExpired(0);
-    assert.equal(dropped?.inFlight.request.id, MOST_WAITING);
+    const [displaced, ...others] = waiting.takeExpired(0);
+    assert.equal(displaced?.inFlight.request.id, MAX_WAITING);
     assert.equal(others.length, 0);
   });
 });
