--- a/src/messages/back_end_instance.ts
+++ b/src/messages/back_end_instance.ts
@@ -1,31 +1,31 @@
 /**
- * The back ends that register themselves with the platform.
+ * Types for the back ends that register with the platform.
  *
  * @module
  */
 
 /** One incarnation of a back end. */
 export interface BackEndInstance {
-  /** Identifies the incarnation; never used again. */
+  /** Identifies the incarnation; never reused. */
   readonly id: string;
-  /** What it calls itself; one that starts again may keep its name. */
+  /** Name of the back end, which may be the same in several incarnations. */
   readonly name: string;
-  /** When it started, in Unix milliseconds of its own clock, if it says so. */
+  /** Start time in Unix milliseconds of the back end's own clock, if it is known. */
   readonly startedAt?: number;
   /** Host and port. */
   readonly address: string;
   readonly pool: string;
   readonly failureDomain: string;
-  /** Requests that it runs at once. */
+  /** Requests that the back end runs concurrently. */
   readonly concurrency: number;
   readonly state: "serving" | "leaving";
-  /** Whether its list entry says that it still warms up; undefined: it does not say. */
+  /** Whether the back end is registered as warming up; undefined: not specified. */
   readonly isCold?: boolean;
 }
 
-/** What the list entry of a back end says of how long it warms up. */
+/** What the registration of a back end states about its remaining warm-up time. */
 export type ColdnessWord =
   | { readonly kind: "untold" }
   | { readonly kind: "told"; readonly leftMs: number }
-  /** It says something else; `text` is what, shortened. */
+  /** The value cannot be parsed; `text` is the value, truncated. */
   | { readonly kind: "unreadable"; readonly text: string };
--- a/src/messages/back_end_notice.ts
+++ b/src/messages/back_end_notice.ts
@@ -1,37 +1,37 @@
 /**
- * What a back end says of itself with an answer, apart from the answer.
+ * Notices about its own state that a back end attaches to an answer.
  *
  * @module
  */
 
-/** What a back end says of the requests that it takes from all entries. */
+/** Limit on the rate of requests that a back end accepts from all entries together. */
 export type RateLimitWord =
-  /** It names no limit, so none holds. */
+  /** The back end announces no limit, so none applies. */
   | { readonly kind: "none" }
   | { readonly kind: "limit"; readonly perSecond: number }
-  /** It names something that is no limit, which changes nothing. */
+  /** The value is not a limit; the limit that applies does not change. */
   | UnreadableWord;
 
-/** For how long a back end asks whoever it answered to send it nothing. */
+/** Time for which a back end asks the receiver of an answer to send no requests. */
 export type BackoffWord =
   | { readonly kind: "none" }
   | { readonly kind: "backoff"; readonly milliseconds: number }
   | UnreadableWord;
 
-/** Whether a back end is about to leave. */
+/** Whether a back end is about to shut down. */
 export type LeavingWord =
   | { readonly kind: "none" }
   | { readonly kind: "leaving" }
   | UnreadableWord;
 
-/** A word that says nothing that could be understood. */
+/** A notice whose value cannot be parsed. */
 export interface UnreadableWord {
   readonly kind: "unreadable";
-  /** What it said, shortened. */
+  /** The received value, truncated. */
   readonly text: string;
 }
 
-/** What a back end says of itself with an answer. */
+/** All notices of one answer. */
 export interface BackEndNotice {
   readonly rateLimit: RateLimitWord;
   readonly backoff: BackoffWord;
--- a/src/messages/codec.ts
+++ b/src/messages/codec.ts
@@ -1,6 +1,6 @@
 /**
- * Bytes of the messages between processes. One frame carries all messages that
- * a process sent on one connection in one turn of its event loop.
+ * Encodes and decodes the messages between processes. One frame carries all messages
+ * that a process sent on one connection during one iteration of its event loop.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import { MESSAGE_SCHEMA } from "./schema.ts";
 import type { Message } from "./types.ts";
 
-/** Longest frame that is read, in bytes. */
+/** Maximum length of a received frame, in bytes. */
 export const MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
-/** Why a connection was closed, as the close code of the connection. */
+/** WebSocket close codes for the faults that close a connection. */
 export const LINK_FAULT_CODES = {
   UNREADABLE_FRAME: 4101,
   UNKNOWN_MESSAGE: 4102,
@@ -25,13 +25,13 @@
   NOT_COORDINATOR: 4109,
 } as const;
 
-/** Name of a fault for which a connection is closed. */
+/** Name of a fault that closes a connection. */
 export type LinkFault = keyof typeof LINK_FAULT_CODES;
 
 const PACKER = new Packr({ useRecords: false, encodeUndefinedAsNil: false });
 
 /**
- * Packs messages into one frame.
+ * Encodes messages as one frame.
  *
  * @example
  * ```ts
@@ -43,7 +43,7 @@
 }
 
 /**
- * Reads a frame; a frame with one bad message is bad as a whole.
+ * Decodes a frame; one invalid message makes the whole frame invalid.
  *
  * @example
  * ```ts
--- a/src/messages/formed_group_schema.ts
+++ b/src/messages/formed_group_schema.ts
@@ -1,5 +1,5 @@
 /**
- * Shapes of the messages of a formed group, checked on arrival.
+ * Schemas that validate the received messages of a formed group.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import { MAP_SCHEMA } from "./group_schema.ts";
 
 const COUNT = z.number().int().nonnegative();
-/** Experts or counts by layer. */
+/** Experts or counts of each layer. */
 const NUMBERS_BY_LAYER = z.array(z.array(COUNT));
 const AGE_MS = z.number().nonnegative();
 const PASS = { epoch: COUNT, pass: COUNT };
@@ -41,7 +41,7 @@
   z.object({ kind: z.literal("fence"), epoch: COUNT, version: COUNT }),
 ]);
 
-/** Shapes of all messages of a formed group. */
+/** Schemas of all messages of a formed group. */
 export const FORMED_GROUP_SCHEMAS = [
   z.object({
     kind: z.literal("rank_order"),
--- a/src/messages/formed_group_types.ts
+++ b/src/messages/formed_group_types.ts
@@ -1,58 +1,59 @@
 /**
- * The vocabulary of a rank group that the engines' platform forms by itself: it
- * starts anew, in a new epoch and with the first map, whenever a rank is lost.
+ * Types for a formed group: a rank group that the engines' platform forms by itself.
+ * Whenever a rank is lost, the group restarts in a new epoch with its initial map.
  *
- * Its engines may carry out an order seconds after they should have answered
- * it, and processes may end at any moment. So whatever a process relies on is a state
- * of an engine that no late order changes: see `held_pass.ts` and `decider.ts`.
+ * The engines may execute an order seconds after the response to it was due, and
+ * processes may exit at any time. Processes therefore rely only on engine state that no
+ * late order can change; see `held_pass.ts` and `decider.ts`.
  *
  * @module
  */
 import type { ExpertMap } from "./group_types.ts";
 
 /**
- * The rank that holds the pass of a switch, and whose engine decides it: this one is
- * armed before all others. The decider is beside rank 0: if that machine stands still,
- * the process beside the holder reads from its own engine how to end the switch.
+ * The rank that holds the pass of a switch. Its engine is armed before all others, so
+ * that its state determines the outcome of the switch. The decider is the sidecar of
+ * rank 0; if rank 0's VM is frozen, the sidecar of the holder determines from its own
+ * engine how to complete the switch.
  */
 const HOLDER_RANK = 1;
 
-/** The rank that holds the passes of switches in a group of so many ranks. */
+/** Returns the rank that holds the passes of switches in a group with `ranks` ranks. */
 export function getHolderRank(ranks: number): number {
   return Math.min(HOLDER_RANK, ranks - 1);
 }
 
-/** The engine switches to a prepared map as a pass begins. */
+/** A switch of the engine to a prepared map at the beginning of a pass. */
 export interface ArmedSwitch {
   readonly version: number;
   readonly pass: number;
 }
 
-/** What an engine says of itself and its group. */
+/** State that an engine reports about itself and its group. */
 export interface RankState {
   readonly group: string;
-  /** Number of this formation of the group. */
+  /** Number of the current formation of the group. */
   readonly epoch: number;
   readonly rank: number;
   readonly ranks: number;
   /** Whether the group runs passes. */
   readonly isOpen: boolean;
-  /** The last pass that was begun. */
+  /** The last pass that the group began. */
   readonly pass: number;
   readonly activeVersion: number;
-  /** The map that is loaded beside the active one, once it is whole. */
+  /** Version of the map that is completely loaded in addition to the active one. */
   readonly preparedVersion?: number;
   readonly armed?: ArmedSwitch;
-  /** Pass that the group does not begin until this rank is told to. */
+  /** Pass that the group does not begin until this rank gets a `go` order. */
   readonly heldPass?: number;
-  /** Requests that run at this rank, and that wait there. */
+  /** Requests that run at this rank and that are queued there. */
   readonly running: number;
   readonly queued: number;
-  /** Time of this rank's work over that of a rank of usual speed. */
+  /** Ratio of this rank's processing time to that of a rank of normal speed. */
   readonly pace: number;
 }
 
-/** Load a map beside the active one. */
+/** Orders an engine to load a map in addition to the active one. */
 export interface PrepareOrder {
   readonly kind: "prepare";
   readonly epoch: number;
@@ -60,14 +61,14 @@
   readonly map: ExpertMap;
 }
 
-/** The group does not begin a pass until this rank is told to go on. */
+/** Orders an engine to hold a pass: the group does not begin it without a `go` order. */
 export interface HoldPassOrder {
   readonly kind: "hold";
   readonly epoch: number;
   readonly pass: number;
 }
 
-/** Switch to the prepared map as a pass begins. */
+/** Orders an engine to switch to the prepared map at the beginning of a pass. */
 export interface ArmOrder {
   readonly kind: "arm";
   readonly epoch: number;
@@ -75,20 +76,20 @@
   readonly pass: number;
 }
 
-/** The group may begin a pass that this rank holds. */
+/** Orders an engine to let the group begin the pass that its rank holds. */
 export interface GoOrder {
   readonly kind: "go";
   readonly epoch: number;
   readonly pass: number;
 }
 
-/** What an engine can be ordered to do. */
+/** An order to an engine. */
 export type EngineOrder = PrepareOrder | HoldPassOrder | ArmOrder | GoOrder;
 
 /**
- * Prepare, under a new version, a map that needs no copy. What was prepared before can
- * then not be armed any more, also not by an order that is carried out late, and also
- * after the process that gave it has ended.
+ * Orders an engine to prepare, under a new version, a map that requires no copying. The
+ * previously prepared map can then no longer be armed, not even by an order that is
+ * executed late or whose sender has exited.
  */
 export interface FenceOrder {
   readonly kind: "fence";
@@ -96,58 +97,62 @@
   readonly version: number;
 }
 
-/** What a rank's process can be ordered to have its engine do. */
+/** An order that the sidecar of a rank executes at its engine. */
 export type RankOrder = EngineOrder | FenceOrder;
 
-/** What became of an order. */
+/** Outcome of sending an order to an engine. */
 export type OrderOutcome = "accepted" | "rejected" | "unanswered";
 
-/** Experts of one rank, by layer. */
+/** Experts of one rank for each layer. */
 export type RankExperts = readonly (readonly number[])[];
 
-/** How often the requests of one rank chose each expert, by layer. */
+/** How often the requests of one rank were routed to each expert of each layer. */
 export type ExpertCounts = readonly (readonly number[])[];
 
-/** The decider tells a rank's process to give an order to its engine. */
+/** Instructs the sidecar of a rank to send an order to its engine. */
 export interface RankOrderMessage {
   readonly kind: "rank_order";
   readonly orderId: number;
   readonly order: RankOrder;
 }
 
-/** Rows of a new map that differ, by columns, since names of fields would take most of the bytes. */
+/**
+ * Changed rows of a new map in column format, since the field names of a row format would
+ * take up most of the bytes.
+ */
 export interface MapRows {
   /** Layer of each row. */
   readonly layers: readonly number[];
   /** Rank of each row. */
   readonly ranks: readonly number[];
-  /** Experts of that layer that the rank drops. */
+  /** Experts that each row's rank drops from the layer. */
   readonly dropped: readonly (readonly number[])[];
-  /** Experts of that layer that the rank gains. */
+  /** Experts that each row's rank gains in the layer. */
   readonly gained: readonly (readonly number[])[];
 }
 
-/** The map in force, ahead of the orders that tell what differs from it. */
+/** The active map, sent before orders that contain only changes to it. */
 export interface MapBaseMessage {
   readonly kind: "map_base";
   readonly map: ExpertMap;
 }
 
-/** An order to prepare a map, as what differs from the last one on the same link. */
+/** An order to prepare a map, encoded as changes to the last map on the same link. */
 export interface MapChangeMessage {
   readonly kind: "map_change";
   readonly orderId: number;
   readonly epoch: number;
   readonly version: number;
-  /** The rows that differ. */
+  /** The changed rows. */
   readonly rows: MapRows;
   /** SHA-256 of all rows of the new map. */
   readonly checksum: string;
 }
 
 /**
- * The decider asks a rank's process whether an order was carried out that it gave
- * itself: what an engine tells other machines is some hundred milliseconds old.
+ * Asks the sidecar of a rank whether the engine has executed an order that the decider
+ * sent to the engine itself. The state that an engine reports to other VMs is some
+ * hundred milliseconds old.
  */
 export interface RankCheckMessage {
   readonly kind: "rank_check";
@@ -155,95 +160,96 @@
   readonly order: RankOrder;
 }
 
-/** The decider asks a rank's process for state and counts of its engine. */
+/** Requests the state and counts of an engine from the sidecar of its rank. */
 export interface RankQueryMessage {
   readonly kind: "rank_query";
-  /** Whether the experts of the rank are wanted, too. */
+  /** Whether the report is to include the experts of the rank. */
   readonly withExperts: boolean;
-  /** Whether the counts of the rank are wanted, too: the greatest part of an answer. */
+  /** Whether the report is to include the counts, which are the largest part of it. */
   readonly withCounts: boolean;
-  /** Number of the counts that the asker has of this rank. */
+  /** Serial number of the counts that the requester already has from this rank. */
   readonly knownCounts?: number;
 }
 
-/** Counts of a rank, as they are told. */
+/** Counts of a rank as they are reported. */
 export interface CountsReport {
-  /** Number of these counts; each telling has the next one. */
+  /** Serial number of these counts; it increases by one with each report. */
   readonly serial: number;
   /**
-   * Number of the counts to which these were added; undefined: they count from the
-   * start of the engine.
+   * Serial number of the counts to which these must be added; undefined: these are the
+   * totals since the start of the engine.
    */
   readonly since?: number;
   readonly counts: ExpertCounts;
 }
 
-/** How a rank's engine stands. */
+/** Reports the state of a rank's engine. */
 export interface RankReportMessage {
   readonly kind: "rank_report";
   readonly state: RankState;
-  /** The order that this answers; undefined for an answer to a query. */
+  /** Order to which this report responds; undefined in a response to a query. */
   readonly orderId?: number;
-  /** Whether the state shows that the order was carried out. */
+  /** Whether the state shows that the order has been executed. */
   readonly isDone?: boolean;
   readonly counts?: CountsReport;
   readonly experts?: RankExperts;
 }
 
-/** Load of one rank, for entries. */
+/** Load of one rank as reported to entries. */
 export interface RankLoadRow {
-  /** Host and port at which the rank takes requests. */
+  /** Host and port at which the rank accepts requests. */
   readonly engineAddress: string;
   readonly running: number;
   readonly queued: number;
-  /** Time of its work over that of a rank of usual speed. */
+  /** Ratio of its processing time to that of a rank of normal speed. */
   readonly pace: number;
 }
 
-/** How a group stands, as its decider heard it. */
+/** State and load of a group as known to its decider. */
 export interface GroupLoad {
   readonly pool: string;
   readonly group: string;
   /** Whether the group runs passes; requests are refused while it does not. */
   readonly isOpen: boolean;
-  /** Milliseconds since the decider heard so from rank 0. */
+  /** Milliseconds since the decider received this state from rank 0. */
   readonly ageMs: number;
-  /** Mean time of the last passes in milliseconds; undefined: there were none. */
+  /** Mean duration of recent passes in milliseconds; undefined: there were none. */
   readonly passMs?: number;
-  /** Formation of the group; undefined from deciders of earlier versions. */
+  /** Epoch of the group; undefined if sent by a decider of an earlier version. */
   readonly epoch?: number;
   readonly loads: readonly RankLoadRow[];
 }
 
 /**
- * The decider tells an entry how its group stands: loads by columns, and addresses only
- * when they are not those told before on the same connection. With 64 ranks that is 0.3 KB
- * in place of 3.8, which each of a hundred entries hears some times a second.
+ * Reports the state and load of the decider's group to an entry. Loads are in column
+ * format, and addresses are included only if they differ from those sent last on the same
+ * connection. With 64 ranks this reduces the message from 3.8 KB to 0.3 KB; it is sent
+ * to each of a hundred entries several times per second.
  */
 export interface GroupLoadMessage extends Omit<GroupLoad, "loads"> {
   readonly kind: "group_load";
-  /** Engines of the ranks; undefined: those told last. */
+  /** Addresses of the ranks' engines; undefined: those sent last. */
   readonly engineAddresses?: readonly string[];
   readonly running: readonly number[];
   readonly queued: readonly number[];
-  /** Pace of each rank in hundredths. */
+  /** Pace of each rank in percent. */
   readonly pacePercents: readonly number[];
 }
 
 /**
- * A rank's process tells the entries near it whether its group runs. The decider's own
- * word does not reach them while its machine is cut off or dead, and the group is lost
- * just then.
+ * Reports from the sidecar of a rank to the entries in its failure domain whether the
+ * group runs. Reports of the decider do not reach them while its VM is unreachable or
+ * dead, which is also when the group is lost.
  */
 export interface GroupSightMessage {
   readonly kind: "group_sight";
   readonly group: string;
   readonly isOpen: boolean;
-  /** Milliseconds since the engine was looked at. */
+  /** Milliseconds since the engine's state was read. */
   readonly ageMs: number;
 }
 
-/** Messages of a formed group's processes, among them and to entries. */
+/** Messages that the sidecars of a formed group send to each other and to entries. */
 export type FormedGroupMessage =
   | GroupLoadMessage
   | GroupSightMessage
@@ -254,7 +260,7 @@
   | RankQueryMessage
   | RankReportMessage;
 
-/** Whether a state shows that an order has been carried out. */
+/** Returns whether a state shows that an order has been executed. */
 export function isCarriedOut(order: RankOrder, state: RankState): boolean {
   if (state.epoch !== order.epoch) return false;
   switch (order.kind) {
@@ -271,8 +277,8 @@
   }
 }
 
-/** Whether a rank will switch to a version as a pass begins. */
-function isArmedFor(state: RankState, wanted: ArmedSwitch): boolean {
-  return state.armed?.version === wanted.version &&
-    state.armed.pass === wanted.pass;
+/** Returns whether a rank is armed for the given version and pass. */
+function isArmedFor(state: RankState, armedSwitch: ArmedSwitch): boolean {
+  return state.armed?.version === armedSwitch.version &&
+    state.armed.pass === armedSwitch.pass;
 }
--- a/src/messages/group_schema.ts
+++ b/src/messages/group_schema.ts
@@ -1,5 +1,5 @@
 /**
- * Shapes of what ranks and engines say, checked on arrival.
+ * Schemas that validate received messages of ranks and states of engines.
  *
  * @module
  */
@@ -13,12 +13,12 @@
 
 const COUNT = z.number().int().nonnegative();
 const OPTIONAL_COUNT = COUNT.optional();
-/** Shape of an expert map. */
+/** Schema of an expert map. */
 export const MAP_SCHEMA: z.ZodType<ExpertMap> = z.object({
   layers: z.array(z.object({ experts: z.array(z.array(COUNT)) })),
 });
 
-/** Shape of what an engine says of itself. */
+/** Schema of the state that an engine reports. */
 export const ENGINE_STATE_SCHEMA: z.ZodType<EngineState> = z.object({
   incarnation: COUNT,
   step: COUNT,
@@ -32,7 +32,7 @@
 const DECIDER = { epoch: COUNT, decider: z.string() };
 const VERSIONED = { epoch: COUNT, version: COUNT };
 
-/** Shape of what rank 0 says to a member. */
+/** Schema of the messages that rank 0 sends to a member. */
 export const COORDINATOR_MESSAGE_SCHEMA: z.ZodType<CoordinatorMessage> = z
   .discriminatedUnion("kind", [
     z.object({ kind: z.literal("bind"), ...DECIDER }),
@@ -58,7 +58,7 @@
     z.object({ kind: z.literal("abort"), ...DECIDER, version: COUNT }),
   ]) as z.ZodType<CoordinatorMessage>;
 
-/** Shape of what a member says to rank 0. */
+/** Schema of the messages that a member sends to rank 0. */
 export const MEMBER_MESSAGE_SCHEMA: z.ZodType<MemberMessage> = z
   .discriminatedUnion("kind", [
     z.object({
--- a/src/messages/group_types.ts
+++ b/src/messages/group_types.ts
@@ -1,69 +1,69 @@
 /**
- * The vocabulary of a rank group: its expert map, the messages by which the map
- * is switched, and what an engine can be ordered to do.
+ * Types for a rank group: its expert map, the messages that coordinate a switch of the
+ * map, and the orders to an engine.
  *
- * The target process at rank 0 decides; the one at each rank, rank 0 included,
- * is a member and gives its engine orders.
+ * The target process of rank 0 is the coordinator, which decides on switches. The target
+ * process of each rank, including rank 0, is a member, which sends orders to its engine.
  *
  * @module
  */
 
-/** Experts in the slots of each rank, for one layer: `experts[rank][slot]`. */
+/** Experts in the slots of each rank for one layer: `experts[rank][slot]`. */
 export interface LayerPlacement {
   readonly experts: readonly (readonly number[])[];
 }
 
-/** Which rank holds which experts, for every layer. */
+/** Placement of the experts on the ranks for every layer. */
 export interface ExpertMap {
   readonly layers: readonly LayerPlacement[];
 }
 
-/** The engine runs with a map at a step, and not before it. */
+/** Activates a map at a step; earlier steps run without it. */
 export interface Activation {
   readonly version: number;
   readonly step: number;
 }
 
-/** A map and its number. */
+/** A map and its version. */
 export interface VersionedMap {
   readonly version: number;
   readonly map: ExpertMap;
 }
 
-/** What an engine says of itself. It outlives the process in front of it. */
+/** State that an engine reports. It persists when the engine's target process exits. */
 export interface EngineState {
-  /** Number of the lock-step run; ranks of different runs never step together. */
+  /** Number of the lock-step run; ranks of different runs never share a step. */
   readonly incarnation: number;
-  /** Next step that the engine would run. */
+  /** Next step that the engine will run. */
   readonly step: number;
-  /** Map of that step, unless an activation says otherwise. */
+  /** Version of the map for that step, unless an activation specifies another one. */
   readonly activeVersion: number;
-  /** Map that is loaded beside the active one. */
+  /** Version of the map that is loaded in addition to the active one. */
   readonly stagedVersion: number | undefined;
-  /** Step that the engine does not begin until it is told more. */
+  /** Step that the engine does not begin until it gets another order. */
   readonly holdBefore: number | undefined;
-  /** The newest activation, ahead or past. */
+  /** The latest activation, whether its step is still ahead or has passed. */
   readonly activation: Activation | undefined;
-  /** The maps that are loaded. */
+  /** The loaded maps. */
   readonly maps: readonly VersionedMap[];
 }
 
-/** What an engine counted since it was last asked. */
+/** Load that an engine measured since the previous request for it. */
 export interface RankLoad {
-  /** Tokens a step that this rank computed for each expert of each layer. */
+  /** Tokens per step that this rank computed for each expert of each layer. */
   readonly tokens: readonly (readonly number[])[];
-  /** Time of this rank over what its tokens take at usual speed. */
+  /** Ratio of this rank's time to the time that its tokens take at normal speed. */
   readonly slowdown: number;
 }
 
-/** Load a map beside the active one. */
+/** Orders an engine to load a map in addition to the active one. */
 export interface StageOrder {
   readonly kind: "stage";
   readonly version: number;
   readonly map: ExpertMap;
 }
 
-/** Begin a new lock-step run with a map, held before its step 0. */
+/** Orders an engine to begin a new lock-step run with a map and to hold before step 0. */
 export interface AssembleOrder {
   readonly kind: "assemble";
   readonly incarnation: number;
@@ -71,27 +71,27 @@
   readonly map: ExpertMap;
 }
 
-/** Do not begin this step until told more; too late if it has begun. */
+/** Orders an engine not to begin a step until it gets another order. */
 export interface HoldOrder {
   readonly kind: "hold";
   readonly version: number;
   readonly step: number;
 }
 
-/** Run with the staged map from this step on, and hold no longer. */
+/** Orders an engine to run with the staged map from a step on, and to stop holding. */
 export interface ActivateOrder {
   readonly kind: "activate";
   readonly version: number;
   readonly step: number;
 }
 
-/** Drop a staged map and hold no longer. */
+/** Orders an engine to discard a staged map and to stop holding. */
 export interface ReleaseOrder {
   readonly kind: "release";
   readonly version: number;
 }
 
-/** What an engine can be ordered to do. All orders are idempotent. */
+/** An order to an engine. All orders are idempotent. */
 export type EngineOrder =
   | StageOrder
   | AssembleOrder
@@ -99,49 +99,49 @@
   | ActivateOrder
   | ReleaseOrder;
 
-/** Who decides. An epoch belongs to one decider at each member. */
+/** Identifies the decider. At each member, an epoch belongs to a single decider. */
 export interface Decider {
-  /** Grows with each decider of the group, and each time it binds anew. */
+  /** Increases with each new decider of the group and each time a decider binds again. */
   readonly epoch: number;
   /** Incarnation of the decider's process. */
   readonly decider: string;
 }
 
-/** The sender decides from now on; earlier deciders are to be refused. */
+/** Announces the sender as the decider; members reject earlier deciders from then on. */
 export interface BindMessage extends Decider {
   readonly kind: "bind";
 }
 
-/** Load a map; with `assemble`, for a new lock-step run. */
+/** Requests that a member load a map; with `assemble`, for a new lock-step run. */
 export interface StageMessage extends Decider {
   readonly kind: "stage";
   readonly version: number;
   readonly map: ExpertMap;
-  /** Number of the run to begin; undefined to go on with the present one. */
+  /** Number of the run to begin; undefined to continue the current one. */
   readonly assemble: number | undefined;
 }
 
-/** Promise not to begin a step without the decision. */
+/** Requests a promise that the engine does not begin a step before the decision. */
 export interface PrepareMessage extends Decider {
   readonly kind: "prepare";
   readonly version: number;
   readonly step: number;
 }
 
-/** The decision: all ranks run with the map from the step on. */
+/** Announces the decision that all ranks run with the map from the step on. */
 export interface CommitMessage extends Decider {
   readonly kind: "commit";
   readonly version: number;
   readonly step: number;
 }
 
-/** The decision: no rank runs with the map. */
+/** Announces the decision that no rank runs with the map. */
 export interface AbortMessage extends Decider {
   readonly kind: "abort";
   readonly version: number;
 }
 
-/** What rank 0 says to a member. */
+/** A message of rank 0 to a member. */
 export type CoordinatorMessage =
   | BindMessage
   | StageMessage
@@ -149,14 +149,14 @@
   | CommitMessage
   | AbortMessage;
 
-/** The member follows the epoch, and tells what its engine has. */
+/** Confirms that the member follows the epoch, and reports the state of its engine. */
 export interface BoundMessage {
   readonly kind: "bound";
   readonly epoch: number;
   readonly engine: EngineState;
 }
 
-/** The member does not follow the sender. */
+/** Reports that the member follows another decider than the receiver. */
 export interface OutdatedMessage {
   readonly kind: "outdated";
   /** The epoch that the member follows. */
@@ -165,7 +165,7 @@
   readonly decider: string;
 }
 
-/** The map is loaded. */
+/** Reports that the map is loaded. */
 export interface StagedMessage {
   readonly kind: "staged";
   readonly epoch: number;
@@ -173,7 +173,7 @@
   readonly step: number;
 }
 
-/** The engine will not begin the step without the decision. */
+/** Promises that the engine does not begin the step before the decision. */
 export interface PreparedMessage {
   readonly kind: "prepared";
   readonly epoch: number;
@@ -181,32 +181,32 @@
   readonly step: number;
 }
 
-/** The engine had begun the step before it could be held. */
+/** Reports that the engine had begun the step before it could hold. */
 export interface TooLateMessage {
   readonly kind: "too_late";
   readonly epoch: number;
   readonly version: number;
-  /** The step that was asked for. */
+  /** The requested step. */
   readonly step: number;
   /** Next step of the engine. */
   readonly engineStep: number;
 }
 
-/** The engine has carried out the decision on a version. */
+/** Reports that the engine has executed the decision on a version. */
 export interface AppliedMessage {
   readonly kind: "applied";
   readonly epoch: number;
   readonly version: number;
 }
 
-/** The member holds and asks for the decision. */
-export interface AskMessage {
+/** Requests the decision while the engine holds. */
+export interface DecisionRequestMessage {
   readonly kind: "ask";
   readonly epoch: number;
   readonly version: number;
 }
 
-/** What a member says to rank 0. */
+/** A message of a member to rank 0. */
 export type MemberMessage =
   | BoundMessage
   | OutdatedMessage
@@ -214,4 +214,4 @@
   | PreparedMessage
   | TooLateMessage
   | AppliedMessage
-  | AskMessage;
+  | DecisionRequestMessage;
--- a/src/messages/handshake.ts
+++ b/src/messages/handshake.ts
@@ -1,6 +1,6 @@
 /**
- * Proof that a process belongs to the deployment: a keyed hash over both
- * nonces, so that a recorded proof is worth nothing on another connection.
+ * Creates and verifies the proof that a process belongs to the deployment: a keyed hash
+ * (HMAC) over both nonces, so that a proof cannot be replayed on another connection.
  *
  * @module
  */
@@ -9,10 +9,13 @@
 
 const NONCE_BYTES = 16;
 
-/** What a proof is made over. */
+/** Data that a proof authenticates. */
 export interface ProofInput {
   readonly secret: string;
-  /** Which side proves, so that a proof cannot be sent back as one's own. */
+  /**
+   * Side that creates the proof; included so that a proof cannot be reflected to its
+   * sender.
+   */
   readonly side: "dialling" | "dialled";
   readonly deployment: string;
   readonly name: string;
@@ -21,13 +24,13 @@
   readonly nonces: readonly [string, string];
 }
 
-/** A fresh nonce. */
+/** Creates a random nonce. */
 export function createNonce(): string {
   return randomBytes(NONCE_BYTES).toString("hex");
 }
 
 /**
- * Makes the proof of one side.
+ * Creates the proof of one side.
  *
  * @example
  * ```ts
@@ -48,8 +51,8 @@
 }
 
 /**
- * Whether `proof` is the one that `input` asks for; takes the same time for
- * every wrong proof.
+ * Returns whether `proof` is the proof of `input`. The comparison takes constant time
+ * for proofs of the right length.
  *
  * @example
  * ```ts
--- a/src/messages/http_headers.ts
+++ b/src/messages/http_headers.ts
@@ -1,12 +1,12 @@
 /**
- * HTTP headers: which are passed on, and in which shape (RFC 9110).
+ * Selects the HTTP headers that are forwarded (RFC 9110).
  *
  * @module
  */
 import type { Header } from "./types.ts";
 
-/** Headers that concern one connection only and are never passed on. */
-const HOP_BY_HOP: ReadonlySet<string> = new Set([
+/** Headers that apply to a single connection and are never forwarded. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -19,33 +19,36 @@
   "expect",
 ]);
 
-/** Headers of a client's own that are not passed to back ends. */
-const NOT_FORWARDED: ReadonlySet<string> = new Set(["host", "content-length"]);
+/** End-to-end headers of a request that are not forwarded to back ends. */
+const NOT_FORWARDED_HEADERS: ReadonlySet<string> = new Set([
+  "host",
+  "content-length",
+]);
 
 /**
- * End-to-end headers of an incoming message: without those that concern one
- * connection, or that its Connection header names.
+ * Returns the end-to-end headers of a received message, which are all but the
+ * hop-by-hop headers and the headers that its `Connection` header names.
  */
 export function endToEndHeadersOf(
   headers: Readonly<Record<string, string | readonly string[] | undefined>>,
 ): readonly Header[] {
   const connection = headers["connection"];
-  const named = new Set(
+  const connectionHeaders = new Set(
     String(connection ?? "").toLowerCase().split(",").map((name) =>
       name.trim()
     ),
   );
   return Object.entries(headers).flatMap(([name, value]) => {
     if (value === undefined) return [];
-    if (HOP_BY_HOP.has(name) || named.has(name)) return [];
+    if (HOP_BY_HOP_HEADERS.has(name) || connectionHeaders.has(name)) return [];
     const values = typeof value === "string" ? [value] : value;
-    return values.map((one): Header => [name, one]);
+    return values.map((item): Header => [name, item]);
   });
 }
 
-/** Headers of a request that go to a back end. */
+/** Returns the headers of a request that are forwarded to a back end. */
 export function forwardedHeadersOf(
   headers: readonly Header[],
 ): readonly Header[] {
-  return headers.filter(([name]) => !NOT_FORWARDED.has(name));
+  return headers.filter(([name]) => !NOT_FORWARDED_HEADERS.has(name));
 }
--- a/src/messages/notice_reader.ts
+++ b/src/messages/notice_reader.ts
@@ -1,24 +1,24 @@
 /**
- * Reads what a back end says of itself in the headers of an answer.
+ * Parses the notices of a back end from the headers of an answer.
  *
  * @module
  */
 import type { BackoffWord, UnreadableWord } from "./back_end_notice.ts";
 import type { Header } from "./types.ts";
 
-/** Status of an answer that may ask its receiver to send nothing for a time. */
+/** Status of answers whose `Retry-After` header requests a backoff. */
 export const UNAVAILABLE_STATUS = 503;
 
-/** A decimal number of at most nine digits before the point. */
+/** A decimal number with at most nine digits before and after the point. */
 const DECIMAL = /^\d{1,9}(\.\d{1,9})?$/;
-/** Characters of an unreadable word that are kept for the log. */
-const UNREADABLE_LENGTH = 40;
+/** Maximum number of characters of an unreadable notice that are logged. */
+const MAX_UNREADABLE_LENGTH = 40;
 const RETRY_AFTER = "retry-after";
 
 /**
- * What an answer says of a backoff. Only one of status 503 speaks of the back end as a whole;
- * with another status the header concerns the caller. A date is unreadable: the time of
- * day here and there may differ by seconds.
+ * Parses the backoff that an answer requests. Only with status 503 does the header apply
+ * to the whole back end; with any other status it concerns the caller. A date counts as
+ * unreadable, since the clocks of the two VMs may differ by seconds.
  *
  * @example
  * ```ts
@@ -38,22 +38,22 @@
     : { kind: "backoff", milliseconds: seconds * 1000 };
 }
 
-/** A header's value; its values joined where it is there twice. */
+/** Returns the value of a header; the values of a repeated header are joined. */
 export function tryWord(
   headers: readonly Header[],
-  wanted: string,
+  headerName: string,
 ): string | undefined {
-  const values = headers.filter(([name]) => name === wanted);
+  const values = headers.filter(([name]) => name === headerName);
   if (values.length === 0) return undefined;
   return values.map(([, value]) => value).join(", ");
 }
 
-/** A number without sign or exponent. */
+/** Parses a decimal number without sign or exponent. */
 export function tryDecimal(text: string): number | undefined {
   return DECIMAL.test(text) ? Number(text) : undefined;
 }
 
-/** A word that cannot be understood, for the log. */
+/** Creates an unreadable notice with a truncated copy of the text for the log. */
 export function createUnreadable(text: string): UnreadableWord {
-  return { kind: "unreadable", text: text.slice(0, UNREADABLE_LENGTH) };
+  return { kind: "unreadable", text: text.slice(0, MAX_UNREADABLE_LENGTH) };
 }
--- a/src/messages/peer_schema.ts
+++ b/src/messages/peer_schema.ts
@@ -1,5 +1,5 @@
 /**
- * Shapes of the messages between entries, checked on arrival.
+ * Schemas that validate the received messages of other entries.
  *
  * @module
  */
@@ -17,7 +17,7 @@
   failureDomain: z.string(),
   concurrency: COUNT,
   state: z.enum(["serving", "leaving"]),
-  // One that cannot be read counts as absent; the other back ends hold.
+  // An invalid value counts as absent, so that it does not invalidate the whole list.
   isCold: z.boolean().optional().catch(undefined),
 });
 
@@ -60,7 +60,7 @@
   }).optional(),
 });
 
-/** Shapes of all messages between entries. */
+/** Schemas of all messages between entries. */
 export const PEER_SCHEMAS = [
   z.object({
     kind: z.literal("store_news_query"),
--- a/src/messages/peer_types.ts
+++ b/src/messages/peer_types.ts
@@ -1,151 +1,157 @@
 /**
- * What entries tell each other: of the platform's store, which one reads for many, of
- * requests under which targets ended, of the limits that targets name, and of targets that
- * have said that they leave.
+ * Types of the messages between entries. One entry reads the platform's store for many
+ * others and sends them updates. All entries replicate the requests under which targets
+ * crashed, the limits that targets announce, and the targets that are leaving.
  *
  * @module
  */
 import type { BackEndInstance } from "./back_end_instance.ts";
 import type { ListedProcess } from "./listed_process.ts";
 
-/** The drained failure domains, as the store held them at a revision. */
+/** The drained failure domains at a revision of the store. */
 export interface DrainSet {
-  /** Revision of the store at which this was the set; higher is newer. */
+  /** Revision of the store; higher is newer. */
   readonly revision: number;
   /** In alphabetical order. */
   readonly failureDomains: readonly string[];
 }
 
-/** A target that ended under a request, as another entry heard of it. */
+/** A crash of a target under a request, as recorded by another entry. */
 export interface CrashNews {
   readonly target: string;
-  /** Milliseconds since it was last known to live. */
+  /** Milliseconds since the target was last known to be alive. */
   readonly aliveAgeMs: number;
-  /** Milliseconds since the attempt there ended without an answer. */
+  /** Milliseconds since the attempt at the target ended without an answer. */
   readonly endedAgeMs: number;
 }
 
-/** What another entry remembers of a request under which targets ended. */
+/** A request under which targets crashed, as recorded by another entry. */
 export interface CrashedRequestNews {
   /** Digest of the request. */
   readonly request: string;
   readonly crashes: readonly CrashNews[];
-  /** Milliseconds since it was answered after a crash, if it ever was. */
+  /** Milliseconds since the request was answered after a crash, if it ever was. */
   readonly servedAgeMs?: number;
 }
 
-/** What another entry remembers of a target's limit. */
+/** A target's limit, as recorded by another entry. */
 export interface TargetLimitNews {
   readonly target: string;
-  /** Requests a second from all entries; undefined: the limit has ended. */
+  /** Requests per second from all entries together; undefined: the limit was removed. */
   readonly perSecond?: number;
-  /** Counts the changes of this target's limit. */
+  /** Number of changes of this target's limit. */
   readonly version: number;
-  /** Milliseconds since the target said so last. */
+  /** Milliseconds since the target last announced the limit. */
   readonly ageMs: number;
 }
 
-/** A target that has said that it leaves, as another entry remembers it. */
+/** A target that has announced that it is leaving, as recorded by another entry. */
 export interface LeavingTargetNews {
   readonly target: string;
-  /** Milliseconds since it was last heard of. */
+  /** Milliseconds since the target's last announcement. */
   readonly ageMs: number;
 }
 
-/** What an entry remembers of one matter. */
+/** One section of the replicated state. */
 export interface MemoryNews<Item> {
-  /** In short: the same for the same memory. */
+  /** Digest, which is equal for equal sections. */
   readonly content: string;
-  /** All of it; undefined where the other one was told that it has the same. */
+  /** All items; undefined if the receiver is known to have an equal section. */
   readonly items?: readonly Item[];
 }
 
-/** What an entry remembers that is in no store; a matter of which it remembers none is left out. */
+/** State that entries replicate among themselves; empty sections are omitted. */
 export interface MemoriesNews {
   readonly crashes?: MemoryNews<CrashedRequestNews>;
   readonly limits?: MemoryNews<TargetLimitNews>;
   readonly leaving?: MemoryNews<LeavingTargetNews>;
 }
 
-/** What an entry has already, so that only news is told. */
+/** What the sender of a query already has, so that only updates are sent. */
 export interface KnownNews {
   /** Version of its settings; undefined when it has none. */
   readonly settingsVersion?: number;
-  /** What its list of back ends says; undefined when it has none. */
+  /** Digest of its list of back ends; undefined when it has none. */
   readonly directoryContent?: string;
-  /** Revision of its list of processes; undefined when it wants none. */
+  /** Revision of its list of processes; undefined when it does not request the list. */
   readonly processesRevision?: number;
   /** Revision at which its drains were read; undefined when it has read none. */
   readonly drainsRevision?: number;
 }
 
-/** Asks another entry for whatever it heard from the store since. */
+/** Requests updates from the store that the sender does not have yet. */
 export interface StoreNewsQueryMessage extends KnownNews {
   readonly kind: "store_news_query";
-  /** Told with the answer. */
+  /** Returned with the response. */
   readonly queryId: number;
-  /** Whether news is to follow as it is heard. */
+  /** Whether the receiver is to send further updates as they arrive. */
   readonly isFollowing: boolean;
   readonly memories: MemoriesNews;
 }
 
-/** A list of back ends as another entry heard it. */
+/** The list of back ends, as received by another entry. */
 export interface DirectoryNews {
   /** Revision of the store. */
   readonly revision: number;
-  /** Milliseconds since the store was asked for it, as told. */
+  /** Milliseconds since the list was requested from the store. */
   readonly ageMs: number;
-  /** What the list says, in short: the same for the same back ends. */
+  /** Digest of the list, which is equal for equal back ends. */
   readonly content: string;
-  /** Undefined where the asker has a list that says the same. */
+  /** Undefined if the receiver already has an equal list. */
   readonly instances?: readonly BackEndInstance[];
 }
 
-/** The system's own processes, as another entry heard of them. */
+/** The list of lagoonwharf's processes, as received by another entry. */
 export interface ProcessNews {
   /** Revision of the store at which the list last changed. */
   readonly revision: number;
   readonly processes: readonly ListedProcess[];
 }
 
-/** Answers a query, or follows one; what the asker has already is left out. */
+/**
+ * Responds to a query, or sends a later update to its sender. What the receiver already
+ * has is omitted.
+ */
 export interface StoreNewsMessage {
   readonly kind: "store_news";
-  /** Question that this answers; undefined for news that follows. */
+  /** Query to which this responds; undefined for a later update. */
   readonly queryId?: number;
-  /** Whether the store answers the sender, or a reader that the store answers. */
+  /**
+   * Whether the sender currently receives responses from the store, directly or through
+   * another reader.
+   */
   readonly isReading: boolean;
-  /** Settings as the operator wrote them. */
+  /** Text of the settings as written by the operator. */
   readonly settingsText?: string;
-  /** Milliseconds since the store was asked whether there are newer ones. */
+  /** Milliseconds since the store was last queried for newer settings. */
   readonly settingsAgeMs?: number;
-  /** As old as the settings, since both come from one watch. */
+  /** Drained domains, of the same age as the settings, since one watch provides both. */
   readonly drains?: DrainSet;
   readonly directory?: DirectoryNews;
   readonly processes?: ProcessNews;
   readonly memories: MemoriesNews;
 }
 
-/** Asks the entry that gives permits for a target that has named a limit. */
+/** Requests permits from their issuer, for a target that has announced a limit. */
 export interface SendPermitQueryMessage {
   readonly kind: "send_permit_query";
-  /** Told with the answer. */
+  /** Returned with the response. */
   readonly queryId: number;
   readonly target: string;
-  /** Requests that the asker would send. */
+  /** Number of requests that the requester wants to send. */
   readonly count: number;
 }
 
-/** Gives permits, each for one request, or none. */
+/** Issues permits, each for one request; possibly none. */
 export interface SendPermitsMessage {
   readonly kind: "send_permits";
   readonly queryId: number;
   readonly granted: number;
-  /** Milliseconds after which asking again makes sense, where none is given. */
+  /** Milliseconds after which to request permits again, if none was issued. */
   readonly waitMs: number;
 }
 
-/** Messages between entries that follow one store. */
+/** Messages between the entries that use the same store. */
 export type PeerMessage =
   | StoreNewsQueryMessage
   | StoreNewsMessage
--- a/src/messages/priority.ts
+++ b/src/messages/priority.ts
@@ -1,13 +1,13 @@
 /**
- * How urgent requests are, as numbers and by the names that settings and callers use.
+ * Priorities of requests, as numbers and as the names that settings and callers use.
  *
  * @module
  */
 
-/** How urgent a request is: a whole number from 0, which is first, to 9. */
+/** Priority of a request: an integer from 0 (most urgent) to 9 (least urgent). */
 export type Priority = number;
 
-/** Numbers of the priorities that have a name. */
+/** Priorities that have a name. */
 export const PRIORITIES_BY_NAME = {
   quick: 3,
   normal: 5,
@@ -17,12 +17,12 @@
 /** Name of a priority. */
 export type PriorityName = keyof typeof PRIORITIES_BY_NAME;
 
-/** Names of priorities, most urgent first. */
+/** Names of priorities, starting with the most urgent one. */
 export const PRIORITY_NAMES = Object.keys(
   PRIORITIES_BY_NAME,
 ) as readonly PriorityName[];
 
-/** Priority of requests for which nobody named one. */
+/** Priority of requests for which none is specified. */
 export const USUAL_PRIORITY: Priority = PRIORITIES_BY_NAME.normal;
 
 /** The least urgent priority. */
@@ -31,7 +31,7 @@
 const DIGIT = /^\d$/;
 
 /**
- * Reads a priority from a header: a name, or a digit.
+ * Parses a priority from a header, which holds either a name or a digit.
  *
  * @example
  * ```ts
@@ -46,8 +46,9 @@
 }
 
 /**
- * The priority of a request whose answer will be late: after those of its own kind that
- * can be on time, and before the next kind.
+ * Returns the priority of a request whose answer will be late: one lower than its own,
+ * so that it comes after requests of its priority that can still meet their deadlines
+ * and before requests of the next named priority.
  *
  * @example
  * ```ts
--- a/src/messages/priority_test.ts
+++ b/src/messages/priority_test.ts
@@ -5,7 +5,7 @@
 import { MESSAGE_SCHEMA } from "./schema.ts";
 
 describe("priorities", () => {
-  it("are read from names and single digits, and from nothing else", () => {
+  it("are parsed from names and single digits only", () => {
     const texts = ["quick", "normal", "background", "0", "9"];
     assert.deepEqual(texts.map(tryReadPriority), [3, 5, 7, 0, 9]);
     for (const text of ["", "10", "-1", "1.5", "highest", "toString"]) {
@@ -13,11 +13,11 @@
     }
   });
 
-  it("of late requests stay within the least urgent", () => {
+  it("of late requests never exceed the least urgent one", () => {
     assert.deepEqual([0, 5, 9].map(getLatePriority), [1, 6, 9]);
   });
 
-  it("of entries of earlier versions are understood", () => {
+  it("are accepted by name from entries of earlier versions", () => {
     const read = (priority: unknown) =>
       MESSAGE_SCHEMA.safeParse({ ...createSubmit(), priority });
     const submit = read("background").data;
--- a/src/messages/schema.ts
+++ b/src/messages/schema.ts
@@ -1,5 +1,5 @@
 /**
- * Shapes of the messages, checked on arrival.
+ * Schemas that validate the messages that a process receives.
  *
  * @module
  */
@@ -26,43 +26,43 @@
 const HASH = z.string().regex(/^[0-9a-f]{64}$/);
 const ATTEMPT = { requestId: COUNT, attempt: COUNT };
 const SEQUENCED = { ...ATTEMPT, sequence: COUNT };
-/** Entries of earlier versions send a name. */
+/** Entries of earlier versions send the name of a priority. */
 const PRIORITY = z.union([
   COUNT.max(LEAST_PRIORITY),
   z.enum(PRIORITY_NAMES).transform((name) => PRIORITIES_BY_NAME[name]),
 ]);
 const REASON = z.enum(REFUSAL_NAMES as [RefusalName, ...RefusalName[]]);
 
-const NO_WORD = z.object({ kind: z.literal("none") });
-const UNREADABLE_WORD = z.object({
+const NO_NOTICE = z.object({ kind: z.literal("none") });
+const UNREADABLE_NOTICE = z.object({
   kind: z.literal("unreadable"),
   text: z.string(),
 });
-const NOTICE = z.object({
+const BACK_END_NOTICE = z.object({
   rateLimit: z.discriminatedUnion("kind", [
-    NO_WORD,
+    NO_NOTICE,
     z.object({
       kind: z.literal("limit"),
       perSecond: z.number().nonnegative(),
     }),
-    UNREADABLE_WORD,
+    UNREADABLE_NOTICE,
   ]),
   backoff: z.discriminatedUnion("kind", [
-    NO_WORD,
+    NO_NOTICE,
     z.object({
       kind: z.literal("backoff"),
       milliseconds: z.number().nonnegative(),
     }),
-    UNREADABLE_WORD,
+    UNREADABLE_NOTICE,
   ]),
   leaving: z.discriminatedUnion("kind", [
-    NO_WORD,
+    NO_NOTICE,
     z.object({ kind: z.literal("leaving") }),
-    UNREADABLE_WORD,
+    UNREADABLE_NOTICE,
   ]),
 });
 
-/** Shape of every message between processes. */
+/** Schema of any message between processes. */
 export const MESSAGE_SCHEMA: z.ZodType<Message> = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("challenge"), protocol: COUNT, nonce: NAME }),
   z.object({
@@ -107,7 +107,7 @@
     status: COUNT,
     headers: HEADERS,
     endsWithConnection: z.boolean().optional(),
-    notice: NOTICE.optional(),
+    notice: BACK_END_NOTICE.optional(),
   }),
   z.object({ kind: z.literal("answer_data"), ...SEQUENCED, bytes: BYTES }),
   z.object({
@@ -123,7 +123,7 @@
     reason: REASON,
     outcome: OUTCOME,
     submission: OUTCOME,
-    notice: NOTICE.optional(),
+    notice: BACK_END_NOTICE.optional(),
   }),
   z.object({
     kind: z.literal("report"),
--- a/src/messages/settings_documents.ts
+++ b/src/messages/settings_documents.ts
@@ -1,92 +1,93 @@
 /**
- * The vocabulary of settings: the documents that operators write.
+ * Types of the settings documents that operators write.
  *
  * @module
  */
 import type { Priority } from "./priority.ts";
 
-/** An organisation's limits. Path: `/organisations/NAME`. */
+/** Limits of an organisation. Path: `/organisations/NAME`. */
 export interface OrganisationDocument {
   readonly kind: "organisation";
-  /** Requests a second that one entry lets in. */
+  /** Requests per second that one entry admits. */
   readonly requestsPerSecond: number;
-  /** Requests that may come at once above the rate. */
+  /** Requests above the rate that are admitted in a burst. */
   readonly burst: number;
   /** Requests in flight through one entry. */
   readonly concurrency: number;
-  /** Share in the targets' queues against other organisations. */
+  /** Weight in the targets' fair queues relative to other organisations. */
   readonly weight: number;
-  /** SHA-256, in hexadecimal, of each access key that its callers may use. */
+  /** Hexadecimal SHA-256 of each access key that its callers may use. */
   readonly accessKeySha256: readonly string[];
   /**
-   * Priority of its requests where those of a pool differ, in place of the service's;
-   * undefined: the service says.
+   * Priority of its requests in pools whose services have different priorities, in place
+   * of the service's priority; undefined: the service's priority applies.
    */
   readonly priority?: Priority;
 }
 
-/** One of several pools that share a service's requests. */
+/** One of several pools among which a service's requests are divided. */
 export interface PoolShare {
   readonly pool: string;
-  /** Share of the requests against the other pools' weights. */
+  /** Share of the requests, relative to the weights of the other pools. */
   readonly weight: number;
 }
 
-/** One service. Path: `/organisations/NAME/services/NAME`. */
+/** A service. Path: `/organisations/NAME/services/NAME`. */
 export interface ServiceDocument {
   readonly kind: "service";
-  /** Requests whose path is this or lies below it are the service's. */
+  /** The service gets requests for this path and all paths below it. */
   readonly pathPrefix: string;
-  /** Host that requests must name; undefined: any host. */
+  /** Host for which requests must be sent; undefined: any host. */
   readonly host?: string;
-  /** Name of the pool of targets that serves it. */
+  /** Name of the pool of targets that serves the requests. */
   readonly pool: string;
-  /** Pools that share the requests; undefined: `pool` serves all of them. */
+  /** Pools among which the requests are divided; undefined: `pool` gets all of them. */
   readonly split?: readonly PoolShare[];
   /**
-   * Whose requests are let in: those of anyone, counted on the organisation that
-   * owns the service, or those with an access key, counted on its organisation.
+   * Whose requests are admitted: those of anyone, counted against the limits of the
+   * organisation that owns the service, or those with an access key, counted against the
+   * limits of the key's organisation.
    */
   readonly callers: "anyone" | "access_key";
-  /** Targets that one request may be sent to, at most. */
+  /** Maximum number of targets to which one request may be sent. */
   readonly mostAttempts: number;
   /**
-   * Whether an event stream that broke off may go on at another target, from
-   * the event after the last one that the caller got.
+   * Whether an interrupted event stream may be resumed at another target, from the event
+   * after the last one that the caller received.
    */
   readonly resumable: boolean;
-  /** Milliseconds in which callers hope for a first byte; undefined: unsaid. */
+  /** Objective for the time to the first byte, in milliseconds; undefined: none. */
   readonly objectiveMs?: number;
   /**
-   * Milliseconds between two pieces of a streamed answer that callers bear; undefined:
-   * unsaid.
+   * Objective for the time between two chunks of a streamed answer, in milliseconds;
+   * undefined: none.
    */
   readonly pauseObjectiveMs?: number;
-  /** Who serves it now. */
+  /** Whether lagoonwharf or the old scripts serve the requests. */
   readonly handover: "lagoonwharf" | "scripts";
   /** Host and port of the old scripts. */
   readonly scriptsAddress?: string;
   readonly priority: Priority;
-  /** Milliseconds, when the caller gives none. */
+  /** Deadline for requests that specify none, in milliseconds. */
   readonly defaultDeadlineMs: number;
-  /** Milliseconds, whatever the caller gives. */
+  /** Maximum deadline, in milliseconds; longer deadlines of callers are reduced to it. */
   readonly longestDeadlineMs: number;
-  /** Largest request body in bytes. */
+  /** Maximum length of a request body, in bytes. */
   readonly largestBodyBytes: number;
-  /** Retries over requests, on average. */
+  /** Maximum average number of retries per request. */
   readonly retryShare: number;
-  /** Methods that may run twice without harm. */
+  /** Methods whose requests may safely run more than once. */
   readonly idempotentMethods: readonly string[];
-  /** Milliseconds for which an idempotency key is remembered. */
+  /** Milliseconds for which an idempotency key is retained. */
   readonly keyRetentionMs: number;
 }
 
-/** A team and what it may write. Path: `/teams/NAME`. */
+/** A team and its write permission. Path: `/teams/NAME`. */
 export interface TeamDocument {
   readonly kind: "team";
-  /** The team may write this path and all below it. */
+  /** Path that the team may write, with all paths below it. */
   readonly subtree: string;
-  /** SHA-256 of the team's token, in hexadecimal. */
+  /** Hexadecimal SHA-256 of the team's token. */
   readonly tokenSha256: string;
 }
 
@@ -94,21 +95,21 @@
 export interface GroupDocument {
   readonly kind: "group";
   readonly preset: "skew" | "cost";
-  /** Milliseconds between two looks at the expert map. */
+  /** Milliseconds between two evaluations of the expert map. */
   readonly intervalMs: number;
 }
 
-/** What operators say of one target. Path: `/targets/NAME`. */
+/** Settings of one target. Path: `/targets/NAME`. */
 export interface TargetDocument {
   readonly kind: "target";
-  /** The target takes no new work from now on. */
+  /** Whether the target is to leave; a leaving target accepts no new requests. */
   readonly leaving: boolean;
 }
 
-/** What operators say of one failure domain. Path: `/failure-domains/NAME`. */
+/** Settings of one failure domain. Path: `/failure-domains/NAME`. */
 export interface FailureDomainDocument {
   readonly kind: "failure_domain";
-  /** Its targets are sent no new requests from now on. */
+  /** Whether the domain is drained; its targets are then sent no new requests. */
   readonly draining: boolean;
 }
 
--- a/src/messages/types.ts
+++ b/src/messages/types.ts
@@ -1,7 +1,7 @@
 /**
- * The messages between lagoonwharf's own processes. An entry dials targets;
- * both sides prove that they know the deployment's secret before anything else
- * is said.
+ * Types of the messages between lagoonwharf's processes. An entry dials targets, and
+ * each side proves that it knows the deployment's secret before any other message is
+ * exchanged.
  *
  * @module
  */
@@ -17,27 +17,27 @@
 import type { BackEndNotice } from "./back_end_notice.ts";
 import type { Priority } from "./priority.ts";
 
-/** Version of the messages; processes of another version are refused. */
+/** Version of the message protocol; peers with another version are rejected. */
 export const PROTOCOL_VERSION = 1;
 
-/** One header, name in lower case. A list, since names may repeat. */
+/** One header with a lower-case name. Headers are lists, since names may repeat. */
 export type Header = readonly [name: string, value: string];
 
 /**
- * Why a process dials another: as an entry, as rank 0 of its group, as the new
- * owner of key slots that the other released, or as the decider of a formed
- * group.
+ * Role in which a process dials another: an entry, rank 0 of a group (`target`), the
+ * new owner of key slots that the dialled target released (`successor`), or the decider
+ * of a formed group.
  */
 export type LinkRole = "entry" | "target" | "successor" | "decider";
 
-/** First word of the side that was dialled. */
+/** First message on a connection, sent by the dialled side. */
 export interface ChallengeMessage {
   readonly kind: "challenge";
   readonly protocol: number;
   readonly nonce: string;
 }
 
-/** The dialling side says who it is, and proves that it knows the secret. */
+/** Identifies the dialling side and proves that it knows the secret. */
 export interface HelloMessage {
   readonly kind: "hello";
   readonly protocol: number;
@@ -50,19 +50,19 @@
   readonly proof: string;
 }
 
-/** The dialled target says who it is, and proves that it knows the secret. */
+/** Identifies the dialled target and proves that it knows the secret. */
 export interface WelcomeMessage {
   readonly kind: "welcome";
   readonly name: string;
   readonly incarnation: string;
   readonly failureDomain: string;
   readonly pool: string;
-  /** Requests that the back end runs at once. */
+  /** Requests that the back end runs concurrently. */
   readonly concurrency: number;
   readonly proof: string;
 }
 
-/** One attempt of a caller's request. */
+/** Submits one attempt of a caller's request. */
 export interface SubmitMessage {
   readonly kind: "submit";
   readonly requestId: number;
@@ -75,16 +75,16 @@
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
   readonly priority: Priority;
-  /** Share of the organisation in the target's queue. */
+  /** Weight of the organisation in the target's fair queue. */
   readonly weight: number;
-  /** Milliseconds left when the message was sent. */
+  /** Milliseconds until the deadline when the message was sent. */
   readonly remainingMs: number;
   readonly idempotencyKey?: string;
-  /** Milliseconds that the target remembers the key. */
+  /** Milliseconds for which the target retains the key. */
   readonly keyRetentionMs: number;
 }
 
-/** The attempt is no longer wanted. */
+/** Cancels an attempt. */
 export interface CancelMessage {
   readonly kind: "cancel";
   readonly requestId: number;
@@ -99,9 +99,12 @@
   readonly sequence: number;
   readonly status: number;
   readonly headers: readonly Header[];
-  /** Its end cannot be told from its sender's crash; see `AnswerFraming`. */
+  /**
+   * Whether closing the connection ends the answer, so that its end cannot be
+   * distinguished from a crash of the sender; see `AnswerFraming`.
+   */
   readonly endsWithConnection?: boolean;
-  /** Undefined where the back end said nothing of itself. */
+  /** Undefined if the answer carries no notice. */
   readonly notice?: BackEndNotice;
 }
 
@@ -114,60 +117,63 @@
   readonly bytes: Uint8Array;
 }
 
-/** The answer is whole when as many bytes arrived as it says. */
+/** Ends an answer, which is complete if `byteCount` bytes have arrived. */
 export interface AnswerEndMessage {
   readonly kind: "answer_end";
   readonly requestId: number;
   readonly attempt: number;
   readonly sequence: number;
   readonly byteCount: number;
-  /** Load of the target as it sent this, so that reports can be rare. */
+  /** Load of the target at the time of sending, so that reports can be infrequent. */
   readonly queued: number;
   readonly running: number;
   /**
-   * Milliseconds for which its connection can carry another request, of a back end that
-   * is called without a target process.
+   * Milliseconds for which the connection to the back end can carry another request;
+   * set only for a back end that is called without a target process.
    */
   readonly keptMs?: number;
 }
 
-/** The attempt gets no answer, or no whole one. */
+/** Ends an attempt without an answer, or with an incomplete one. */
 export interface RefusedMessage {
   readonly kind: "refused";
   readonly requestId: number;
   readonly attempt: number;
   /** As in {@link AnswerEndMessage}. */
   readonly keptMs?: number;
-  /** As in {@link AnswerHeadMessage}; undefined where the back end said nothing. */
+  /** As in {@link AnswerHeadMessage}. */
   readonly notice?: BackEndNotice;
-  /** The back end whose loss kept this one from its work, by id, where it said so. */
+  /**
+   * Id of the lost back end because of which this one could not run the request, if the
+   * back end named it.
+   */
   readonly lostPeer?: string;
   readonly reason: RefusalName;
-  /** What is known of the key (without a key: of the submission). */
+  /** What is known about the key, or about the submission if it has no key. */
   readonly outcome: Outcome;
   readonly submission: Outcome;
 }
 
-/** Load of a target, sent on change and with a bound on its rate. */
+/** Load of a target, sent at a limited rate when it changes. */
 export interface ReportMessage {
   readonly kind: "report";
   readonly queued: number;
   readonly running: number;
-  /** Mean time of recent runs, in milliseconds. */
+  /** Mean duration of recent runs, in milliseconds. */
   readonly meanRunMs: number;
 }
 
-/** The target takes no new work from now on. */
+/** The target accepts no new requests from now on. */
 export interface LeavingMessage {
   readonly kind: "leaving";
 }
 
-/** The target takes new work again. */
+/** The target accepts new requests again. */
 export interface ServingMessage {
   readonly kind: "serving";
 }
 
-/** The key slots that this target owns, by its last word from the platform. */
+/** The key slots that the target owned when it last read the owner table. */
 export interface ClaimsMessage {
   readonly kind: "claims";
   /** Version of the owner table in which the claim was made. */
@@ -176,13 +182,13 @@
   readonly slots: readonly number[];
 }
 
-/** The revision of the settings that the sender has in force. */
+/** Offers the settings that the sender has in force. */
 export interface SettingsOfferMessage {
   readonly kind: "settings_offer";
   readonly revision: number;
 }
 
-/** Asks for the head of what was offered. */
+/** Requests the head of the offered settings. */
 export interface SettingsHeadRequestMessage {
   readonly kind: "settings_head_request";
 }
@@ -194,25 +200,25 @@
   readonly head: string;
 }
 
-/** Asks for bodies by their hash. */
+/** Requests bodies by hash. */
 export interface SettingsFetchMessage {
   readonly kind: "settings_fetch";
   readonly hashes: readonly string[];
 }
 
-/** Bodies that were asked for; those not held are left out. */
+/** Requested bodies, without those that the sender does not hold. */
 export interface SettingsBodiesMessage {
   readonly kind: "settings_bodies";
   readonly asked: readonly string[];
   readonly bodies: readonly string[];
 }
 
-/** Asks a target for its state, for `status`. */
+/** Requests the state of a target for the `status` command. */
 export interface StatusRequestMessage {
   readonly kind: "status_request";
 }
 
-/** State of a target, for `status`. */
+/** State of a target for the `status` command. */
 export interface StatusMessage {
   readonly kind: "status";
   readonly revision: number;
@@ -221,64 +227,67 @@
   readonly leaving: boolean;
 }
 
-/** Rank 0's word to a rank of its group. */
+/** Message of rank 0 to a rank of its group. */
 export interface GroupOrderMessage {
   readonly kind: "group_order";
   readonly order: CoordinatorMessage;
 }
 
-/** A rank's word to rank 0 of its group. */
+/** Message of a rank to rank 0 of its group. */
 export interface GroupReportMessage {
   readonly kind: "group_report";
   readonly report: MemberMessage;
 }
 
-/** Asks a rank for what its engine counted. */
+/** Requests the load that a rank's engine measured. */
 export interface RankLoadRequestMessage {
   readonly kind: "rank_load_request";
 }
 
-/** What a rank's engine counted. */
+/** Load that a rank's engine measured. */
 export interface RankLoadMessage {
   readonly kind: "rank_load";
   readonly load: RankLoad;
 }
 
-/** Asks a target that released a key slot for what it knows of its keys. */
+/** Requests the known keys of a slot from the target that released it. */
 export interface LedgerRequestMessage {
   readonly kind: "ledger_request";
   readonly slot: number;
 }
 
-/** One key, as its old owner remembers it. */
+/** A key as recorded by its previous owner. */
 export interface HandedOverKey {
   readonly fingerprint: string;
   readonly requestHash: string;
-  /** Milliseconds for which it is still to be remembered. */
+  /** Milliseconds for which the key must still be retained. */
   readonly remainingMs: number;
-  /** False when it was begun and its end is not known. */
+  /** False if a request with this key was started and its outcome is unknown. */
   readonly isAnswered: boolean;
-  /** The answer, if it was kept. */
+  /** The answer, if it was retained. */
   readonly answer?: KeptAnswerMessage;
 }
 
-/** An answer that can be given again. */
+/** A retained answer that can be replayed. */
 export interface KeptAnswerMessage {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
 }
 
-/** Everything that is known of a key slot since a time. */
+/** All keys that were used in a slot since a given time. */
 export interface LedgerSlotMessage {
   readonly kind: "ledger_slot";
   readonly slot: number;
-  /** Wall-clock milliseconds since which all its keys are here; 0: ever. */
+  /**
+   * Wall-clock milliseconds since which all used keys are included; 0 if all keys that
+   * were ever used are included.
+   */
   readonly movedAt: number;
   readonly keys: readonly HandedOverKey[];
 }
 
-/** Every message between processes. */
+/** Any message between processes. */
 export type Message =
   | ChallengeMessage
   | HelloMessage
@@ -312,7 +321,7 @@
   | AnswerEndMessage
   | RefusedMessage;
 
-/** Messages about settings, which both sides may send. */
+/** Messages about settings; both sides of a connection may send them. */
 export type SettingsMessage =
   | SettingsOfferMessage
   | SettingsHeadRequestMessage
@@ -320,7 +329,7 @@
   | SettingsFetchMessage
   | SettingsBodiesMessage;
 
-/** Whether the message belongs to one attempt of one request. */
+/** Returns whether a message belongs to one attempt of one request. */
 export function isAttemptMessage(message: Message): message is AttemptMessage {
   return message.kind === "answer_head" || message.kind === "answer_data" ||
     message.kind === "answer_end" || message.kind === "refused";
@@ -334,7 +343,7 @@
   "settings_bodies",
 ]);
 
-/** Whether the message is about settings. */
+/** Returns whether a message is about settings. */
 export function isSettingsMessage(
   message: Message,
 ): message is SettingsMessage {
--- a/src/target/back_end_calls.ts
+++ b/src/target/back_end_calls.ts
@@ -32,7 +32,7 @@
     const { backEnd, metrics, onEvent } = this.#options;
     const startedAt = performance.now();
     metrics.countRequest();
-    const call = backEnd.start({
+    const backEndCall = backEnd.start({
       method: request.method,
       path: request.path,
       headers: forwardedHeadersOf(request.headers),
@@ -69,7 +69,7 @@
         });
       },
     });
-    this.#calls.set(runId, call);
+    this.#calls.set(runId, backEndCall);
   }
 
   /** Cancels the call of a run, if it is still under way. */
--- a/src/target/claim_keeper.ts
+++ b/src/target/claim_keeper.ts
@@ -10,9 +10,9 @@
 import {
   type ClaimContext,
   createOwnerTable,
+  getOwnerTableKey,
   ownedSlotsOf,
   type OwnerTable,
-  ownerTableKey,
   type ReleasedSlot,
   releasedSlotsTaken,
   tryClaim,
@@ -22,11 +22,11 @@
 import type { OwnedSlots } from "./types.ts";
 
 /** Pause after a call that failed, in milliseconds. */
-const RETRY_PAUSE_MS = 1000;
+const RETRY_DELAY_MS = 1000;
 /** Shortest time between two looks at the table, in milliseconds. */
-const LOOK_PAUSE_MS = 1000;
+const MIN_READ_INTERVAL_MS = 1000;
 /** Longest time between two looks while slots are free, in milliseconds. */
-const FREE_LOOK_MS = 2000;
+const FREE_SLOT_READ_INTERVAL_MS = 2000;
 const MAX_RELEASE_ATTEMPTS = 5;
 
 /** Options of a {@link ClaimKeeper}. */
@@ -44,12 +44,12 @@
   /** Milliseconds of a monotonic clock. */
   readonly monotonicNow: () => number;
   /** Called with what the table says, and when it was asked for. */
-  readonly onConfirmed: (claims: OwnedSlots, askedAt: number) => void;
+  readonly onConfirmed: (claims: OwnedSlots, requestedAt: number) => void;
   /** Called with slots that were taken from one who released them. */
   readonly onTaken: (slots: readonly ReleasedSlot[]) => void;
 }
 
-interface ReadTable {
+interface TableSnapshot {
   readonly table: OwnerTable;
   readonly keyRevision: number;
 }
@@ -62,13 +62,13 @@
   /** Before the list is read there may be any number of them. */
   #liveTargets = Number.POSITIVE_INFINITY;
   #hasMachineList = false;
-  #listed: ReadonlySet<string> = new Set();
+  #listedNames: ReadonlySet<string> = new Set();
   #listReadAt = 0;
   #hasFreeSlots = true;
   #keyRevision = 0;
-  #round = new AbortController();
+  #watchAbort = new AbortController();
   #isStopped = false;
-  #isLookWanted = false;
+  #isReadRequested = false;
 
   /**
    * Starts claiming at once: its machine's own slots, and its share of the free
@@ -77,49 +77,53 @@
   constructor(options: ClaimKeeperOptions) {
     this.#options = options;
     if (!options.hasMachineList) this.#liveTargets = 1;
-    this.#key = ownerTableKey(options.pool);
-    void this.#follow();
+    this.#key = getOwnerTableKey(options.pool);
+    void this.#keepClaiming();
   }
 
   /** Takes in the platform's list. */
-  setMachines(machines: readonly VirtualMachine[]): void {
+  setVirtualMachines(virtualMachines: readonly VirtualMachine[]): void {
     this.#hasMachineList = true;
     this.#listReadAt = this.#options.monotonicNow();
-    const present = machines.filter((machine) => machine.state !== "gone");
-    this.#listed = new Set(present.map((machine) => machine.name));
-    for (const name of this.#listed) this.#goneSince.delete(name);
+    const present = virtualMachines.filter((virtualMachine) =>
+      virtualMachine.state !== "gone"
+    );
+    this.#listedNames = new Set(
+      present.map((virtualMachine) => virtualMachine.name),
+    );
+    for (const name of this.#listedNames) this.#goneSince.delete(name);
     const wasUnknown = this.#liveTargets === Number.POSITIVE_INFINITY;
-    const live = machines.filter((machine) =>
-      machine.role === "target" && machine.state === "live" &&
-      machine.pool === this.#options.pool
+    const live = virtualMachines.filter((virtualMachine) =>
+      virtualMachine.role === "target" && virtualMachine.state === "live" &&
+      virtualMachine.pool === this.#options.pool
     );
     this.#liveTargets = live.length;
-    if (wasUnknown) this.confirm();
+    if (wasUnknown) this.readNow();
   }
 
   /** Reads the table now, before anything else. */
-  confirm(): void {
-    this.#isLookWanted = true;
-    this.#round.abort();
-    this.#round = new AbortController();
+  readNow(): void {
+    this.#isReadRequested = true;
+    this.#watchAbort.abort();
+    this.#watchAbort = new AbortController();
   }
 
   /** Gives back all slots; best effort. Returns how many. */
   async release(): Promise<number> {
     this.#isStopped = true;
-    this.#round.abort();
+    this.#watchAbort.abort();
     for (let attempt = 0; attempt < MAX_RELEASE_ATTEMPTS; attempt++) {
-      const read = await this.#tryRead();
-      if (read === undefined) return 0;
-      const owned = ownedSlotsOf(read.table, this.#options).slots.length;
+      const snapshot = await this.#tryRead();
+      if (snapshot === undefined) return 0;
+      const owned = ownedSlotsOf(snapshot.table, this.#options).slots.length;
       const wallNow = Date.now();
-      const next = tryRelease(read.table, { ...this.#options, wallNow });
+      const next = tryRelease(snapshot.table, { ...this.#options, wallNow });
       if (next === undefined) return 0;
-      const swap = await this.#options.service.compareAndSwap(this.#key, {
+      const result = await this.#options.service.compareAndSwap(this.#key, {
         value: JSON.stringify(next),
-        expectedRevision: read.keyRevision,
+        expectedRevision: snapshot.keyRevision,
       });
-      if (swap.kind === "swapped") return owned;
+      if (result.kind === "swapped") return owned;
     }
     return 0;
   }
@@ -127,53 +131,56 @@
   /** Claims no more. */
   stop(): void {
     this.#isStopped = true;
-    this.#round.abort();
+    this.#watchAbort.abort();
   }
 
-  async #follow(): Promise<void> {
+  async #keepClaiming(): Promise<void> {
     while (!this.#isStopped) {
-      const isAnswered = await this.#look();
-      const pause = isAnswered ? LOOK_PAUSE_MS : RETRY_PAUSE_MS;
-      await sleep(pause, undefined, { ref: false });
-      const mayWait = isAnswered && !this.#isLookWanted && !this.#isStopped;
-      if (mayWait) await this.#waitForChange();
+      const isSuccessful = await this.#readAndClaim();
+      const delayMs = isSuccessful ? MIN_READ_INTERVAL_MS : RETRY_DELAY_MS;
+      await sleep(delayMs, undefined, { ref: false });
+      const shouldWatch = isSuccessful && !this.#isReadRequested &&
+        !this.#isStopped;
+      if (shouldWatch) await this.#waitForChange();
     }
   }
 
-  async #look(): Promise<boolean> {
-    this.#isLookWanted = false;
-    const askedAt = this.#options.monotonicNow();
-    const read = await this.#tryRead();
-    if (read === undefined || this.#isStopped) return read !== undefined;
-    this.#keyRevision = read.keyRevision;
-    const next = tryClaim(read.table, this.#context());
+  async #readAndClaim(): Promise<boolean> {
+    this.#isReadRequested = false;
+    const requestedAt = this.#options.monotonicNow();
+    const snapshot = await this.#tryRead();
+    if (snapshot === undefined || this.#isStopped) {
+      return snapshot !== undefined;
+    }
+    this.#keyRevision = snapshot.keyRevision;
+    const next = tryClaim(snapshot.table, this.#createContext());
     if (next === undefined) {
-      this.#confirmed(read.table, askedAt);
+      this.#reportConfirmed(snapshot.table, requestedAt);
       return true;
     }
-    const swap = await this.#options.service.compareAndSwap(this.#key, {
+    const result = await this.#options.service.compareAndSwap(this.#key, {
       value: JSON.stringify(next),
-      expectedRevision: read.keyRevision,
+      expectedRevision: snapshot.keyRevision,
     });
     // After a lost reply the next look finds out whether it took effect.
-    if (swap.kind !== "swapped") return false;
-    this.#keyRevision = swap.revision;
-    this.#confirmed(next, askedAt);
-    const taken = releasedSlotsTaken(read.table, next);
+    if (result.kind !== "swapped") return false;
+    this.#keyRevision = result.revision;
+    this.#reportConfirmed(next, requestedAt);
+    const taken = releasedSlotsTaken(snapshot.table, next);
     if (taken.length > 0) this.#options.onTaken(taken);
     return true;
   }
 
-  #confirmed(table: OwnerTable, askedAt: number): void {
+  #reportConfirmed(table: OwnerTable, requestedAt: number): void {
     this.#hasFreeSlots = table.slots.some((slot) => slot.kind === "free");
-    this.#options.onConfirmed(ownedSlotsOf(table, this.#options), askedAt);
+    this.#options.onConfirmed(ownedSlotsOf(table, this.#options), requestedAt);
   }
 
   async #waitForChange(): Promise<void> {
     try {
       await this.#options.service.watch(this.#key, {
         knownRevision: this.#keyRevision,
-        signal: this.#watchSignal(),
+        signal: this.#createWatchSignal(),
       });
     } catch {
       // The next look tells whether the service answers.
@@ -181,13 +188,16 @@
   }
 
   /** Free slots become anybody's by time alone, so they are looked at often. */
-  #watchSignal(): AbortSignal {
-    const { signal } = this.#round;
+  #createWatchSignal(): AbortSignal {
+    const { signal } = this.#watchAbort;
     if (!this.#hasFreeSlots) return signal;
-    return AbortSignal.any([signal, AbortSignal.timeout(FREE_LOOK_MS)]);
+    return AbortSignal.any([
+      signal,
+      AbortSignal.timeout(FREE_SLOT_READ_INTERVAL_MS),
+    ]);
   }
 
-  async #tryRead(): Promise<ReadTable | undefined> {
+  async #tryRead(): Promise<TableSnapshot | undefined> {
     try {
       const entry = await this.#options.service.tryRead(this.#key);
       if (entry === undefined) {
@@ -200,7 +210,7 @@
     }
   }
 
-  #context(): ClaimContext {
+  #createContext(): ClaimContext {
     const { targetName, incarnation } = this.#options;
     return {
       targetName,
@@ -213,13 +223,13 @@
 
   /** Gone for the whole grace, by lists read throughout it. */
   #isGone(name: string): boolean {
-    if (!this.#hasMachineList || this.#listed.has(name)) return false;
+    if (!this.#hasMachineList || this.#listedNames.has(name)) return false;
     const { goneGraceMs } = this.#options;
-    const since = this.#goneSince.get(name);
-    if (since === undefined) {
+    const goneSince = this.#goneSince.get(name);
+    if (goneSince === undefined) {
       this.#goneSince.set(name, this.#listReadAt);
       return false;
     }
-    return this.#listReadAt - since >= goneGraceMs;
+    return this.#listReadAt - goneSince >= goneGraceMs;
   }
 }
--- a/src/target/history_fetcher.ts
+++ b/src/target/history_fetcher.ts
@@ -9,7 +9,7 @@
 import type { ReleasedSlot } from "./owner_table.ts";
 
 /** Milliseconds after which an old owner counts as gone. */
-const LIMIT_MS = 5000;
+const FETCH_TIMEOUT_MS = 5000;
 
 /** Options of a {@link HistoryFetcher}. */
 export interface HistoryFetcherOptions {
@@ -28,36 +28,40 @@
 
   /** Asks the old owners of these slots, each once. */
   fetch(released: readonly ReleasedSlot[]): void {
-    const byAddress = new Map<string, number[]>();
+    const slotsByAddress = new Map<string, number[]>();
     for (const { slot, address } of released) {
-      byAddress.set(address, [...byAddress.get(address) ?? [], slot]);
+      slotsByAddress.set(address, [...slotsByAddress.get(address) ?? [], slot]);
+    }
+    for (const [address, slots] of slotsByAddress) {
+      this.#fetchFrom(address, slots);
     }
-    for (const [address, slots] of byAddress) this.#ask(address, slots);
   }
 
-  #ask(address: string, slots: readonly number[]): void {
-    const open = new Set(slots);
+  #fetchFrom(address: string, slots: readonly number[]): void {
+    const pendingSlots = new Set(slots);
     const client = new LinkClient({
       address,
       role: "successor",
       identity: this.#options.identity,
       listener: {
         onConnected: (link) => {
-          for (const slot of open) link.send({ kind: "ledger_request", slot });
+          for (const slot of pendingSlots) {
+            link.send({ kind: "ledger_request", slot });
+          }
         },
         onMessage: (message) => {
           if (message.kind !== "ledger_slot") return;
           this.#options.onHistory(message);
-          open.delete(message.slot);
-          if (open.size === 0) end();
+          pendingSlots.delete(message.slot);
+          if (pendingSlots.size === 0) stop();
         },
         onDisconnected: () => undefined,
         onDialFailed: () => undefined,
       },
     });
-    const limit = setTimeout(() => end(), LIMIT_MS);
-    function end(): void {
-      clearTimeout(limit);
+    const timeout = setTimeout(() => stop(), FETCH_TIMEOUT_MS);
+    function stop(): void {
+      clearTimeout(timeout);
       client.stop();
     }
   }
--- a/src/target/key_gate.ts
+++ b/src/target/key_gate.ts
@@ -58,14 +58,14 @@
 export type KeyDecision = KeyMayRun | KeyReplay | KeyRefused;
 
 /** Since when a slot's keys are known, by its old owner's word. */
-interface HandedOverHistory {
+interface ReceivedHistory {
   /** The move, by the owner table, after which it was handed over. */
   readonly tableMovedAt: number;
   readonly movedAt: number;
 }
 
 /** Times at which a decision is made. */
-export interface DecisionTime {
+export interface EventTime {
   readonly now: number;
   readonly wallNow: number;
 }
@@ -78,7 +78,7 @@
   #lastTickAt: number;
   #uncertainSince: number | undefined;
   /** Histories that old owners handed over, by slot. */
-  readonly #handedOver = new Map<number, HandedOverHistory>();
+  readonly #histories = new Map<number, ReceivedHistory>();
 
   /** Owns nothing at first. */
   constructor(limits: LedgerLimits, now: number) {
@@ -105,10 +105,10 @@
    * Takes in what the owner table says; false when it is older than what is
    * known or was asked for before a pause.
    */
-  confirm(claims: OwnedSlots, askedAt: number): boolean {
+  confirm(claims: OwnedSlots, requestedAt: number): boolean {
     if (claims.version < this.#version) return false;
     const isStale = this.#uncertainSince !== undefined &&
-      askedAt < this.#uncertainSince;
+      requestedAt < this.#uncertainSince;
     if (isStale) return false;
     this.#uncertainSince = undefined;
     this.#version = claims.version;
@@ -119,24 +119,24 @@
   }
 
   /** Notices a pause; true when ownership has just become uncertain. */
-  notePassing(now: number): boolean {
-    const gap = now - this.#lastTickAt;
+  detectPause(now: number): boolean {
+    const elapsedMs = now - this.#lastTickAt;
     this.#lastTickAt = now;
-    if (gap <= PAUSE_LIMIT_MS) return false;
+    if (elapsedMs <= PAUSE_LIMIT_MS) return false;
     const wasCertain = this.#uncertainSince === undefined;
     this.#uncertainSince = now;
     return wasCertain;
   }
 
   /** Whether a key that was let through may still be begun. */
-  mayBegin(fingerprint: string): boolean {
+  mayStart(fingerprint: string): boolean {
     return this.#uncertainSince === undefined &&
       this.#movedAtBySlot.has(slotOf(fingerprint));
   }
 
   /** What is known of a slot, for its new owner. */
-  handOver(slot: number, now: number): LedgerSlotMessage {
-    const entries = this.#ledger.entriesWhere((fingerprint) =>
+  createHandover(slot: number, now: number): LedgerSlotMessage {
+    const entries = this.#ledger.filterEntries((fingerprint) =>
       slotOf(fingerprint) === slot
     );
     return {
@@ -148,21 +148,21 @@
   }
 
   /** Takes over what the old owner of a slot knew. */
-  takeOver(history: LedgerSlotMessage, now: number): void {
+  addHistory(history: LedgerSlotMessage, now: number): void {
     const { slot, movedAt, keys } = history;
     const tableMovedAt = this.#movedAtBySlot.get(slot);
     if (tableMovedAt === undefined) return;
-    const isWhole = keys.every((key) =>
-      this.#ledger.tryTakeOver(createLedgerEntry(key, now), now)
+    const isComplete = keys.every((key) =>
+      this.#ledger.tryAddHandedOver(createLedgerEntry(key, now), now)
     );
-    if (!isWhole || movedAt > tableMovedAt) return;
-    this.#handedOver.set(slot, { tableMovedAt, movedAt });
+    if (!isComplete || movedAt > tableMovedAt) return;
+    this.#histories.set(slot, { tableMovedAt, movedAt });
   }
 
   /** Wall-clock time since which all keys of an owned slot are known. */
   #tryKnownSince(slot: number): number | undefined {
     const tableMovedAt = this.#movedAtBySlot.get(slot);
-    const history = this.#handedOver.get(slot);
+    const history = this.#histories.get(slot);
     // A later move makes what was handed over before it worthless.
     const isValid = history !== undefined &&
       history.tableMovedAt === tableMovedAt;
@@ -179,7 +179,7 @@
    */
   decide(
     request: SubmitMessage & { readonly idempotencyKey: string },
-    time: DecisionTime,
+    time: EventTime,
   ): KeyDecision {
     const fingerprint = fingerprintOf(request);
     if (this.#uncertainSince !== undefined) return refuse("OWNER_UNCERTAIN");
@@ -189,7 +189,7 @@
     const entry = this.#ledger.tryGet(fingerprint, time.now);
     if (entry !== undefined) {
       if (entry.requestHash !== requestHash) return refuse("KEY_REUSED");
-      return decideOnKnown(entry.state);
+      return decideForKnownKey(entry.state);
     }
     if (mayPredate(request, movedAt, time)) {
       return refuse("KEY_HISTORY_UNKNOWN");
@@ -205,7 +205,7 @@
   }
 }
 
-function decideOnKnown(state: KeyState): KeyDecision {
+function decideForKnownKey(state: KeyState): KeyDecision {
   return match(state)
     .returnType<KeyDecision>()
     .with({ kind: "running" }, () => refuse("KEY_IN_PROGRESS"))
@@ -222,14 +222,14 @@
 function mayPredate(
   request: SubmitMessage & { readonly idempotencyKey: string },
   movedAt: number,
-  time: DecisionTime,
+  time: EventTime,
 ): boolean {
   if (movedAt === 0) return false;
-  const horizon = movedAt + request.keyRetentionMs + CLOCK_MARGIN_MS;
-  if (time.wallNow > horizon) return false;
-  const madeAt = tryTimeOfKey(request.idempotencyKey);
-  if (madeAt === undefined) return true;
-  return madeAt <= movedAt + CLOCK_MARGIN_MS;
+  const unknownUntil = movedAt + request.keyRetentionMs + CLOCK_MARGIN_MS;
+  if (time.wallNow > unknownUntil) return false;
+  const createdAt = tryTimeOfKey(request.idempotencyKey);
+  if (createdAt === undefined) return true;
+  return createdAt <= movedAt + CLOCK_MARGIN_MS;
 }
 
 function createHandedOverKey(entry: LedgerEntry, now: number): HandedOverKey {
--- a/src/target/key_ledger.ts
+++ b/src/target/key_ledger.ts
@@ -80,26 +80,28 @@
    * ```
    */
   tryAdd(entry: LedgerEntry, now: number): boolean {
-    if (this.#entries.size >= this.#limits.ledgerLength) this.#expire(now);
+    if (this.#entries.size >= this.#limits.ledgerLength) {
+      this.#removeExpired(now);
+    }
     if (this.#entries.size >= this.#limits.ledgerLength) return false;
     this.#entries.set(entry.fingerprint, entry);
     return true;
   }
 
   /** The key did not run: forgets it. */
-  forget(fingerprint: string): void {
+  discard(fingerprint: string): void {
     const entry = this.#entries.get(fingerprint);
     if (entry !== undefined) this.#remove(entry);
   }
 
   /** The key ran; its answer is kept if there is room. */
   setAnswered(fingerprint: string, answer: KeptAnswer | undefined): void {
-    const size = answer?.body.length ?? 0;
-    const fits = this.#keptBytes + size <= this.#limits.keptBytes;
-    if (fits) this.#keptBytes += size;
+    const byteCount = answer?.body.length ?? 0;
+    const isKept = this.#keptBytes + byteCount <= this.#limits.keptBytes;
+    if (isKept) this.#keptBytes += byteCount;
     this.#setState(fingerprint, {
       kind: "answered",
-      answer: fits ? answer : undefined,
+      answer: isKept ? answer : undefined,
     });
   }
 
@@ -109,11 +111,11 @@
   }
 
   /** Every key for which `isWanted` holds. */
-  entriesWhere(
-    isWanted: (fingerprint: string) => boolean,
+  filterEntries(
+    predicate: (fingerprint: string) => boolean,
   ): readonly LedgerEntry[] {
     return [...this.#entries.values()].filter((entry) =>
-      isWanted(entry.fingerprint)
+      predicate(entry.fingerprint)
     );
   }
 
@@ -121,7 +123,7 @@
    * Takes over a key from its old owner; false when there is no room, in which
    * case its slot's history is not known here.
    */
-  tryTakeOver(entry: LedgerEntry, now: number): boolean {
+  tryAddHandedOver(entry: LedgerEntry, now: number): boolean {
     const { fingerprint, state } = entry;
     if (this.#entries.has(fingerprint)) return true;
     if (!this.tryAdd({ ...entry, state: { kind: "unsettled" } }, now)) {
@@ -138,7 +140,7 @@
     }
   }
 
-  #expire(now: number): void {
+  #removeExpired(now: number): void {
     for (const entry of this.#entries.values()) {
       if (isExpired(entry, now)) this.#remove(entry);
     }
--- a/src/target/load_reporter.ts
+++ b/src/target/load_reporter.ts
@@ -13,12 +13,12 @@
 /** Reports that a target sends a second, to all entries together. */
 const REPORTS_PER_SECOND = 2.5;
 /** Change of the load, as a share, that is worth a report. */
-const MIN_CHANGE = 0.25;
+const MIN_CHANGE_FRACTION = 0.25;
 /** Weight of the newest run in the mean. */
-const SMOOTHING = 0.1;
+const SMOOTHING_FACTOR = 0.1;
 const MS_PER_SECOND = 1000;
 
-interface LastWord {
+interface LastReport {
   load: number;
   at: number;
 }
@@ -26,25 +26,25 @@
 /** Decides when a target tells its load. */
 export class LoadReporter {
   #meanRunMs = 0;
-  readonly #lastWords = new Map<number, LastWord>();
+  readonly #lastReports = new Map<number, LastReport>();
 
   /** A run has ended. */
-  countRun(milliseconds: number): void {
-    this.#meanRunMs += SMOOTHING * (milliseconds - this.#meanRunMs);
+  recordRun(milliseconds: number): void {
+    this.#meanRunMs += SMOOTHING_FACTOR * (milliseconds - this.#meanRunMs);
   }
 
   /** An entry heard the load, by a report or with an answer. */
-  noteTold(
+  recordReport(
     linkId: number,
-    word: { readonly load: TargetLoad; readonly now: number },
+    report: { readonly load: TargetLoad; readonly now: number },
   ): void {
-    const { queued, running } = word.load;
-    this.#lastWords.set(linkId, { load: queued + running, at: word.now });
+    const { queued, running } = report.load;
+    this.#lastReports.set(linkId, { load: queued + running, at: report.now });
   }
 
   /** The connection was lost. */
-  forget(linkId: number): void {
-    this.#lastWords.delete(linkId);
+  removeLink(linkId: number): void {
+    this.#lastReports.delete(linkId);
   }
 
   /** A report of this load. */
@@ -53,18 +53,18 @@
   }
 
   /** Entries whose last word is old and no longer true. */
-  dueLinks(load: TargetLoad, now: number): readonly number[] {
+  getDueLinks(load: TargetLoad, now: number): readonly number[] {
     const total = load.queued + load.running;
     const interval = Math.max(
       MIN_INTERVAL_MS,
-      this.#lastWords.size * MS_PER_SECOND / REPORTS_PER_SECOND,
+      this.#lastReports.size * MS_PER_SECOND / REPORTS_PER_SECOND,
     );
-    const due: number[] = [];
-    for (const [linkId, last] of this.#lastWords) {
+    const dueLinks: number[] = [];
+    for (const [linkId, last] of this.#lastReports) {
       if (now - last.at < interval) continue;
       const change = Math.abs(total - last.load);
-      if (change > MIN_CHANGE * last.load) due.push(linkId);
+      if (change > MIN_CHANGE_FRACTION * last.load) dueLinks.push(linkId);
     }
-    return due;
+    return dueLinks;
   }
 }
--- a/src/target/owner_table.ts
+++ b/src/target/owner_table.ts
@@ -63,7 +63,7 @@
 });
 
 /** Milliseconds after which a free slot is anybody's, whatever their share. */
-export const LEFTOVER_MS = 10_000;
+export const UNRESTRICTED_CLAIM_DELAY_MS = 10_000;
 
 /** Who plans a claim, and what it knows. */
 export interface ClaimContext {
@@ -88,7 +88,7 @@
 }
 
 /** Key of a pool's table in the key-value service. */
-export function ownerTableKey(pool: string): string {
+export function getOwnerTableKey(pool: string): string {
   return `lagoonwharf/owners/${pool}`;
 }
 
@@ -141,13 +141,13 @@
   context: ClaimContext,
 ): OwnerTable | undefined {
   const share = Math.ceil(SLOT_COUNT / Math.max(1, context.liveTargets));
-  let owned = ownedSlotsOf(table, context).slots.length;
+  let ownedCount = ownedSlotsOf(table, context).slots.length;
   let isChanged = false;
   const slots = table.slots.map((state) => {
-    const movedAt = tryMoveTime(state, context, owned < share);
+    const movedAt = tryGetMoveTime(state, context, ownedCount < share);
     if (movedAt === undefined) return state;
     isChanged = true;
-    owned++;
+    ownedCount++;
     return createTakenSlot(context, movedAt);
   });
   if (!isChanged) return undefined;
@@ -205,14 +205,15 @@
 }
 
 /** When the slot counts as moved if it is taken now; undefined: it may not. */
-function tryMoveTime(
+function tryGetMoveTime(
   state: SlotState,
   context: ClaimContext,
   isBelowShare: boolean,
 ): number | undefined {
   if (state.kind === "free") {
-    const isLeftover = context.wallNow - state.since >= LEFTOVER_MS;
-    if (!isBelowShare && !isLeftover) return undefined;
+    const isUnrestricted =
+      context.wallNow - state.since >= UNRESTRICTED_CLAIM_DELAY_MS;
+    if (!isBelowShare && !isUnrestricted) return undefined;
     return state.isNew ? 0 : state.since;
   }
   if (state.targetName === context.targetName) {
--- a/src/target/owner_table_test.ts
+++ b/src/target/owner_table_test.ts
@@ -4,12 +4,12 @@
 import {
   type ClaimContext,
   createOwnerTable,
-  LEFTOVER_MS,
   ownedSlotsOf,
   type OwnerTable,
   tryClaim,
   tryParseOwnerTable,
   tryRelease,
+  UNRESTRICTED_CLAIM_DELAY_MS,
 } from "./owner_table.ts";
 
 const NOW = 1_000_000;
@@ -32,7 +32,7 @@
   return tryClaim(table, createContext(changes)) ?? table;
 }
 
-function countOf(table: OwnerTable, targetName: string): number {
+function countSlotsOf(table: OwnerTable, targetName: string): number {
   return table.slots.filter((slot) =>
     slot.kind === "taken" && slot.targetName === targetName
   ).length;
@@ -42,17 +42,21 @@
   it("shares free slots between the targets that live", () => {
     let table = claim(createOwnerTable(NOW));
     table = claim(table, { targetName: "two" });
-    assert.equal(countOf(table, "one"), SLOT_COUNT / 2);
-    assert.equal(countOf(table, "two"), SLOT_COUNT / 2);
+    assert.equal(countSlotsOf(table, "one"), SLOT_COUNT / 2);
+    assert.equal(countSlotsOf(table, "two"), SLOT_COUNT / 2);
   });
 
   it("takes nothing free while it is not known how many share it", () => {
     const liveTargets = Number.POSITIVE_INFINITY;
     const table = createOwnerTable(NOW);
     assert.equal(tryClaim(table, createContext({ liveTargets })), undefined);
-    const wallNow = NOW + LEFTOVER_MS;
+    const wallNow = NOW + UNRESTRICTED_CLAIM_DELAY_MS;
     const later = claim(table, { liveTargets, wallNow });
-    assert.equal(countOf(later, "one"), SLOT_COUNT, "Leftovers are anybody's");
+    assert.equal(
+      countSlotsOf(later, "one"),
+      SLOT_COUNT,
+      "Leftovers are anybody's",
+    );
   });
 
   it("moves nothing by time alone", () => {
@@ -83,7 +87,7 @@
     const moved = claim(table, { incarnation: "2", wallNow: NOW + 5 });
     const old = ownedSlotsOf(moved, { targetName: "one", incarnation: "1" });
     assert.equal(old.slots.length, 0);
-    assert.equal(countOf(moved, "one"), SLOT_COUNT);
+    assert.equal(countSlotsOf(moved, "one"), SLOT_COUNT);
   });
 
   it("gives released slots to others, from the time of the release", () => {
--- a/src/target/request_schedules_test.ts
+++ b/src/target/request_schedules_test.ts
@@ -44,7 +44,7 @@
   readonly choice: number;
 }
 
-const QUIET: Partial<Record<ActionKind, number>> = {
+const BASE_WEIGHTS: Partial<Record<ActionKind, number>> = {
   submit: 6,
   submit_keyed: 8,
   abandon: 1,
@@ -55,31 +55,35 @@
   finish_look: 2,
 };
 
-interface FaultRow {
+interface FaultCase {
   readonly name: string;
-  readonly faults: Partial<Record<ActionKind, number>>;
-  readonly world?: Partial<RequestWorldOptions>;
+  readonly faultWeights: Partial<Record<ActionKind, number>>;
+  readonly options?: Partial<RequestWorldOptions>;
 }
 
-const FAULT_ROWS: readonly FaultRow[] = [
-  { name: "late and crossed messages", faults: {} },
-  { name: "streamed answers", faults: {}, world: { isStreamed: true } },
+const FAULT_CASES: readonly FaultCase[] = [
+  { name: "late and crossed messages", faultWeights: {} },
+  {
+    name: "streamed answers",
+    faultWeights: {},
+    options: { isStreamed: true },
+  },
   {
     name: "answers broken off",
-    faults: { fail_run: 3 },
-    world: { isStreamed: true },
+    faultWeights: { fail_run: 3 },
+    options: { isStreamed: true },
   },
   {
     name: "connections lost and made anew",
-    faults: { disconnect: 2, stall: 2, connect: 3 },
+    faultWeights: { disconnect: 2, stall: 2, connect: 3 },
   },
   {
     name: "targets killed and restarted without memory",
-    faults: { kill: 1, restart: 1, connect: 2 },
+    faultWeights: { kill: 1, restart: 1, connect: 2 },
   },
   {
     name: "targets paused beyond the word of the machine list",
-    faults: {
+    faultWeights: {
       pause: 1,
       wake: 2,
       list_gone: 1,
@@ -91,11 +95,17 @@
   },
   {
     name: "the key-value service down",
-    faults: { key_value: 3, kill: 1, restart: 2, connect: 2, fail_run: 1 },
+    faultWeights: {
+      key_value: 3,
+      kill: 1,
+      restart: 2,
+      connect: 2,
+      fail_run: 1,
+    },
   },
   {
     name: "targets leaving",
-    faults: {
+    faultWeights: {
       drain: 1,
       restart: 1,
       connect: 2,
@@ -107,7 +117,7 @@
   },
   {
     name: "everything at once",
-    faults: {
+    faultWeights: {
       fail_run: 1,
       disconnect: 1,
       stall: 1,
@@ -127,8 +137,8 @@
   },
 ];
 
-function actionArbitrary(row: FaultRow): fc.Arbitrary<Action> {
-  const weights = { ...QUIET, ...row.faults };
+function createActionArbitrary(faultCase: FaultCase): fc.Arbitrary<Action> {
+  const weights = { ...BASE_WEIGHTS, ...faultCase.faultWeights };
   const kinds = Object.entries(weights).map(([kind, weight]) => ({
     weight,
     arbitrary: fc.constant(kind as ActionKind),
@@ -140,94 +150,101 @@
   });
 }
 
-function act(world: RequestWorld, action: Action): void {
+function performAction(simulation: RequestWorld, action: Action): void {
   const { target, choice } = action;
   switch (action.kind) {
     case "submit":
-      world.submit(choice % ENTRIES, {
+      simulation.submit(choice % ENTRIES, {
         method: choice % 3 === 0 ? "GET" : "POST",
         body: `body ${choice}`,
       });
       return;
     case "submit_keyed":
-      world.submit(choice % ENTRIES, { key: `key-${choice % KEYS}` });
+      simulation.submit(choice % ENTRIES, { key: `key-${choice % KEYS}` });
       return;
     case "abandon": {
-      const submission = world.callers.submissions.at(-1 - choice % 5);
-      if (submission !== undefined) world.abandon(submission);
+      const submission = simulation.callers.submissions.at(-1 - choice % 5);
+      if (submission !== undefined) simulation.abandon(submission);
       return;
     }
     case "deliver":
-      return world.deliver(choice);
+      return simulation.deliver(choice);
     case "progress":
-      return world.progressRun(target, choice);
+      return simulation.progressRun(target, choice);
     case "fail_run":
-      return world.failRun(target, choice);
+      return simulation.failRun(target, choice);
     case "tick":
-      return world.tick(choice);
+      return simulation.tick(choice);
     case "long_tick":
-      return world.tick(choice * 50);
+      return simulation.tick(choice * 50);
     case "disconnect":
-      return world.disconnect(choice);
+      return simulation.disconnect(choice);
     case "stall":
-      return world.stall(choice);
+      return simulation.stall(choice);
     case "connect":
-      world.unstallAll();
-      return world.connectAll();
+      simulation.unstallAll();
+      return simulation.connectAll();
     case "kill":
-      return world.kill(target);
+      return simulation.kill(target);
     case "restart":
-      return world.restart(target);
+      return simulation.restart(target);
     case "pause":
-      return world.pause(target);
+      return simulation.pause(target);
     case "wake":
-      return world.wake(target);
+      return simulation.wake(target);
     case "list_gone":
-      return world.listGone(target);
+      return simulation.listGone(target);
     case "list_live":
-      return world.listLive(target);
+      return simulation.listLive(target);
     case "key_value":
-      world.isKeyValueDown = choice % 2 === 0;
+      simulation.isKeyValueDown = choice % 2 === 0;
       return;
     case "start_look":
-      return world.startLook(target);
+      return simulation.startLook(target);
     case "finish_look":
-      return world.finishLook(target);
+      return simulation.finishLook(target);
     case "drain":
-      return world.drain(target);
+      return simulation.drain(target);
     case "release":
-      return world.release(target);
+      return simulation.release(target);
     case "hand_over":
-      return world.handOver(target);
+      return simulation.handOver(target);
   }
 }
 
 describe("requests under faults", () => {
-  for (const row of FAULT_ROWS) {
-    it(`runs a key at most once and tells no lie: ${row.name}`, (context) => {
+  for (const faultCase of FAULT_CASES) {
+    it(`runs a key at most once and tells no lie: ${faultCase.name}`, (context) => {
       const counts = createCounts();
       const keyed = createCounts();
       fc.assert(
         fc.property(
-          fc.array(actionArbitrary(row), { minLength: 30, maxLength: 250 }),
+          fc.array(createActionArbitrary(faultCase), {
+            minLength: 30,
+            maxLength: 250,
+          }),
           (actions) => {
-            const world = new RequestWorld({
+            const simulation = new RequestWorld({
               entries: ENTRIES,
               targets: TARGETS,
-              ...row.world,
+              ...faultCase.options,
             });
             for (const action of actions) {
-              act(world, action);
-              world.checkInvariants();
+              performAction(simulation, action);
+              simulation.checkInvariants();
+            }
+            simulation.unstallAll();
+            simulation.connectAll();
+            for (let target = 0; target < TARGETS; target++) {
+              simulation.wake(target);
             }
-            world.unstallAll();
-            world.connectAll();
-            for (let target = 0; target < TARGETS; target++) world.wake(target);
-            world.settle();
-            world.checkInvariants();
-            count(world.callers.submissions, counts);
-            count(
-              world.callers.submissions.filter((one) => one.key !== undefined),
+            simulation.settle();
+            simulation.checkInvariants();
+            addOutcomes(simulation.callers.submissions, counts);
+            addOutcomes(
+              simulation.callers.submissions.filter((submission) =>
+                submission.key !== undefined
+              ),
               keyed,
             );
           },
@@ -252,7 +269,7 @@
   return { answered: 0, notRun: 0, unknown: 0, cut: 0 };
 }
 
-function count(
+function addOutcomes(
   submissions: readonly Submission[],
   counts: OutcomeCounts,
 ): void {
--- a/src/target/run.ts
+++ b/src/target/run.ts
@@ -36,7 +36,7 @@
 }
 
 /** Status and headers of an answer. */
-export interface AnswerStart {
+export interface AnswerHead {
   readonly status: number;
   readonly headers: readonly Header[];
 }
@@ -51,7 +51,7 @@
 export class Run {
   readonly #options: RunOptions;
   readonly #kept: Uint8Array[] = [];
-  #start: AnswerStart | undefined;
+  #head: AnswerHead | undefined;
   #gathered: Uint8Array[] = [];
   #gatheredBytes = 0;
   #gatheredAt = Number.NEGATIVE_INFINITY;
@@ -95,13 +95,13 @@
   }
 
   /** The first message of the answer. */
-  createHead(start: AnswerStart): AnswerHeadMessage {
-    this.#start = start;
+  createHead(head: AnswerHead): AnswerHeadMessage {
+    this.#head = head;
     return {
       kind: "answer_head",
-      ...this.#nextPlace(),
-      status: start.status,
-      headers: start.headers,
+      ...this.#createNextIds(),
+      status: head.status,
+      headers: head.headers,
     };
   }
 
@@ -118,18 +118,18 @@
     if (isKept) this.#kept.push(bytes);
     this.#gathered.push(bytes);
     this.#gatheredBytes += bytes.length;
-    return this.tryGathered(now);
+    return this.tryFlushDue(now);
   }
 
   /** What was gathered, if it is due. */
-  tryGathered(now: number): AnswerDataMessage | undefined {
+  tryFlushDue(now: number): AnswerDataMessage | undefined {
     const isDue = now - this.#gatheredAt >= this.#options.gatherMs ||
       this.#gatheredBytes >= MAX_GATHERED_BYTES;
-    return isDue ? this.tryRest(now) : undefined;
+    return isDue ? this.tryFlush(now) : undefined;
   }
 
   /** What was gathered, due or not. */
-  tryRest(now: number): AnswerDataMessage | undefined {
+  tryFlush(now: number): AnswerDataMessage | undefined {
     if (this.#gathered.length === 0) return undefined;
     const [first] = this.#gathered;
     const bytes = this.#gathered.length === 1
@@ -138,31 +138,31 @@
     this.#gathered = [];
     this.#gatheredBytes = 0;
     this.#gatheredAt = now;
-    return { kind: "answer_data", ...this.#nextPlace(), bytes };
+    return { kind: "answer_data", ...this.#createNextIds(), bytes };
   }
 
   /** The last message of the answer. */
   createEnd(load: TargetLoad): AnswerEndMessage {
     return {
       kind: "answer_end",
-      ...this.#nextPlace(),
+      ...this.#createNextIds(),
       byteCount: this.#byteCount,
       ...load,
     };
   }
 
   /** The whole answer, unless it was too large to keep. */
-  tryKeptAnswer(): KeptAnswer | undefined {
-    if (this.#start === undefined) return undefined;
+  tryGetKeptAnswer(): KeptAnswer | undefined {
+    if (this.#head === undefined) return undefined;
     if (this.#byteCount > this.#options.keptAnswerBytes) return undefined;
     return {
-      status: this.#start.status,
-      headers: this.#start.headers,
+      status: this.#head.status,
+      headers: this.#head.headers,
       body: Buffer.concat(this.#kept),
     };
   }
 
-  #nextPlace() {
+  #createNextIds() {
     const { requestId, attempt } = this.#options.owner;
     return { requestId, attempt, sequence: this.#sequence++ };
   }
--- a/src/target/start_claims.ts
+++ b/src/target/start_claims.ts
@@ -51,16 +51,16 @@
     goneGraceMs: settings.goneGraceMs,
     monotonicNow: () => performance.now(),
     onTaken: (slots) => fetcher.fetch(slots),
-    onConfirmed: createConfirmation(options),
+    onConfirmed: createConfirmedHandler(options),
   });
 }
 
 /** Logs claims once for each version, and passes every confirmation on. */
-function createConfirmation(
+function createConfirmedHandler(
   { log, onEvent }: StartClaimsOptions,
 ): ClaimKeeperOptions["onConfirmed"] {
   let version = 0;
-  return (claims, askedAt) => {
+  return (claims, requestedAt) => {
     if (claims.version !== version) {
       version = claims.version;
       log.write("SLOTS_CLAIMED", { version, slots: claims.slots.length });
@@ -69,7 +69,7 @@
       kind: "claims_confirmed",
       now: performance.now(),
       claims,
-      askedAt,
+      askedAt: requestedAt,
     });
   };
 }
--- a/src/target/target_driver.ts
+++ b/src/target/target_driver.ts
@@ -45,7 +45,7 @@
 /** Also how late gathered tokens may be sent. */
 const TICK_MS = 10;
 /** Milliseconds that a drained target waits for the new owners of its keys. */
-const HAND_OVER_LIMIT_MS = 4000;
+const HANDOVER_TIMEOUT_MS = 4000;
 
 /** What a target's driver works with. */
 export interface TargetDriverOptions {
@@ -71,13 +71,13 @@
   readonly #bodies = new BodyCache();
   #claims: ClaimKeeper | undefined;
   #group: GroupPart | undefined;
-  #machines: MachineListReader | undefined;
-  #tick: NodeJS.Timeout | undefined;
+  #machineListReader: MachineListReader | undefined;
+  #tickTimer: NodeJS.Timeout | undefined;
   #nextLinkId = 1;
-  #isListedLeaving = false;
-  #isSetLeaving = false;
+  #isLeavingByList = false;
+  #isLeavingBySettings = false;
   #onDrained: (() => void) | undefined;
-  #slotsToHandOver = 0;
+  #pendingHandovers = 0;
 
   /** Does not listen yet. */
   constructor(options: TargetDriverOptions) {
@@ -134,7 +134,7 @@
   async start(): Promise<void> {
     const { settings, machineList, log } = this.#options;
     await this.#listener.listen(settings.address);
-    this.#tick = setInterval(() =>
+    this.#tickTimer = setInterval(() =>
       this.#dispatch({
         kind: "tick",
         now: performance.now(),
@@ -145,9 +145,9 @@
     });
     this.#startGroup();
     if (machineList !== undefined) {
-      this.#machines = new MachineListReader({
+      this.#machineListReader = new MachineListReader({
         list: machineList,
-        onList: (machines) => this.#onMachines(machines),
+        onList: (virtualMachines) => this.#onVirtualMachines(virtualMachines),
         onReachable: (isReachable) =>
           log.write(isReachable ? "PLATFORM_REACHED" : "PLATFORM_UNREACHABLE", {
             service: "machine list",
@@ -167,17 +167,17 @@
   }
 
   async close(): Promise<void> {
-    clearInterval(this.#tick);
+    clearInterval(this.#tickTimer);
     this.#claims?.stop();
     this.#group?.stop();
-    this.#machines?.stop();
+    this.#machineListReader?.stop();
     for (const link of this.#links.values()) link.close();
     await this.#options.backEnd.close();
     this.#listener.close();
   }
 
   onPeer(link: Link, hello: HelloMessage) {
-    if (hello.role === "target") return this.#onGroupPeer(link, hello.name);
+    if (hello.role === "target") return this.#onCoordinator(link, hello.name);
     if (hello.role === "successor") return this.#onSuccessor(link);
     const linkId = this.#nextLinkId++;
     this.#links.set(linkId, link);
@@ -191,7 +191,7 @@
   }
 
   /** Rank 0 of this target's group; nobody else may give its engine orders. */
-  #onGroupPeer(link: Link, name: string) {
+  #onCoordinator(link: Link, name: string) {
     if (name === this.#options.settings.group?.coordinatorName) {
       this.#group?.addLink(link);
     } else {
@@ -218,8 +218,8 @@
           slot,
         });
         link.flush();
-        this.#slotsToHandOver--;
-        if (this.#slotsToHandOver === 0) this.#onDrained?.();
+        this.#pendingHandovers--;
+        if (this.#pendingHandovers === 0) this.#onDrained?.();
       },
       onClose: () => {
         this.#links.delete(linkId);
@@ -284,19 +284,21 @@
   }
 
   /** Whoever hears first that this target leaves, refuses new work for all. */
-  #onMachines(machines: readonly VirtualMachine[]): void {
-    this.#claims?.setMachines(machines);
+  #onVirtualMachines(virtualMachines: readonly VirtualMachine[]): void {
+    this.#claims?.setVirtualMachines(virtualMachines);
     const { name } = this.#options.settings;
-    const own = machines.find((machine) => machine.name === name);
-    this.#isListedLeaving = own?.state === "leaving";
-    this.#setLeaving();
+    const own = virtualMachines.find((virtualMachine) =>
+      virtualMachine.name === name
+    );
+    this.#isLeavingByList = own?.state === "leaving";
+    this.#dispatchLeaving();
   }
 
-  #setLeaving(): void {
+  #dispatchLeaving(): void {
     this.#dispatch({
       kind: "leaving_set",
       now: performance.now(),
-      isLeaving: this.#isListedLeaving || this.#isSetLeaving,
+      isLeaving: this.#isLeavingByList || this.#isLeavingBySettings,
     });
   }
 
@@ -316,15 +318,17 @@
     this.#exchange.offerToAll();
     const { name } = this.#options.settings;
     const own = snapshot.documents.get(`/targets/${name}`);
-    this.#isSetLeaving = own?.kind === "target" && own.leaving;
-    this.#setLeaving();
+    this.#isLeavingBySettings = own?.kind === "target" && own.leaving;
+    this.#dispatchLeaving();
   }
 
   #dispatch(event: TargetEvent): void {
-    for (const effect of this.#reducer.reduce(event)) this.#perform(effect);
+    for (const effect of this.#reducer.reduce(event)) {
+      this.#performEffect(effect);
+    }
   }
 
-  #perform(effect: TargetEffect): void {
+  #performEffect(effect: TargetEffect): void {
     switch (effect.kind) {
       case "reply":
         this.#links.get(effect.linkId)?.send(effect.message);
@@ -338,7 +342,7 @@
         return this.#calls.cancel(effect.runId);
       case "confirm_claims":
         this.#options.log.write("PAUSED");
-        this.#claims?.confirm();
+        this.#claims?.readNow();
         return;
       case "count_refusal":
         return this.#metrics.countRefusal(effect.reason);
@@ -350,12 +354,12 @@
   }
 
   async #finishDrain(): Promise<void> {
-    const released = await this.#claims?.release() ?? 0;
+    const releasedCount = await this.#claims?.release() ?? 0;
     for (const link of this.#links.values()) link.flush();
-    if (released === 0) return this.#onDrained?.();
-    this.#options.log.write("SLOTS_RELEASED", { slots: released });
+    if (releasedCount === 0) return this.#onDrained?.();
+    this.#options.log.write("SLOTS_RELEASED", { slots: releasedCount });
     // New owners ask for the keys; without one there is nobody to wait for.
-    this.#slotsToHandOver = released;
-    setTimeout(() => this.#onDrained?.(), HAND_OVER_LIMIT_MS);
+    this.#pendingHandovers = releasedCount;
+    setTimeout(() => this.#onDrained?.(), HANDOVER_TIMEOUT_MS);
   }
 }
--- a/src/target/target_reducer.ts
+++ b/src/target/target_reducer.ts
@@ -35,7 +35,7 @@
   BackEndFailed,
   BackEndHead,
   ClaimsConfirmed,
-  HandOverAsked,
+  HandoverRequested,
   MessageReceived,
   TargetEffect,
   TargetEvent,
@@ -45,7 +45,7 @@
 /** Name of the back end among those that may ask this target for backoffs. */
 const BACK_END = "back_end";
 
-interface Waiting {
+interface WaitingRequest {
   readonly owner: RunOwner;
   readonly request: SubmitMessage;
   readonly fingerprint?: string;
@@ -67,7 +67,7 @@
 export class TargetReducer {
   readonly #limits: TargetLimits;
   readonly #gate: KeyGate;
-  readonly #queue: FairQueue<Waiting>;
+  readonly #queue: FairQueue<WaitingRequest>;
   readonly #runs = new Map<number, Run>();
   readonly #reporter = new LoadReporter();
   readonly #openLinks = new Set<number>();
@@ -75,8 +75,8 @@
   /** Told to end; there is no way back. */
   #isDraining = false;
   /** Leaving by the word of the platform's list or of the settings. */
-  #isSetLeaving = false;
-  #saidDrained = false;
+  #isMarkedLeaving = false;
+  #hasReportedDrained = false;
   readonly #replies = new TargetReplies();
   readonly #backoffs = new TargetBackoffs();
 
@@ -99,7 +99,7 @@
 
   /** Whether new work is refused. */
   get isLeaving(): boolean {
-    return this.#isDraining || this.#isSetLeaving;
+    return this.#isDraining || this.#isMarkedLeaving;
   }
 
   /** The remembered keys. */
@@ -116,58 +116,58 @@
    * ```
    */
   reduce(event: TargetEvent): readonly TargetEffect[] {
-    if (this.#gate.notePassing(event.now)) {
+    if (this.#gate.detectPause(event.now)) {
       this.#replies.push({ kind: "confirm_claims" });
     }
     const wasLeaving = this.isLeaving;
     this.#reduce(event);
-    if (this.isLeaving !== wasLeaving) this.#tellLeaving();
+    if (this.isLeaving !== wasLeaving) this.#broadcastLeaving();
     this.#refuseInBackoff(event.now);
-    this.#startWork(event.now);
+    this.#startWaiting(event.now);
     this.#checkDrained();
-    return this.#replies.take();
+    return this.#replies.takeEffects();
   }
 
   #reduce(event: TargetEvent): void {
     switch (event.kind) {
       case "link_opened":
-        return this.#linkOpened(event.linkId, event.now);
+        return this.#onLinkOpened(event.linkId, event.now);
       case "link_closed":
-        return this.#linkClosed(event.linkId);
+        return this.#onLinkClosed(event.linkId);
       case "message_received":
-        return this.#messageReceived(event);
+        return this.#onMessage(event);
       case "back_end_head":
-        return this.#backEndHead(event);
+        return this.#onBackEndHead(event);
       case "back_end_data":
-        return this.#backEndData(event);
+        return this.#onBackEndData(event);
       case "back_end_end":
-        return this.#backEndEnd(event);
+        return this.#onBackEndEnd(event);
       case "back_end_failed":
-        return this.#backEndFailed(event);
+        return this.#onBackEndFailed(event);
       case "claims_confirmed":
-        return this.#claimsConfirmed(event);
+        return this.#onClaimsConfirmed(event);
       case "hand_over_asked":
-        return this.#handOver(event);
+        return this.#onHandoverRequested(event);
       case "history_received":
-        return this.#gate.takeOver(event.history, event.now);
+        return this.#gate.addHistory(event.history, event.now);
       case "tick":
-        return this.#tick(event.now);
+        return this.#onTick(event.now);
       case "drain_requested":
         this.#isDraining = true;
         return;
       case "leaving_set":
-        this.#isSetLeaving = event.isLeaving;
+        this.#isMarkedLeaving = event.isLeaving;
         return;
       default:
         assertNever(event);
     }
   }
 
-  #linkOpened(linkId: number, now: number): void {
+  #onLinkOpened(linkId: number, now: number): void {
     this.#openLinks.add(linkId);
-    this.#reporter.noteTold(linkId, { load: this.#load(), now });
-    this.#replies.reply(linkId, this.#claims());
-    this.#replies.reply(linkId, this.#reporter.createReport(this.#load()));
+    this.#reporter.recordReport(linkId, { load: this.#getLoad(), now });
+    this.#replies.reply(linkId, this.#createClaims());
+    this.#replies.reply(linkId, this.#reporter.createReport(this.#getLoad()));
     if (this.isLeaving) this.#replies.reply(linkId, { kind: "leaving" });
   }
 
@@ -176,32 +176,32 @@
    * runs without a key is broken off. A keyed run goes on, so that whoever asks
    * again gets its answer.
    */
-  #linkClosed(linkId: number): void {
+  #onLinkClosed(linkId: number): void {
     this.#openLinks.delete(linkId);
-    this.#reporter.forget(linkId);
+    this.#reporter.removeLink(linkId);
     const dropped = this.#queue.removeWhere((item) =>
       item.owner.linkId === linkId
     );
-    for (const item of dropped) this.#forgetKey(item.fingerprint);
+    for (const item of dropped) this.#discardKey(item.fingerprint);
     for (const run of this.#runs.values()) {
       if (run.owner.linkId === linkId) this.#abandon(run);
     }
   }
 
-  #messageReceived(event: MessageReceived): void {
+  #onMessage(event: MessageReceived): void {
     if (!this.#openLinks.has(event.linkId)) return;
     const { message, linkId } = event;
     switch (message.kind) {
       case "submit":
-        return this.#submitted(event, message);
+        return this.#onSubmit(event, message);
       case "cancel":
-        return this.#cancelled(linkId, message);
+        return this.#onCancel(linkId, message);
       default:
         return;
     }
   }
 
-  #submitted(event: MessageReceived, request: SubmitMessage): void {
+  #onSubmit(event: MessageReceived, request: SubmitMessage): void {
     const owner: RunOwner = {
       linkId: event.linkId,
       requestId: request.requestId,
@@ -216,10 +216,10 @@
       });
     }
     if (!isKeyed) return this.#enqueue(owner, request, { now: event.now });
-    this.#submittedWithKey(owner, request, event);
+    this.#onKeyedSubmit(owner, request, event);
   }
 
-  #submittedWithKey(
+  #onKeyedSubmit(
     owner: RunOwner,
     request: SubmitMessage,
     event: MessageReceived,
@@ -233,7 +233,7 @@
           fingerprint: decision.fingerprint,
         });
       case "replay":
-        return this.#replies.replay(owner, decision.answer, this.#load());
+        return this.#replies.replay(owner, decision.answer, this.#getLoad());
       case "refused":
         return this.#replies.refuse(owner, {
           reason: decision.reason,
@@ -263,14 +263,16 @@
     if (dropped !== undefined) this.#refuseWaiting(dropped, "QUEUE_FULL");
   }
 
-  #cancelled(linkId: number, message: CancelMessage): void {
-    const isIt = (owner: RunOwner) =>
+  #onCancel(linkId: number, message: CancelMessage): void {
+    const isSameAttempt = (owner: RunOwner) =>
       owner.linkId === linkId && owner.requestId === message.requestId &&
       owner.attempt === message.attempt;
-    const waiting = this.#queue.removeWhere((item) => isIt(item.owner));
+    const waiting = this.#queue.removeWhere((item) =>
+      isSameAttempt(item.owner)
+    );
     for (const item of waiting) this.#refuseWaiting(item, "CANCELLED");
     for (const run of this.#runs.values()) {
-      if (isIt(run.owner)) this.#abandon(run);
+      if (isSameAttempt(run.owner)) this.#abandon(run);
     }
   }
 
@@ -281,7 +283,7 @@
     this.#replies.push({ kind: "cancel_back_end", runId: run.id });
   }
 
-  #startWork(now: number): void {
+  #startWaiting(now: number): void {
     while (this.#runs.size < this.#limits.concurrency) {
       const item = this.#queue.tryTake();
       if (item === undefined) return;
@@ -290,15 +292,15 @@
     }
   }
 
-  #dropLate(now: number): void {
+  #refuseLate(now: number): void {
     const late = this.#queue.removeWhere((item) => item.startBy <= now);
     for (const item of late) this.#refuseWaiting(item, "DEADLINE_BEFORE_START");
   }
 
-  #start(item: Waiting, now: number): void {
+  #start(item: WaitingRequest, now: number): void {
     const { fingerprint } = item;
-    if (fingerprint !== undefined && !this.#gate.mayBegin(fingerprint)) {
-      this.#forgetKey(fingerprint);
+    if (fingerprint !== undefined && !this.#gate.mayStart(fingerprint)) {
+      this.#discardKey(fingerprint);
       return this.#replies.refuse(item.owner, {
         reason: "OWNER_UNCERTAIN",
         isKeyed: true,
@@ -321,106 +323,108 @@
     });
   }
 
-  #backEndHead(event: BackEndHead): void {
+  #onBackEndHead(event: BackEndHead): void {
     const run = this.#runs.get(event.runId);
     if (run === undefined) return;
-    const word = readBackoff(event.status, event.headers);
-    if (word.kind === "backoff") {
-      const askedMs = word.milliseconds;
+    const backoff = readBackoff(event.status, event.headers);
+    if (backoff.kind === "backoff") {
+      const askedMs = backoff.milliseconds;
       this.#backoffs.note({ target: BACK_END, askedMs, now: event.now });
     }
-    const notice = word.kind === "none" ? undefined : createBackoffNotice(word);
-    this.#replies.replyTo(run, { ...run.createHead(event), notice });
+    const notice = backoff.kind === "none"
+      ? undefined
+      : createBackoffNotice(backoff);
+    this.#replies.replyToRun(run, { ...run.createHead(event), notice });
   }
 
-  #backEndData(event: BackEndData): void {
+  #onBackEndData(event: BackEndData): void {
     const run = this.#runs.get(event.runId);
     if (run === undefined) return;
-    this.#replies.replyTo(run, run.addData(event.bytes, event.now));
+    this.#replies.replyToRun(run, run.addData(event.bytes, event.now));
   }
 
-  #backEndEnd(event: BackEndEnd): void {
+  #onBackEndEnd(event: BackEndEnd): void {
     const run = this.#runs.get(event.runId);
     if (run === undefined) return;
     this.#runs.delete(run.id);
-    this.#reporter.countRun(event.now - run.startedAt);
-    this.#replies.replyTo(run, run.tryRest(event.now));
-    this.#replies.replyTo(run, run.createEnd(this.#load()));
+    this.#reporter.recordRun(event.now - run.startedAt);
+    this.#replies.replyToRun(run, run.tryFlush(event.now));
+    this.#replies.replyToRun(run, run.createEnd(this.#getLoad()));
     if (this.#openLinks.has(run.owner.linkId)) {
-      this.#reporter.noteTold(run.owner.linkId, {
-        load: this.#load(),
+      this.#reporter.recordReport(run.owner.linkId, {
+        load: this.#getLoad(),
         now: event.now,
       });
     }
     if (run.fingerprint === undefined) return;
-    this.#gate.ledger.setAnswered(run.fingerprint, run.tryKeptAnswer());
+    this.#gate.ledger.setAnswered(run.fingerprint, run.tryGetKeptAnswer());
   }
 
-  #backEndFailed(event: BackEndFailed): void {
+  #onBackEndFailed(event: BackEndFailed): void {
     const run = this.#runs.get(event.runId);
     if (run === undefined) return;
     this.#runs.delete(run.id);
-    const isBegun = !isNotRun(event.failure);
+    const hasStarted = !isNotRun(event.failure);
     if (run.fingerprint !== undefined) {
-      if (isBegun) this.#gate.ledger.setUnsettled(run.fingerprint);
-      else this.#forgetKey(run.fingerprint);
+      if (hasStarted) this.#gate.ledger.setUnsettled(run.fingerprint);
+      else this.#discardKey(run.fingerprint);
     }
     if (run.isAbandoned) return;
     this.#replies.refuse(run.owner, {
       reason: getReasonOf(event.failure),
       isKeyed: run.fingerprint !== undefined,
-      submission: isBegun ? "unknown" : "not-run",
+      submission: hasStarted ? "unknown" : "not-run",
     });
   }
 
-  #claimsConfirmed(event: ClaimsConfirmed): void {
-    const before = JSON.stringify(this.#claims());
+  #onClaimsConfirmed(event: ClaimsConfirmed): void {
+    const before = JSON.stringify(this.#createClaims());
     if (!this.#gate.confirm(event.claims, event.askedAt)) return;
-    const claims = this.#claims();
+    const claims = this.#createClaims();
     if (JSON.stringify(claims) === before) return;
     this.#replies.push({ kind: "broadcast", message: claims });
   }
 
   /** Only a target that will run nothing more knows all there is to know. */
-  #handOver(event: HandOverAsked): void {
-    if (!this.#saidDrained) return;
+  #onHandoverRequested(event: HandoverRequested): void {
+    if (!this.#hasReportedDrained) return;
     this.#replies.reply(
       event.linkId,
-      this.#gate.handOver(event.slot, event.now),
+      this.#gate.createHandover(event.slot, event.now),
     );
   }
 
-  #tick(now: number): void {
-    this.#dropLate(now);
+  #onTick(now: number): void {
+    this.#refuseLate(now);
     for (const run of this.#runs.values()) {
-      this.#replies.replyTo(run, run.tryGathered(now));
+      this.#replies.replyToRun(run, run.tryFlushDue(now));
     }
-    const load = this.#load();
-    for (const linkId of this.#reporter.dueLinks(load, now)) {
+    const load = this.#getLoad();
+    for (const linkId of this.#reporter.getDueLinks(load, now)) {
       this.#replies.reply(linkId, this.#reporter.createReport(load));
-      this.#reporter.noteTold(linkId, { load, now });
+      this.#reporter.recordReport(linkId, { load, now });
     }
   }
 
-  #tellLeaving(): void {
+  #broadcastLeaving(): void {
     const kind = this.isLeaving ? "leaving" : "serving";
     this.#replies.push({ kind: "broadcast", message: { kind } });
   }
 
   #checkDrained(): void {
-    if (!this.#isDraining || this.#saidDrained) return;
+    if (!this.#isDraining || this.#hasReportedDrained) return;
     if (this.#runs.size > 0 || this.#queue.length > 0) return;
-    this.#saidDrained = true;
+    this.#hasReportedDrained = true;
     this.#replies.push({ kind: "drained" });
   }
 
   /** What waited was never handed to the back end, and never will be. */
   #refuseWaiting(
-    item: Waiting,
+    item: WaitingRequest,
     reason: RefusalName,
     notice?: BackEndNotice,
   ): void {
-    this.#forgetKey(item.fingerprint);
+    this.#discardKey(item.fingerprint);
     this.#replies.refuse(item.owner, {
       reason,
       isKeyed: item.fingerprint !== undefined,
@@ -443,11 +447,11 @@
     }
   }
 
-  #forgetKey(fingerprint: string | undefined): void {
-    if (fingerprint !== undefined) this.#gate.ledger.forget(fingerprint);
+  #discardKey(fingerprint: string | undefined): void {
+    if (fingerprint !== undefined) this.#gate.ledger.discard(fingerprint);
   }
 
-  #claims(): Extract<Message, { kind: "claims" }> {
+  #createClaims(): Extract<Message, { kind: "claims" }> {
     return {
       kind: "claims",
       version: this.#gate.version,
@@ -456,7 +460,7 @@
     };
   }
 
-  #load(): { readonly queued: number; readonly running: number } {
+  #getLoad(): { readonly queued: number; readonly running: number } {
     return { queued: this.#queue.length, running: this.#runs.size };
   }
 }
--- a/src/target/target_reducer_test.ts
+++ b/src/target/target_reducer_test.ts
@@ -39,7 +39,7 @@
   });
 }
 
-function refusalsOf(
+function getRefusals(
   effects: readonly TargetEffect[],
 ): readonly RefusedMessage[] {
   return effects.flatMap((effect) =>
@@ -49,7 +49,7 @@
   );
 }
 
-function textsOf(effects: readonly TargetEffect[]): readonly string[] {
+function getAnswerTexts(effects: readonly TargetEffect[]): readonly string[] {
   return effects.flatMap((effect) =>
     effect.kind === "reply" && effect.message.kind === "answer_data"
       ? [Buffer.from(effect.message.bytes).toString()]
@@ -57,13 +57,15 @@
   );
 }
 
-function startsOf(effects: readonly TargetEffect[]): readonly number[] {
+function getStartedRequestIds(
+  effects: readonly TargetEffect[],
+): readonly number[] {
   return effects.flatMap((effect) =>
     effect.kind === "start_back_end" ? [effect.request.requestId] : []
   );
 }
 
-function has(effects: readonly TargetEffect[], kind: string): boolean {
+function hasEffect(effects: readonly TargetEffect[], kind: string): boolean {
   return effects.some((effect) => effect.kind === kind);
 }
 
@@ -77,17 +79,17 @@
       requestId: 1,
       attempt: 1,
     });
-    assert.deepEqual(refusalsOf(running), []);
-    assert.ok(has(running, "cancel_back_end"));
+    assert.deepEqual(getRefusals(running), []);
+    assert.ok(hasEffect(running, "cancel_back_end"));
     const waiting = receive(target, {
       kind: "cancel",
       requestId: 2,
       attempt: 1,
     });
-    const [refusal] = refusalsOf(waiting);
+    const [refusal] = getRefusals(waiting);
     assert.equal(refusal?.reason, "CANCELLED");
     assert.equal(refusal?.submission, "not-run");
-    assert.deepEqual(startsOf(waiting), []);
+    assert.deepEqual(getStartedRequestIds(waiting), []);
   });
 
   it("never begins what it said was not run", () => {
@@ -95,11 +97,11 @@
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2, remainingMs: 50 }));
     const early = target.reduce({ kind: "tick", now: 24 });
-    assert.deepEqual(refusalsOf(early), []);
+    assert.deepEqual(getRefusals(early), []);
     const late = target.reduce({ kind: "tick", now: 25 });
-    assert.equal(refusalsOf(late)[0]?.reason, "DEADLINE_BEFORE_START");
+    assert.equal(getRefusals(late)[0]?.reason, "DEADLINE_BEFORE_START");
     const ended = target.reduce({ kind: "back_end_end", now: 70, runId: 1 });
-    assert.deepEqual(startsOf(ended), []);
+    assert.deepEqual(getStartedRequestIds(ended), []);
   });
 
   it("gives work up at once that would start too late to end in time", () => {
@@ -107,14 +109,14 @@
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2, remainingMs: 50 }));
     const ended = target.reduce({ kind: "back_end_end", now: 70, runId: 1 });
-    assert.equal(refusalsOf(ended)[0]?.reason, "DEADLINE_BEFORE_START");
-    assert.deepEqual(startsOf(ended), []);
+    assert.equal(getRefusals(ended)[0]?.reason, "DEADLINE_BEFORE_START");
+    assert.deepEqual(getStartedRequestIds(ended), []);
   });
 
   it("takes messages of a lost connection for nothing", () => {
     const target = createTarget();
     target.reduce({ kind: "link_closed", now: 0, linkId: LINK });
-    assert.deepEqual(startsOf(receive(target, createSubmit())), []);
+    assert.deepEqual(getStartedRequestIds(receive(target, createSubmit())), []);
   });
 
   it("drops what waits when its entry is lost, and breaks off what runs", () => {
@@ -122,7 +124,7 @@
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2 }));
     const lost = target.reduce({ kind: "link_closed", now: 0, linkId: LINK });
-    assert.ok(has(lost, "cancel_back_end"));
+    assert.ok(hasEffect(lost, "cancel_back_end"));
     assert.equal(target.queued, 0);
   });
 
@@ -135,7 +137,7 @@
       runId: 1,
       failure: "not_begun",
     });
-    assert.equal(refusalsOf(failed)[0]?.submission, "not-run");
+    assert.equal(getRefusals(failed)[0]?.submission, "not-run");
   });
 
   it("refuses new work once it is leaving, and ends what it has", () => {
@@ -143,14 +145,14 @@
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2 }));
     const drain = target.reduce({ kind: "drain_requested", now: 1 });
-    assert.ok(has(drain, "broadcast"));
-    assert.ok(!has(drain, "drained"));
+    assert.ok(hasEffect(drain, "broadcast"));
+    assert.ok(!hasEffect(drain, "drained"));
     const refused = receive(target, createSubmit({ requestId: 3 }), 1);
-    assert.equal(refusalsOf(refused)[0]?.reason, "TARGET_LEAVING");
+    assert.equal(getRefusals(refused)[0]?.reason, "TARGET_LEAVING");
     const first = target.reduce({ kind: "back_end_end", now: 2, runId: 1 });
-    assert.deepEqual(startsOf(first), [2]);
+    assert.deepEqual(getStartedRequestIds(first), [2]);
     const second = target.reduce({ kind: "back_end_end", now: 3, runId: 2 });
-    assert.ok(has(second, "drained"));
+    assert.ok(hasEffect(second, "drained"));
   });
 
   it("leaves by the platform's or the operators' word, and may come back", () => {
@@ -164,7 +166,7 @@
       { kind: "broadcast", message: { kind: "leaving" } },
     ]);
     const refused = receive(target, createSubmit(), 1);
-    assert.equal(refusalsOf(refused)[0]?.reason, "TARGET_LEAVING");
+    assert.equal(getRefusals(refused)[0]?.reason, "TARGET_LEAVING");
     const back = target.reduce({
       kind: "leaving_set",
       now: 2,
@@ -173,7 +175,9 @@
     assert.deepEqual(back, [
       { kind: "broadcast", message: { kind: "serving" } },
     ]);
-    assert.deepEqual(startsOf(receive(target, createSubmit(), 2)), [1]);
+    assert.deepEqual(getStartedRequestIds(receive(target, createSubmit(), 2)), [
+      1,
+    ]);
   });
 
   it("tells a new entry at once that it is leaving", () => {
@@ -196,7 +200,7 @@
       target,
       createSubmit({ requestId: 4, organisation: "other" }),
     );
-    const [refusal] = refusalsOf(effects);
+    const [refusal] = getRefusals(effects);
     assert.equal(refusal?.reason, "QUEUE_FULL");
     assert.equal(refusal?.requestId, 3);
   });
@@ -204,10 +208,10 @@
   it("sends the first token at once and gathers those that follow", () => {
     const target = createTarget();
     receive(target, createSubmit());
-    const place = { runId: 1, now: 0 };
+    const firstRun = { runId: 1, now: 0 };
     target.reduce({
       kind: "back_end_head",
-      ...place,
+      ...firstRun,
       status: 200,
       headers: [],
     });
@@ -218,33 +222,39 @@
         now,
         bytes: Buffer.from(text),
       });
-    assert.deepEqual(textsOf(token("a", 100)), ["a"]);
-    assert.deepEqual(textsOf(token("b", 105)), []);
-    assert.deepEqual(textsOf(token("c", 110)), []);
-    assert.deepEqual(textsOf(target.reduce({ kind: "tick", now: 115 })), []);
-    assert.deepEqual(textsOf(target.reduce({ kind: "tick", now: 120 })), [
-      "bc",
-    ]);
-    assert.deepEqual(textsOf(token("d", 125)), []);
+    assert.deepEqual(getAnswerTexts(token("a", 100)), ["a"]);
+    assert.deepEqual(getAnswerTexts(token("b", 105)), []);
+    assert.deepEqual(getAnswerTexts(token("c", 110)), []);
+    assert.deepEqual(
+      getAnswerTexts(target.reduce({ kind: "tick", now: 115 })),
+      [],
+    );
+    assert.deepEqual(
+      getAnswerTexts(target.reduce({ kind: "tick", now: 120 })),
+      [
+        "bc",
+      ],
+    );
+    assert.deepEqual(getAnswerTexts(token("d", 125)), []);
     const ended = target.reduce({ kind: "back_end_end", runId: 1, now: 126 });
-    assert.deepEqual(textsOf(ended), ["d"]);
+    assert.deepEqual(getAnswerTexts(ended), ["d"]);
   });
 
   it("asks for its claims after a pause", () => {
     const target = createTarget();
     target.reduce({ kind: "tick", now: 5000 });
     assert.ok(
-      !has(target.reduce({ kind: "tick", now: 9000 }), "confirm_claims"),
+      !hasEffect(target.reduce({ kind: "tick", now: 9000 }), "confirm_claims"),
     );
     assert.ok(
-      has(target.reduce({ kind: "tick", now: 20_000 }), "confirm_claims"),
+      hasEffect(target.reduce({ kind: "tick", now: 20_000 }), "confirm_claims"),
     );
   });
 });
 
 describe("a target whose back end asks for a pause", () => {
   /** The back end answers the first request with 503, and asks for three seconds. */
-  function askForPause(target: TargetReducer): readonly TargetEffect[] {
+  function requestBackoff(target: TargetReducer): readonly TargetEffect[] {
     receive(target, createSubmit({ requestId: 1 }));
     return target.reduce({
       kind: "back_end_head",
@@ -258,14 +268,14 @@
   // Guards against a target that sends on to a back end that wants nothing from it.
   it("begins nothing until its end, and refuses what waits at once", () => {
     const paused = createTarget();
-    const asked = askForPause(paused);
+    const asked = requestBackoff(paused);
     assert.ok(
       asked.some((effect) =>
         effect.kind === "reply" && effect.message.kind === "answer_head" &&
         effect.message.notice?.backoff.kind === "backoff"
       ),
     );
-    const [refusal] = refusalsOf(
+    const [refusal] = getRefusals(
       receive(paused, createSubmit({ requestId: 3 }), 1100),
     );
     assert.equal(refusal?.reason, "TARGET_WITHHELD");
@@ -278,9 +288,9 @@
 
   it("begins work again after it", () => {
     const target = createTarget();
-    askForPause(target);
+    requestBackoff(target);
     target.reduce({ kind: "back_end_end", now: 110, runId: 1 });
     const later = receive(target, createSubmit({ requestId: 4 }), 3100);
-    assert.deepEqual(startsOf(later), [4]);
+    assert.deepEqual(getStartedRequestIds(later), [4]);
   });
 });
--- a/src/target/target_replies.ts
+++ b/src/target/target_replies.ts
@@ -26,7 +26,7 @@
   #effects: TargetEffect[] = [];
 
   /** Everything since the last time, in order. */
-  take(): readonly TargetEffect[] {
+  takeEffects(): readonly TargetEffect[] {
     const effects = this.#effects;
     this.#effects = [];
     return effects;
@@ -43,7 +43,7 @@
   }
 
   /** Says something of a run, unless nobody waits for it. */
-  replyTo(run: Run, message: Message | undefined): void {
+  replyToRun(run: Run, message: Message | undefined): void {
     if (message === undefined || run.isAbandoned) return;
     this.reply(run.owner.linkId, message);
   }
@@ -76,8 +76,10 @@
       keptAnswerBytes: 0,
       gatherMs: 0,
     });
-    this.replyTo(run, run.createHead(answer));
-    if (answer.body.length > 0) this.replyTo(run, run.addData(answer.body, 0));
-    this.replyTo(run, run.createEnd(load));
+    this.replyToRun(run, run.createHead(answer));
+    if (answer.body.length > 0) {
+      this.replyToRun(run, run.addData(answer.body, 0));
+    }
+    this.replyToRun(run, run.createEnd(load));
   }
 }
--- a/src/target/types.ts
+++ b/src/target/types.ts
@@ -98,7 +98,7 @@
 }
 
 /** The new owner of a released slot asks for its keys. */
-export interface HandOverAsked {
+export interface HandoverRequested {
   readonly kind: "hand_over_asked";
   readonly now: number;
   readonly linkId: number;
@@ -141,7 +141,7 @@
   | BackEndEnd
   | BackEndFailed
   | ClaimsConfirmed
-  | HandOverAsked
+  | HandoverRequested
   | HistoryReceived
   | TargetTick
   | LeavingSet
