--- a/src/refusals/catalogue.ts
+++ b/src/refusals/catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * Every reason for which a request is refused, retried or cut, by name and
- * number. Numbers are never used again for another reason.
+ * The reasons for which a request is refused or retried, or its answer cut off, by name
+ * and number. A number is never reused for another reason.
  *
  * @module
  */
@@ -285,10 +285,10 @@
 /** Name of a refusal reason. */
 export type RefusalName = keyof typeof REASONS;
 
-/** All names, in the order of the catalogue. */
+/** Names of all refusal reasons, in the order of the catalogue. */
 export const REFUSAL_NAMES = Object.keys(REASONS) as readonly RefusalName[];
 
-/** The catalogue row of a name. */
+/** Returns the catalogue entry of a refusal reason. */
 export function getRefusal(name: RefusalName): RefusalReason {
   return REASONS[name];
 }
--- a/src/refusals/problem.ts
+++ b/src/refusals/problem.ts
@@ -1,23 +1,23 @@
 /**
- * Turns a refusal into the problem document that a caller sees.
+ * Creates the problem documents that callers receive for refusals.
  *
  * @module
  */
 import { getRefusal, type RefusalName } from "./catalogue.ts";
 import type { Outcome, ProblemDetails } from "./types.ts";
 
-/** What is known when a refusal is turned into a problem document. */
+/** Options of {@link createProblem}. */
 export interface ProblemOptions {
-  /** What is known of the request, over all submissions of its key. */
+  /** What is known about the request, over all submissions of its key. */
   readonly outcome: Outcome;
-  /** What is known of this submission; the same as `outcome` by default. */
+  /** What is known about this submission; `outcome` by default. */
   readonly submission?: Outcome;
-  /** When to come back; the catalogue's usual time by default. */
+  /** Retry delay in seconds; that of the catalogue by default. */
   readonly retryAfterSeconds?: number;
 }
 
 /**
- * Makes the problem document of a refusal.
+ * Creates the problem document of a refusal.
  *
  * @example
  * ```ts
--- a/src/refusals/types.ts
+++ b/src/refusals/types.ts
@@ -1,37 +1,37 @@
 /**
- * The vocabulary of everything a caller gets that is not an answer.
+ * Types for refusals, which callers receive instead of an answer.
  *
  * @module
  */
 
 /**
- * What is known of the caller's request: `not-run` promises that the back end
- * never began it, `unknown` promises nothing.
+ * What is known about a request: `not-run` guarantees that the back end never started
+ * it, `unknown` guarantees nothing.
  */
 export type Outcome = "not-run" | "unknown";
 
-/** One row of the refusal catalogue. */
+/** An entry of the refusal catalogue. */
 export interface RefusalReason {
-  /** Stable number, shown to callers and in metrics. */
+  /** Stable number that callers receive and metrics show. */
   readonly code: number;
   /** HTTP status of the problem document. */
   readonly status: number;
-  /** Plain sentence for the caller. */
+  /** Description for the caller. */
   readonly title: string;
-  /** Seconds after which coming back helps, or undefined when it does not. */
+  /** Retry delay in seconds, or undefined if retrying does not help. */
   readonly retryAfterSeconds?: number;
 }
 
-/** Problem details after RFC 9457, with our extension members. */
+/** Problem details (RFC 9457) with the extension members of lagoonwharf. */
 export interface ProblemDetails {
   readonly type: string;
   readonly title: string;
   readonly status: number;
   readonly code: number;
   readonly reason: string;
-  /** For a keyed request this speaks of the key, over all its submissions. */
+  /** What is known about the request; with a key, over all submissions of the key. */
   readonly outcome: Outcome;
-  /** Speaks of this one submission only. */
+  /** What is known about this submission only. */
   readonly submission: Outcome;
   readonly retryAfterSeconds?: number;
 }
--- a/src/target/back_end_calls.ts
+++ b/src/target/back_end_calls.ts
@@ -1,5 +1,5 @@
 /**
- * The calls of a target's back end that are under way, and the events that they cause.
+ * Performs a target's calls to its back end and reports their progress as events.
  *
  * @module
  */
@@ -16,17 +16,17 @@
   readonly onEvent: (event: TargetEvent) => void;
 }
 
-/** Starts and cancels calls of a back end. */
+/** Starts and cancels calls to a back end. */
 export class BackEndCalls {
   readonly #options: BackEndCallsOptions;
   readonly #calls = new Map<number, BackEndCall>();
 
-  /** No call is under way yet. */
+  /** Creates an instance without calls in progress. */
   constructor(options: BackEndCallsOptions) {
     this.#options = options;
   }
 
-  /** Sends a request to the back end; all that comes back becomes events. */
+  /** Sends a request to the back end and reports its answer as events. */
   start(effect: StartBackEnd): void {
     const { runId, request } = effect;
     const { backEnd, metrics, onEvent } = this.#options;
@@ -72,7 +72,7 @@
     this.#calls.set(runId, backEndCall);
   }
 
-  /** Cancels the call of a run, if it is still under way. */
+  /** Cancels the call of a run if it is still in progress. */
   cancel(runId: number): void {
     this.#calls.get(runId)?.cancel();
   }
--- a/src/target/claim_keeper.ts
+++ b/src/target/claim_keeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps this target's claims in the owner table: reads it, claims what is free,
- * and releases on leaving.
+ * Maintains this target's claims in the owner table: reads the table, claims available
+ * slots, and releases its slots when the target leaves.
  *
  * @module
  */
@@ -21,11 +21,11 @@
 } from "./owner_table.ts";
 import type { OwnedSlots } from "./types.ts";
 
-/** Pause after a call that failed, in milliseconds. */
+/** Delay after a failed call, in milliseconds. */
 const RETRY_DELAY_MS = 1000;
-/** Shortest time between two looks at the table, in milliseconds. */
+/** Minimum time between two reads of the table, in milliseconds. */
 const MIN_READ_INTERVAL_MS = 1000;
-/** Longest time between two looks while slots are free, in milliseconds. */
+/** Maximum time between two reads while any slot is free, in milliseconds. */
 const FREE_SLOT_READ_INTERVAL_MS = 2000;
 const MAX_RELEASE_ATTEMPTS = 5;
 
@@ -37,15 +37,15 @@
   readonly address: string;
   readonly targetName: string;
   readonly incarnation: string;
-  /** Whether there is a list to wait for. */
+  /** Whether the platform provides a list of VMs, for which claiming then waits. */
   readonly hasMachineList: boolean;
-  /** Milliseconds for which a machine must be gone before it loses slots. */
+  /** Milliseconds for which a VM must be gone before other targets claim its slots. */
   readonly goneGraceMs: number;
-  /** Milliseconds of a monotonic clock. */
+  /** Returns the milliseconds of a monotonic clock. */
   readonly monotonicNow: () => number;
-  /** Called with what the table says, and when it was asked for. */
+  /** Called with the slots owned by this target and the time of the request for them. */
   readonly onConfirmed: (claims: OwnedSlots, requestedAt: number) => void;
-  /** Called with slots that were taken from one who released them. */
+  /** Called with newly claimed slots that another target had released. */
   readonly onTaken: (slots: readonly ReleasedSlot[]) => void;
 }
 
@@ -54,12 +54,12 @@
   readonly keyRevision: number;
 }
 
-/** Keeps this target's claims in the owner table. */
+/** Maintains this target's claims in the owner table. */
 export class ClaimKeeper {
   readonly #options: ClaimKeeperOptions;
   readonly #key: string;
   readonly #goneSince = new Map<string, number>();
-  /** Before the list is read there may be any number of them. */
+  /** Infinite until the list of VMs is read, so that the share of free slots is zero. */
   #liveTargets = Number.POSITIVE_INFINITY;
   #hasMachineList = false;
   #listedNames: ReadonlySet<string> = new Set();
@@ -71,8 +71,8 @@
   #isReadRequested = false;
 
   /**
-   * Starts claiming at once: its machine's own slots, and its share of the free
-   * ones as soon as the list tells how many share them.
+   * Starts claiming immediately: first the slots of its own VM, and its share of the free
+   * slots as soon as the list of VMs shows how many targets share them.
    */
   constructor(options: ClaimKeeperOptions) {
     this.#options = options;
@@ -81,7 +81,7 @@
     void this.#keepClaiming();
   }
 
-  /** Takes in the platform's list. */
+  /** Processes the platform's list of VMs. */
   setVirtualMachines(virtualMachines: readonly VirtualMachine[]): void {
     this.#hasMachineList = true;
     this.#listReadAt = this.#options.monotonicNow();
@@ -101,14 +101,14 @@
     if (wasUnknown) this.readNow();
   }
 
-  /** Reads the table now, before anything else. */
+  /** Requests a read of the table without waiting for a change of it. */
   readNow(): void {
     this.#isReadRequested = true;
     this.#watchAbort.abort();
     this.#watchAbort = new AbortController();
   }
 
-  /** Gives back all slots; best effort. Returns how many. */
+  /** Tries to release all slots, and returns the number of released ones. */
   async release(): Promise<number> {
     this.#isStopped = true;
     this.#watchAbort.abort();
@@ -128,7 +128,7 @@
     return 0;
   }
 
-  /** Claims no more. */
+  /** Stops claiming. */
   stop(): void {
     this.#isStopped = true;
     this.#watchAbort.abort();
@@ -162,7 +162,7 @@
       value: JSON.stringify(next),
       expectedRevision: snapshot.keyRevision,
     });
-    // After a lost reply the next look finds out whether it took effect.
+    // If the response was lost, the next read shows whether the swap took effect.
     if (result.kind !== "swapped") return false;
     this.#keyRevision = result.revision;
     this.#reportConfirmed(next, requestedAt);
@@ -183,11 +183,14 @@
         signal: this.#createWatchSignal(),
       });
     } catch {
-      // The next look tells whether the service answers.
+      // The next read shows whether the service responds.
     }
   }
 
-  /** Free slots become anybody's by time alone, so they are looked at often. */
+  /**
+   * Limits the watch while any slot is free: a target may claim such a slot after some
+   * time, without a change of the table.
+   */
   #createWatchSignal(): AbortSignal {
     const { signal } = this.#watchAbort;
     if (!this.#hasFreeSlots) return signal;
@@ -221,7 +224,7 @@
     };
   }
 
-  /** Gone for the whole grace, by lists read throughout it. */
+  /** Returns whether all lists that were read in the grace period report a VM as gone. */
   #isGone(name: string): boolean {
     if (!this.#hasMachineList || this.#listedNames.has(name)) return false;
     const { goneGraceMs } = this.#options;
--- a/src/target/history_fetcher.ts
+++ b/src/target/history_fetcher.ts
@@ -1,5 +1,5 @@
 /**
- * Asks targets that released key slots for what they know of the keys.
+ * Fetches the known keys of released key slots from the targets that released them.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { LedgerSlotMessage } from "../messages/types.ts";
 import type { ReleasedSlot } from "./owner_table.ts";
 
-/** Milliseconds after which an old owner counts as gone. */
+/** Milliseconds after which the previous owner counts as gone. */
 const FETCH_TIMEOUT_MS = 5000;
 
 /** Options of a {@link HistoryFetcher}. */
@@ -17,16 +17,16 @@
   readonly onHistory: (history: LedgerSlotMessage) => void;
 }
 
-/** Asks old owners of key slots. */
+/** Fetches the history of key slots from their previous owners. */
 export class HistoryFetcher {
   readonly #options: HistoryFetcherOptions;
 
-  /** Asks nobody yet. */
+  /** Creates a fetcher without requests in progress. */
   constructor(options: HistoryFetcherOptions) {
     this.#options = options;
   }
 
-  /** Asks the old owners of these slots, each once. */
+  /** Requests the histories of the given slots, each once, from their previous owners. */
   fetch(released: readonly ReleasedSlot[]): void {
     const slotsByAddress = new Map<string, number[]>();
     for (const { slot, address } of released) {
--- a/src/target/key_gate.ts
+++ b/src/target/key_gate.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a keyed request may run here: ownership of the key's slot
- * first, then the ledger.
+ * Decides whether a keyed request may run at this target: checks the ownership of the
+ * key's slot first, and then the ledger.
  *
  * @module
  */
@@ -27,83 +27,83 @@
 import type { OwnedSlots } from "./types.ts";
 
 /**
- * Longest time without a tick after which the process may have been paused and
- * its ownership must be confirmed. Must be well below the time for which a
- * machine has to be gone before others take its slots.
+ * Maximum time between two events, in milliseconds. After a longer time the process may
+ * have been frozen and must confirm its ownership. Must be well below the time for which
+ * a VM must be gone before other targets claim its slots.
  */
-export const PAUSE_LIMIT_MS = 10_000;
+export const STALL_THRESHOLD_MS = 10_000;
 
-/** How far clocks of callers and targets may differ, in milliseconds. */
+/** Maximum difference between the clocks of callers and targets, in milliseconds. */
 export const CLOCK_MARGIN_MS = 60_000;
 
-/** The key is new and is now remembered as running. */
+/** The key is new and was recorded as running. */
 export interface KeyMayRun {
   readonly kind: "may_run";
   readonly fingerprint: string;
 }
 
-/** The key has run; here is its answer. */
+/** A request with the key has run; its answer is replayed. */
 export interface KeyReplay {
   readonly kind: "replay";
   readonly answer: KeptAnswer;
 }
 
-/** The key may not run now. */
+/** The request is refused. */
 export interface KeyRefused {
   readonly kind: "refused";
   readonly reason: RefusalName;
 }
 
-/** What may be done with a keyed request. */
+/** Decision on a keyed request. */
 export type KeyDecision = KeyMayRun | KeyReplay | KeyRefused;
 
-/** Since when a slot's keys are known, by its old owner's word. */
+/** Time since which a slot's keys are known from its previous owner. */
 interface ReceivedHistory {
-  /** The move, by the owner table, after which it was handed over. */
+  /** Time of the slot's move, per the owner table, after which it was handed over. */
   readonly tableMovedAt: number;
   readonly movedAt: number;
 }
 
-/** Times at which a decision is made. */
+/** Monotonic and wall-clock time of an event, in milliseconds. */
 export interface EventTime {
   readonly now: number;
   readonly wallNow: number;
 }
 
-/** Decides whether keyed requests may run here. */
+/** Decides whether keyed requests may run at this target. */
 export class KeyGate {
   readonly #ledger: KeyLedger;
   #version = 0;
   #movedAtBySlot: ReadonlyMap<number, number> = new Map();
   #lastTickAt: number;
   #uncertainSince: number | undefined;
-  /** Histories that old owners handed over, by slot. */
+  /** Histories that previous owners handed over, by slot. */
   readonly #histories = new Map<number, ReceivedHistory>();
 
-  /** Owns nothing at first. */
+  /** Creates a gate that owns no slots. */
   constructor(limits: LedgerLimits, now: number) {
     this.#ledger = new KeyLedger(limits);
     this.#lastTickAt = now;
   }
 
-  /** The ledger behind the gate. */
+  /** Ledger of the keys that were used at this target. */
   get ledger(): KeyLedger {
     return this.#ledger;
   }
 
-  /** Version of the owner table that is known. */
+  /** Version of the last confirmed owner table. */
   get version(): number {
     return this.#version;
   }
 
-  /** Slots owned, in order. */
+  /** Owned slots in ascending order. */
   get slots(): readonly number[] {
     return [...this.#movedAtBySlot.keys()].sort((a, b) => a - b);
   }
 
   /**
-   * Takes in what the owner table says; false when it is older than what is
-   * known or was asked for before a pause.
+   * Applies the claims of an owner table. Returns false if the table is older than the
+   * known one or was requested before the last stall.
    */
   confirm(claims: OwnedSlots, requestedAt: number): boolean {
     if (claims.version < this.#version) return false;
@@ -118,23 +118,23 @@
     return true;
   }
 
-  /** Notices a pause; true when ownership has just become uncertain. */
-  detectPause(now: number): boolean {
+  /** Detects a stall; returns whether ownership has just become uncertain. */
+  detectStall(now: number): boolean {
     const elapsedMs = now - this.#lastTickAt;
     this.#lastTickAt = now;
-    if (elapsedMs <= PAUSE_LIMIT_MS) return false;
+    if (elapsedMs <= STALL_THRESHOLD_MS) return false;
     const wasCertain = this.#uncertainSince === undefined;
     this.#uncertainSince = now;
     return wasCertain;
   }
 
-  /** Whether a key that was let through may still be begun. */
+  /** Returns whether a request with an admitted key may still be started. */
   mayStart(fingerprint: string): boolean {
     return this.#uncertainSince === undefined &&
       this.#movedAtBySlot.has(slotOf(fingerprint));
   }
 
-  /** What is known of a slot, for its new owner. */
+  /** Creates the message that hands over a slot's keys to its new owner. */
   createHandover(slot: number, now: number): LedgerSlotMessage {
     const entries = this.#ledger.filterEntries((fingerprint) =>
       slotOf(fingerprint) === slot
@@ -147,7 +147,7 @@
     };
   }
 
-  /** Takes over what the old owner of a slot knew. */
+  /** Adds the keys of a slot that its previous owner handed over. */
   addHistory(history: LedgerSlotMessage, now: number): void {
     const { slot, movedAt, keys } = history;
     const tableMovedAt = this.#movedAtBySlot.get(slot);
@@ -159,11 +159,11 @@
     this.#histories.set(slot, { tableMovedAt, movedAt });
   }
 
-  /** Wall-clock time since which all keys of an owned slot are known. */
+  /** Returns the wall-clock time since which all keys of an owned slot are known. */
   #tryKnownSince(slot: number): number | undefined {
     const tableMovedAt = this.#movedAtBySlot.get(slot);
     const history = this.#histories.get(slot);
-    // A later move makes what was handed over before it worthless.
+    // A history that was handed over before a later move is incomplete.
     const isValid = history !== undefined &&
       history.tableMovedAt === tableMovedAt;
     return isValid ? history.movedAt : tableMovedAt;
--- a/src/target/key_ledger.ts
+++ b/src/target/key_ledger.ts
@@ -1,38 +1,38 @@
 /**
- * Remembers idempotency keys and their answers, in memory.
+ * Records idempotency keys and their answers in memory.
  *
  * @module
  */
 import type { Header } from "../messages/types.ts";
 
-/** An answer that can be given again. */
+/** A retained answer that can be replayed. */
 export interface KeptAnswer {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
 }
 
-/** Waits or runs; `began` says whether the back end may have seen it. */
+/** A request with the key is queued or running. */
 export interface RunningKey {
   readonly kind: "running";
 }
 
-/** Ran and was answered. */
+/** A request with the key has run and was answered. */
 export interface AnsweredKey {
   readonly kind: "answered";
-  /** Undefined when the answer was too large to keep. */
+  /** Undefined if the answer was too large to retain. */
   readonly answer?: KeptAnswer;
 }
 
-/** Was begun and nobody knows how it ended. */
+/** A request with the key was started and its outcome is unknown. */
 export interface UnsettledKey {
   readonly kind: "unsettled";
 }
 
-/** What is known of a key. */
+/** What is known about a key. */
 export type KeyState = RunningKey | AnsweredKey | UnsettledKey;
 
-/** One remembered key. */
+/** A recorded key. */
 export interface LedgerEntry {
   readonly fingerprint: string;
   readonly requestHash: string;
@@ -40,29 +40,31 @@
   readonly state: KeyState;
 }
 
-/** Bounds of a ledger. */
+/** Limits of a ledger. */
 export interface LedgerLimits {
+  /** Maximum number of keys. */
   readonly ledgerLength: number;
+  /** Maximum bytes of all retained answers together. */
   readonly keptBytes: number;
 }
 
-/** Remembers keys until they expire; never forgets one sooner. */
+/** Records keys and never removes one before it expires. */
 export class KeyLedger {
   readonly #limits: LedgerLimits;
   readonly #entries = new Map<string, LedgerEntry>();
   #keptBytes = 0;
 
-  /** Starts empty. */
+  /** Creates an empty ledger. */
   constructor(limits: LedgerLimits) {
     this.#limits = limits;
   }
 
-  /** Keys that are remembered. */
+  /** Number of recorded keys. */
   get length(): number {
     return this.#entries.size;
   }
 
-  /** What is known of a key; undefined when it is new or has expired. */
+  /** Returns the entry of a key, or undefined if the key is new or has expired. */
   tryGet(fingerprint: string, now: number): LedgerEntry | undefined {
     const entry = this.#entries.get(fingerprint);
     if (entry === undefined || !isExpired(entry, now)) return entry;
@@ -71,7 +73,7 @@
   }
 
   /**
-   * Remembers a new key; false when there is no room, in which case the key
+   * Records a new key. Returns false if the ledger is full, in which case the request
    * must not run.
    *
    * @example
@@ -88,13 +90,13 @@
     return true;
   }
 
-  /** The key did not run: forgets it. */
+  /** Removes a key whose request did not run. */
   discard(fingerprint: string): void {
     const entry = this.#entries.get(fingerprint);
     if (entry !== undefined) this.#remove(entry);
   }
 
-  /** The key ran; its answer is kept if there is room. */
+  /** Records that a key's request ran, and retains its answer if there is room. */
   setAnswered(fingerprint: string, answer: KeptAnswer | undefined): void {
     const byteCount = answer?.body.length ?? 0;
     const isKept = this.#keptBytes + byteCount <= this.#limits.keptBytes;
@@ -105,12 +107,12 @@
     });
   }
 
-  /** The key was begun and its end is not known. */
+  /** Records that a key's request was started and its outcome is unknown. */
   setUnsettled(fingerprint: string): void {
     this.#setState(fingerprint, { kind: "unsettled" });
   }
 
-  /** Every key for which `isWanted` holds. */
+  /** Returns the entries whose fingerprints satisfy a predicate. */
   filterEntries(
     predicate: (fingerprint: string) => boolean,
   ): readonly LedgerEntry[] {
@@ -120,8 +122,8 @@
   }
 
   /**
-   * Takes over a key from its old owner; false when there is no room, in which
-   * case its slot's history is not known here.
+   * Records a key that its previous owner handed over. Returns false if the ledger is
+   * full, in which case the history of the key's slot is incomplete.
    */
   tryAddHandedOver(entry: LedgerEntry, now: number): boolean {
     const { fingerprint, state } = entry;
@@ -153,7 +155,7 @@
   }
 }
 
-/** A running key does not expire, however long it runs. */
+/** Returns whether an entry has expired; a running key never does. */
 function isExpired(entry: LedgerEntry, now: number): boolean {
   return entry.state.kind !== "running" && now >= entry.expiresAt;
 }
--- a/src/target/key_ownership_test.ts
+++ b/src/target/key_ownership_test.ts
@@ -1,3 +1,11 @@
+/**
+ * Guards against running a request with an idempotency key twice, or reporting it as not
+ * run although it may have run. This can happen when the slot of the key moves to another
+ * target while its previous owner is frozen, restarts or hands over its keys, and when
+ * the key-value service is down.
+ *
+ * @module
+ */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { v7 as createUuid } from "uuid";
@@ -16,12 +24,12 @@
   return new RequestWorld({ entries: 2, targets: 2, concurrency: 1, service });
 }
 
-/** A key that was made now. */
+/** Creates a key whose timestamp is the current time. */
 function createKey(simulation: RequestWorld): string {
   return createUuid({ msecs: WORLD_EPOCH_MS + simulation.now });
 }
 
-/** Keys of which the first target owns the slot. */
+/** Creates a key in a slot of the first target. */
 function createOwnedKey(simulation: RequestWorld, prefix = ""): string {
   for (let number = 0; number < 1000; number++) {
     const key = prefix === "" ? createKey(simulation) : `${prefix}-${number}`;
@@ -30,7 +38,7 @@
   throw new Error("No key of the first target was found");
 }
 
-/** The owner's machine is gone for good and its slots are taken. */
+/** Lists the owner's VM as gone until the other target has claimed its slots. */
 function loseOwner(simulation: RequestWorld): void {
   simulation.listGone(OWNER);
   simulation.tick(GONE_GRACE_MS + 1);
@@ -38,13 +46,13 @@
   simulation.settle();
 }
 
-function reasonOf(submission: Submission): string {
+function getReason(submission: Submission): string {
   if (submission.outcome === undefined) return "open";
   return submission.outcome.problem?.reason ?? "answered";
 }
 
 describe("ownership of idempotency keys", () => {
-  it("answers a key that ran with the same answer, through any entry", () => {
+  it("replays the answer of a key that ran, through any entry", () => {
     const simulation = createSimulation();
     const first = simulation.submit(0, { key: "k" });
     simulation.settle();
@@ -54,43 +62,43 @@
     assert.equal(second.outcome?.body, first.outcome?.body);
   });
 
-  it("refuses a key that comes with another request", () => {
+  it("refuses a key that was used with another request", () => {
     const simulation = createSimulation();
     simulation.submit(0, { key: "k", body: "one" });
     simulation.settle();
     const second = simulation.submit(0, { key: "k", body: "two" });
     simulation.settle();
-    assert.equal(reasonOf(second), "KEY_REUSED");
+    assert.equal(getReason(second), "KEY_REUSED");
     assert.equal(second.runs, 0);
   });
 
-  it("tells at once that a key is in progress", () => {
+  it("refuses a key immediately while its request is in progress", () => {
     const simulation = createSimulation();
     simulation.submit(0, { key: "k" });
     while (simulation.callers.runsByKey.get("k") !== 1) simulation.deliver(0);
     const second = simulation.submit(1, { key: "k" });
     simulation.deliverAll();
-    assert.equal(reasonOf(second), "KEY_IN_PROGRESS");
+    assert.equal(getReason(second), "KEY_IN_PROGRESS");
     assert.equal(second.outcome?.problem?.outcome, "unknown");
   });
 
-  it("runs no key at a restarted owner that others have taken over from", () => {
+  it("runs no key at a restarted owner whose slots were claimed", () => {
     const simulation = createSimulation();
     const key = createOwnedKey(simulation, "old");
     simulation.submit(0, { key });
     simulation.settle();
     simulation.kill(OWNER);
-    // Entry 0 does not hear of the move.
+    // Entry 0 does not learn of the move.
     simulation.stallBetween(0, OTHER);
     loseOwner(simulation);
     simulation.restart(OWNER);
     const again = simulation.submit(0, { key });
     simulation.settle();
     assert.equal(simulation.callers.runsByKey.get(key), 1);
-    assert.equal(reasonOf(again), "NOT_OWNER");
+    assert.equal(getReason(again), "NOT_OWNER");
   });
 
-  it("does not know an older key after a move, but runs a newer one", () => {
+  it("refuses keys older than a move and runs newer ones", () => {
     const simulation = createSimulation();
     const old = createOwnedKey(simulation);
     simulation.submit(0, { key: old });
@@ -98,7 +106,7 @@
     simulation.kill(OWNER);
     loseOwner(simulation);
     const again = simulation.submit(1, { key: old });
-    const unordered = simulation.submit(1, {
+    const untimed = simulation.submit(1, {
       key: createKeyOfSameSlot(simulation, old),
     });
     simulation.settle();
@@ -106,13 +114,13 @@
     const key = createKeyOfSameSlot(simulation, old, { isTimed: true });
     const fresh = simulation.submit(1, { key });
     simulation.settle();
-    assert.equal(reasonOf(again), "KEY_HISTORY_UNKNOWN");
-    assert.equal(reasonOf(unordered), "KEY_HISTORY_UNKNOWN");
-    assert.equal(reasonOf(fresh), "answered");
+    assert.equal(getReason(again), "KEY_HISTORY_UNKNOWN");
+    assert.equal(getReason(untimed), "KEY_HISTORY_UNKNOWN");
+    assert.equal(getReason(fresh), "answered");
     assert.equal(simulation.callers.runsByKey.get(old), 1);
   });
 
-  it("runs no key at an owner that wakes after its slots were taken", () => {
+  it("runs no key at an owner that resumes after losing its slots", () => {
     const simulation = createSimulation();
     const sample = createOwnedKey(simulation);
     simulation.pause(OWNER);
@@ -123,14 +131,14 @@
     const slow = simulation.submit(0, { key, deadlineMs: 10 * MINUTE_MS });
     const quick = simulation.submit(1, { key });
     simulation.settle();
-    assert.equal(reasonOf(quick), "answered");
+    assert.equal(getReason(quick), "answered");
     simulation.wake(OWNER);
     simulation.settle();
     simulation.checkInvariants();
-    assert.equal(reasonOf(slow), "OWNER_UNCERTAIN");
+    assert.equal(getReason(slow), "OWNER_UNCERTAIN");
   });
 
-  it("does not trust a read of the table from before its pause", () => {
+  it("does not trust a table read that was requested before a stall", () => {
     const simulation = createSimulation();
     const sample = createOwnedKey(simulation);
     simulation.startLook(OWNER);
@@ -146,10 +154,10 @@
     const slow = simulation.submit(0, { key });
     simulation.settle();
     simulation.checkInvariants();
-    assert.equal(reasonOf(slow), "OWNER_UNCERTAIN");
+    assert.equal(getReason(slow), "OWNER_UNCERTAIN");
   });
 
-  it("begins no waiting key after a pause", () => {
+  it("starts no queued key after a stall", () => {
     const simulation = createSimulation();
     const running = createOwnedKey(simulation, "first");
     const waiting = createOwnedKey(simulation, "second");
@@ -163,11 +171,11 @@
     simulation.tick(MINUTE_MS);
     simulation.wake(OWNER);
     simulation.settle();
-    assert.equal(reasonOf(submission), "OWNER_UNCERTAIN");
+    assert.equal(getReason(submission), "OWNER_UNCERTAIN");
     assert.equal(submission.runs, 0);
   });
 
-  it("goes on serving its keys while the key-value service is down", () => {
+  it("continues to serve its keys while the key-value service is down", () => {
     const simulation = createSimulation();
     simulation.isKeyValueDown = true;
     simulation.tick(10 * MINUTE_MS);
@@ -175,7 +183,7 @@
       simulation.submit(number % 2, { key: `key-${number}` })
     );
     simulation.settle();
-    assert.deepEqual(submissions.map(reasonOf), [
+    assert.deepEqual(submissions.map(getReason), [
       "answered",
       "answered",
       "answered",
@@ -183,7 +191,7 @@
     ]);
   });
 
-  it("hands its keys over when it leaves, and they are answered again", () => {
+  it("hands over its keys when it leaves, and replays their answers", () => {
     const simulation = createSimulation();
     const old = createOwnedKey(simulation, "old");
     const first = simulation.submit(0, { key: old });
@@ -196,10 +204,10 @@
     simulation.settle();
     assert.equal(again.outcome?.body, first.outcome?.body);
     assert.equal(simulation.callers.runsByKey.get(old), 1);
-    assert.equal(reasonOf(unused), "answered");
+    assert.equal(getReason(unused), "answered");
   });
 
-  it("hands over that an end is not known", () => {
+  it("hands over that the outcome of a key is unknown", () => {
     const simulation = createSimulation();
     const key = createOwnedKey(simulation, "old");
     simulation.submit(0, { key });
@@ -208,7 +216,7 @@
     leaveAndHandOver(simulation);
     const again = simulation.submit(1, { key });
     simulation.settle();
-    assert.equal(reasonOf(again), "KEY_OUTCOME_UNKNOWN");
+    assert.equal(getReason(again), "KEY_OUTCOME_UNKNOWN");
     assert.equal(simulation.callers.runsByKey.get(key), 1);
   });
 
@@ -230,11 +238,11 @@
     simulation.settle();
     const again = simulation.submit(0, { key });
     simulation.settle();
-    assert.equal(reasonOf(again), "KEY_HISTORY_UNKNOWN");
+    assert.equal(getReason(again), "KEY_HISTORY_UNKNOWN");
     assert.equal(simulation.callers.runsByKey.get(key), 1);
   });
 
-  it("forgets what was handed over once the slot has moved again", () => {
+  it("discards a history once its slot has moved again", () => {
     const simulation = createSimulation();
     const key = createOwnedKey(simulation, "old");
     leaveAndHandOver(simulation);
@@ -250,7 +258,7 @@
     assert.equal(
       simulation.callers.runsByKey.get(key) ?? 0,
       0,
-      reasonOf(first),
+      getReason(first),
     );
     const fresh = createUuid({
       msecs: WORLD_EPOCH_MS + simulation.now + 2 * MINUTE_MS,
@@ -268,32 +276,36 @@
     simulation.settle();
     const again = simulation.submit(1, { key: late });
     simulation.settle();
-    assert.equal(reasonOf(again), "KEY_HISTORY_UNKNOWN");
+    assert.equal(getReason(again), "KEY_HISTORY_UNKNOWN");
     assert.equal(simulation.callers.runsByKey.get(late), 1);
   });
 
-  it("takes no keys over from one who may still run some", () => {
+  it("takes over no keys from a target that may still run some", () => {
     const simulation = createSimulation();
     const old = createOwnedKey(simulation, "old");
     simulation.submit(0, { key: old });
     while (simulation.callers.runsByKey.get(old) !== 1) simulation.deliver(0);
     simulation.drain(OWNER);
     simulation.release(OWNER);
-    assert.equal(simulation.ownerOf(old), OWNER, "It has not drained yet");
+    assert.equal(
+      simulation.ownerOf(old),
+      OWNER,
+      "The owner has not drained yet",
+    );
   });
 
-  it("says that a key has not run only where that is known", () => {
+  it("reports a key as not run only where that is known", () => {
     const simulation = createSimulation();
     const key = createOwnedKey(simulation, "k");
     simulation.kill(OWNER);
     const submission = simulation.submit(0, { key });
-    assert.equal(reasonOf(submission), "NO_KEY_OWNER");
+    assert.equal(getReason(submission), "NO_KEY_OWNER");
     assert.equal(submission.outcome?.problem?.outcome, "unknown");
     assert.equal(submission.outcome?.problem?.submission, "not-run");
   });
 });
 
-/** A key of the same slot that says it was made at the time of `sample`. */
+/** Creates a key in the slot of `key` with the timestamp of `sample`. */
 function createTimedKeyOfSameSlot(
   simulation: RequestWorld,
   key: string,
@@ -310,6 +322,7 @@
   throw new Error("No other key of the slot was found");
 }
 
+/** Drains the owner until the other target has claimed its slots and fetched its keys. */
 function leaveAndHandOver(simulation: RequestWorld): void {
   simulation.drain(OWNER);
   simulation.settle();
@@ -320,7 +333,7 @@
   simulation.settle();
 }
 
-/** Another key of the same slot. */
+/** Creates another key in the slot of `sample`. */
 function createKeyOfSameSlot(
   simulation: RequestWorld,
   sample: string,
--- a/src/target/load_reporter.ts
+++ b/src/target/load_reporter.ts
@@ -1,20 +1,20 @@
 /**
- * Decides when a target tells its load to which entry: seldom, since each
- * answer carries the load as well, and the more seldom the more entries there
- * are, so that reports cost a target the same however many listen.
+ * Decides when a target reports its load to each entry. Reports are infrequent, since
+ * each answer also carries the load. Their interval grows with the number of entries,
+ * which bounds the total cost of reporting for a target.
  *
  * @module
  */
 import type { ReportMessage } from "../messages/types.ts";
 import type { TargetLoad } from "./run.ts";
 
-/** Shortest time between two words to one entry, in milliseconds. */
+/** Minimum time between two reports to one entry, in milliseconds. */
 const MIN_INTERVAL_MS = 1000;
-/** Reports that a target sends a second, to all entries together. */
+/** Maximum reports per second that a target sends to all entries together. */
 const REPORTS_PER_SECOND = 2.5;
-/** Change of the load, as a share, that is worth a report. */
+/** Change of the load that requires a report, as a fraction of the last reported load. */
 const MIN_CHANGE_FRACTION = 0.25;
-/** Weight of the newest run in the mean. */
+/** Weight of the latest run in the mean duration of runs. */
 const SMOOTHING_FACTOR = 0.1;
 const MS_PER_SECOND = 1000;
 
@@ -23,36 +23,39 @@
   at: number;
 }
 
-/** Decides when a target tells its load. */
+/** Decides when a target reports its load. */
 export class LoadReporter {
   #meanRunMs = 0;
   readonly #lastReports = new Map<number, LastReport>();
 
-  /** A run has ended. */
+  /** Records the duration of a run that has ended. */
   recordRun(milliseconds: number): void {
     this.#meanRunMs += SMOOTHING_FACTOR * (milliseconds - this.#meanRunMs);
   }
 
-  /** An entry heard the load, by a report or with an answer. */
-  recordReport(
+  /** Records that the load was sent to an entry, in a report or with an answer. */
+  recordSentLoad(
     linkId: number,
-    report: { readonly load: TargetLoad; readonly now: number },
+    sent: { readonly load: TargetLoad; readonly now: number },
   ): void {
-    const { queued, running } = report.load;
-    this.#lastReports.set(linkId, { load: queued + running, at: report.now });
+    const { queued, running } = sent.load;
+    this.#lastReports.set(linkId, { load: queued + running, at: sent.now });
   }
 
-  /** The connection was lost. */
+  /** Removes a connection that was lost. */
   removeLink(linkId: number): void {
     this.#lastReports.delete(linkId);
   }
 
-  /** A report of this load. */
+  /** Creates a report of the given load. */
   createReport(load: TargetLoad): ReportMessage {
     return { kind: "report", ...load, meanRunMs: this.#meanRunMs };
   }
 
-  /** Entries whose last word is old and no longer true. */
+  /**
+   * Returns the connections to which a report is due: the load has changed enough, and
+   * the minimum interval has passed.
+   */
   getDueLinks(load: TargetLoad, now: number): readonly number[] {
     const total = load.queued + load.running;
     const interval = Math.max(
--- a/src/target/owner_table.ts
+++ b/src/target/owner_table.ts
@@ -1,10 +1,10 @@
 /**
- * The table in the key-value service that says which target owns which key
- * slot, and the rules by which a slot moves.
+ * The owner table in the key-value service, which records the owner of each key slot,
+ * and the rules for moving a slot.
  *
- * A slot moves only when its owner released it, when its owner's machine runs a
- * new process, or when the platform has said for long enough that the machine
- * is gone. Time alone moves nothing: in an outage owners simply go on.
+ * A slot moves only after its owner has released it, when its owner's VM runs a new
+ * process, or when the platform has reported for long enough that the VM is gone. No slot
+ * moves because of elapsed time alone, so owners keep their slots during an outage.
  *
  * @module
  */
@@ -12,33 +12,36 @@
 import { SLOT_COUNT } from "../core/idempotency_key.ts";
 import type { OwnedSlots } from "./types.ts";
 
-/** Nobody owns the slot. */
+/** The slot has no owner. */
 export interface FreeSlot {
   readonly kind: "free";
-  /** Wall-clock milliseconds. */
+  /** Time since which the slot has had no owner, in wall-clock milliseconds. */
   readonly since: number;
-  /** Whether it never had an owner. */
+  /** Whether the slot has never had an owner. */
   readonly isNew: boolean;
-  /** Host and port of who released it and still knows its keys. */
+  /** Host and port of the target that released the slot and still knows its keys. */
   readonly releasedBy?: string;
 }
 
-/** One incarnation of a target's process owns the slot. */
+/** An incarnation of a target's process owns the slot. */
 export interface TakenSlot {
   readonly kind: "taken";
   readonly targetName: string;
   readonly incarnation: string;
-  /** Wall-clock milliseconds; 0 when the slot never had another owner. */
+  /**
+   * Time of the move to this owner in wall-clock milliseconds; 0 if the slot never had
+   * another owner.
+   */
   readonly movedAt: number;
 }
 
-/** Who owns a slot. */
+/** State of a slot. */
 export type SlotState = FreeSlot | TakenSlot;
 
-/** Who owns which slot of one pool. */
+/** Owners of all slots of one pool. */
 export interface OwnerTable {
   readonly format: 1;
-  /** Grows by one with each change. */
+  /** Increases by one with each change. */
   readonly version: number;
   readonly slots: readonly SlotState[];
 }
@@ -62,37 +65,37 @@
   ])).length(SLOT_COUNT),
 });
 
-/** Milliseconds after which a free slot is anybody's, whatever their share. */
+/** Milliseconds after which any target may claim a free slot, regardless of its share. */
 export const UNRESTRICTED_CLAIM_DELAY_MS = 10_000;
 
-/** Who plans a claim, and what it knows. */
+/** The target that claims slots, and what it knows about the other targets. */
 export interface ClaimContext {
   readonly targetName: string;
   readonly incarnation: string;
   /** Wall-clock milliseconds. */
   readonly wallNow: number;
-  /** Targets of the pool that are thought to live, this one among them. */
+  /** Number of targets of the pool that are assumed to be live, including this one. */
   readonly liveTargets: number;
-  /** Whether the platform has said for long enough that a machine is gone. */
+  /** Returns whether the platform has reported for long enough that a VM is gone. */
   isGone(targetName: string): boolean;
 }
 
-/** Who releases, and where its keys can be asked for until it ends. */
+/** The target that releases its slots. */
 export interface ReleaseContext {
   readonly targetName: string;
   readonly incarnation: string;
   /** Wall-clock milliseconds. */
   readonly wallNow: number;
-  /** Host and port. */
+  /** Host and port at which its keys can be fetched until it exits. */
   readonly address: string;
 }
 
-/** Key of a pool's table in the key-value service. */
+/** Returns the key of a pool's owner table in the key-value service. */
 export function getOwnerTableKey(pool: string): string {
   return `lagoonwharf/owners/${pool}`;
 }
 
-/** A table in which no slot has an owner. */
+/** Creates a table in which no slot has an owner. */
 export function createOwnerTable(wallNow: number): OwnerTable {
   const slots = Array.from({ length: SLOT_COUNT }, (): SlotState => ({
     kind: "free",
@@ -102,7 +105,7 @@
   return { format: 1, version: 0, slots };
 }
 
-/** Reads a table; undefined when this version cannot read it. */
+/** Parses a table; returns undefined if its format is not supported. */
 export function tryParseOwnerTable(text: string): OwnerTable | undefined {
   try {
     const parsed = TABLE_SCHEMA.safeParse(JSON.parse(text));
@@ -112,7 +115,7 @@
   }
 }
 
-/** The slots that one incarnation of a target owns. */
+/** Returns the slots that an incarnation of a target owns. */
 export function ownedSlotsOf(
   table: OwnerTable,
   owner: { readonly targetName: string; readonly incarnation: string },
@@ -127,8 +130,8 @@
 }
 
 /**
- * The table after this target has claimed what it may; undefined when there is
- * nothing to claim.
+ * Returns the table in which the target has claimed all slots that it may claim, or
+ * undefined if there are none.
  *
  * @example
  * ```ts
@@ -154,7 +157,10 @@
   return { format: 1, version: table.version + 1, slots };
 }
 
-/** The table after this target has released what it owns. */
+/**
+ * Returns the table in which the target has released all its slots, or undefined if it
+ * owns none.
+ */
 export function tryRelease(
   table: OwnerTable,
   context: ReleaseContext,
@@ -175,7 +181,7 @@
   return { format: 1, version: table.version + 1, slots };
 }
 
-/** Slots that the next table gives to this target from one who released them. */
+/** Returns the slots that are released in `before` and claimed in `after`. */
 export function releasedSlotsTaken(
   before: OwnerTable,
   after: OwnerTable,
@@ -188,7 +194,7 @@
   });
 }
 
-/** A slot and who still knows its keys. */
+/** A released slot and the address of the target that still knows its keys. */
 export interface ReleasedSlot {
   readonly slot: number;
   /** Host and port. */
@@ -204,7 +210,10 @@
   };
 }
 
-/** When the slot counts as moved if it is taken now; undefined: it may not. */
+/**
+ * Returns the time of the move if the target claims the slot now, in wall-clock
+ * milliseconds, or undefined if it may not claim the slot.
+ */
 function tryGetMoveTime(
   state: SlotState,
   context: ClaimContext,
--- a/src/target/owner_table_test.ts
+++ b/src/target/owner_table_test.ts
@@ -39,14 +39,14 @@
 }
 
 describe("owner table", () => {
-  it("shares free slots between the targets that live", () => {
+  it("divides free slots among the live targets", () => {
     let table = claim(createOwnerTable(NOW));
     table = claim(table, { targetName: "two" });
     assert.equal(countSlotsOf(table, "one"), SLOT_COUNT / 2);
     assert.equal(countSlotsOf(table, "two"), SLOT_COUNT / 2);
   });
 
-  it("takes nothing free while it is not known how many share it", () => {
+  it("claims no free slot while the number of live targets is unknown", () => {
     const liveTargets = Number.POSITIVE_INFINITY;
     const table = createOwnerTable(NOW);
     assert.equal(tryClaim(table, createContext({ liveTargets })), undefined);
@@ -55,18 +55,18 @@
     assert.equal(
       countSlotsOf(later, "one"),
       SLOT_COUNT,
-      "Leftovers are anybody's",
+      "Any target may claim slots that stay free",
     );
   });
 
-  it("moves nothing by time alone", () => {
+  it("moves no slot because of elapsed time alone", () => {
     const table = claim(createOwnerTable(NOW), { liveTargets: 1 });
     const wallNow = NOW + 365 * 86_400_000;
     const other = createContext({ targetName: "two", wallNow });
     assert.equal(tryClaim(table, other), undefined);
   });
 
-  it("takes the slots of a machine that is gone, and marks the move", () => {
+  it("claims the slots of a VM that is gone, with the time of the move", () => {
     const table = claim(createOwnerTable(NOW), { liveTargets: 1 });
     const moved = claim(table, {
       targetName: "two",
@@ -82,7 +82,7 @@
     assert.ok(slots.every((slot) => slot.movedAt === NOW + 5));
   });
 
-  it("takes its own machine's slots for its new process", () => {
+  it("claims the slots of its own VM for its new process", () => {
     const table = claim(createOwnerTable(NOW), { liveTargets: 1 });
     const moved = claim(table, { incarnation: "2", wallNow: NOW + 5 });
     const old = ownedSlotsOf(moved, { targetName: "one", incarnation: "1" });
@@ -90,7 +90,7 @@
     assert.equal(countSlotsOf(moved, "one"), SLOT_COUNT);
   });
 
-  it("gives released slots to others, from the time of the release", () => {
+  it("moves released slots as of the time of their release", () => {
     const table = claim(createOwnerTable(NOW), { liveTargets: 1 });
     const released = tryRelease(table, {
       targetName: "one",
@@ -111,7 +111,7 @@
     assert.ok(slots.every((slot) => slot.movedAt === NOW + 5));
   });
 
-  it("is read as it was written, and not otherwise", () => {
+  it("is parsed as it was written, and rejects other texts", () => {
     const table = claim(createOwnerTable(NOW));
     assert.deepEqual(tryParseOwnerTable(JSON.stringify(table)), table);
     for (const text of ["", "{}", '{"format":2}', "[]"]) {
--- a/src/target/request_schedules_test.ts
+++ b/src/target/request_schedules_test.ts
@@ -1,3 +1,10 @@
+/**
+ * Guards against running a key more than once and against wrong reports of whether a
+ * request ran. Random schedules of messages, crashes, freezes and moves of key slots can
+ * cause these failures.
+ *
+ * @module
+ */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import fc from "fast-check";
@@ -62,27 +69,27 @@
 }
 
 const FAULT_CASES: readonly FaultCase[] = [
-  { name: "late and crossed messages", faultWeights: {} },
+  { name: "delayed and reordered messages", faultWeights: {} },
   {
     name: "streamed answers",
     faultWeights: {},
     options: { isStreamed: true },
   },
   {
-    name: "answers broken off",
+    name: "answers cut off",
     faultWeights: { fail_run: 3 },
     options: { isStreamed: true },
   },
   {
-    name: "connections lost and made anew",
+    name: "connections lost and reestablished",
     faultWeights: { disconnect: 2, stall: 2, connect: 3 },
   },
   {
-    name: "targets killed and restarted without memory",
+    name: "targets killed and restarted without their state",
     faultWeights: { kill: 1, restart: 1, connect: 2 },
   },
   {
-    name: "targets paused beyond the word of the machine list",
+    name: "targets frozen until the VM list reports them as gone",
     faultWeights: {
       pause: 1,
       wake: 2,
@@ -94,7 +101,7 @@
     },
   },
   {
-    name: "the key-value service down",
+    name: "outages of the key-value service",
     faultWeights: {
       key_value: 3,
       kill: 1,
@@ -116,7 +123,7 @@
     },
   },
   {
-    name: "everything at once",
+    name: "all faults combined",
     faultWeights: {
       fail_run: 1,
       disconnect: 1,
@@ -214,7 +221,7 @@
 
 describe("requests under faults", () => {
   for (const faultCase of FAULT_CASES) {
-    it(`runs a key at most once and tells no lie: ${faultCase.name}`, (context) => {
+    it(`runs each key at most once and reports outcomes correctly: ${faultCase.name}`, (context) => {
       const counts = createCounts();
       const keyed = createCounts();
       fc.assert(
--- a/src/target/run.ts
+++ b/src/target/run.ts
@@ -1,5 +1,5 @@
 /**
- * One call of the back end, and the messages of its answer.
+ * A call to the back end and the messages of its answer.
  *
  * @module
  */
@@ -12,10 +12,10 @@
 } from "../messages/types.ts";
 import type { KeptAnswer } from "./key_ledger.ts";
 
-/** Gathered bytes that go without waiting. */
+/** Number of gathered bytes at which they are sent without further delay. */
 const MAX_GATHERED_BYTES = 16_384;
 
-/** The attempt that a run belongs to. */
+/** The attempt for which a run was started. */
 export interface RunOwner {
   readonly linkId: number;
   readonly requestId: number;
@@ -29,9 +29,9 @@
   /** Fingerprint of the idempotency key. */
   readonly fingerprint?: string;
   readonly startedAt: number;
-  /** Largest answer that is kept for a key, in bytes. */
+  /** Maximum length of an answer that is retained for a key, in bytes. */
   readonly keptAnswerBytes: number;
-  /** Milliseconds for which pieces of an answer are gathered. */
+  /** Milliseconds for which chunks of an answer are gathered. */
   readonly gatherMs: number;
 }
 
@@ -47,7 +47,7 @@
   readonly running: number;
 }
 
-/** One call of the back end. */
+/** A call to the back end. */
 export class Run {
   readonly #options: RunOptions;
   readonly #kept: Uint8Array[] = [];
@@ -59,17 +59,17 @@
   #byteCount = 0;
   #isAbandoned = false;
 
-  /** Begins with no answer. */
+  /** Creates a run without an answer. */
   constructor(options: RunOptions) {
     this.#options = options;
   }
 
-  /** Number of the run at this target. */
+  /** Identifies the run at this target. */
   get id(): number {
     return this.#options.id;
   }
 
-  /** The attempt that the run belongs to. */
+  /** The attempt for which the run was started. */
   get owner(): RunOwner {
     return this.#options.owner;
   }
@@ -79,22 +79,22 @@
     return this.#options.fingerprint;
   }
 
-  /** When the back end was called. */
+  /** Time of the call, in monotonic milliseconds. */
   get startedAt(): number {
     return this.#options.startedAt;
   }
 
-  /** Whether nobody waits for the answer any more. */
+  /** Whether no entry waits for the answer any longer. */
   get isAbandoned(): boolean {
     return this.#isAbandoned;
   }
 
-  /** Nobody waits for the answer any more. */
+  /** Records that no entry waits for the answer any longer. */
   abandon(): void {
     this.#isAbandoned = true;
   }
 
-  /** The first message of the answer. */
+  /** Creates the first message of the answer. */
   createHead(head: AnswerHead): AnswerHeadMessage {
     this.#head = head;
     return {
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Takes in a piece of the answer's body. Pieces that follow each other
-   * closely, as tokens do, go together; the first goes at once.
+   * Adds a chunk of the answer's body. Chunks in quick succession, such as tokens, are
+   * gathered into one message; the first chunk is sent immediately.
    *
    * @returns the message that is due now, if any
    */
@@ -121,14 +121,14 @@
     return this.tryFlushDue(now);
   }
 
-  /** What was gathered, if it is due. */
+  /** Returns a message with the gathered chunks if it is due. */
   tryFlushDue(now: number): AnswerDataMessage | undefined {
     const isDue = now - this.#gatheredAt >= this.#options.gatherMs ||
       this.#gatheredBytes >= MAX_GATHERED_BYTES;
     return isDue ? this.tryFlush(now) : undefined;
   }
 
-  /** What was gathered, due or not. */
+  /** Returns a message with the gathered chunks, if any, whether or not it is due. */
   tryFlush(now: number): AnswerDataMessage | undefined {
     if (this.#gathered.length === 0) return undefined;
     const [first] = this.#gathered;
@@ -141,7 +141,7 @@
     return { kind: "answer_data", ...this.#createNextIds(), bytes };
   }
 
-  /** The last message of the answer. */
+  /** Creates the last message of the answer. */
   createEnd(load: TargetLoad): AnswerEndMessage {
     return {
       kind: "answer_end",
@@ -151,7 +151,7 @@
     };
   }
 
-  /** The whole answer, unless it was too large to keep. */
+  /** Returns the complete answer, or undefined if it was too large to retain. */
   tryGetKeptAnswer(): KeptAnswer | undefined {
     if (this.#head === undefined) return undefined;
     if (this.#byteCount > this.#options.keptAnswerBytes) return undefined;
--- a/src/target/start_claims.ts
+++ b/src/target/start_claims.ts
@@ -1,5 +1,5 @@
 /**
- * Starts to claim key slots for a target, and to fetch the history of those it took.
+ * Starts claiming key slots for a target and fetching the history of claimed slots.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import { HistoryFetcher } from "./history_fetcher.ts";
 import type { TargetEvent } from "./types.ts";
 
-/** What claims are made with. */
+/** Options of {@link startClaims}. */
 export interface StartClaimsOptions {
   readonly settings: TargetProcessSettings;
   readonly incarnation: string;
@@ -23,7 +23,7 @@
 }
 
 /**
- * Starts to claim key slots; a target that owns no keys claims none.
+ * Starts claiming key slots, unless the target is configured to own no keys.
  *
  * @example
  * ```ts
@@ -55,7 +55,10 @@
   });
 }
 
-/** Logs claims once for each version, and passes every confirmation on. */
+/**
+ * Creates a handler that dispatches every confirmation and logs the claims once for each
+ * version of the owner table.
+ */
 function createConfirmedHandler(
   { log, onEvent }: StartClaimsOptions,
 ): ClaimKeeperOptions["onConfirmed"] {
--- a/src/target/target_driver.ts
+++ b/src/target/target_driver.ts
@@ -1,5 +1,5 @@
 /**
- * Performs the effects of the target's reducer and feeds it events.
+ * Runs a target: dispatches events to its reducer and performs the resulting effects.
  *
  * @module
  */
@@ -42,12 +42,15 @@
 import { TargetReducer } from "./target_reducer.ts";
 import type { TargetEffect, TargetEvent } from "./types.ts";
 
-/** Also how late gathered tokens may be sent. */
+/**
+ * Milliseconds between two ticks, and thus also the maximum additional delay of gathered
+ * tokens.
+ */
 const TICK_MS = 10;
-/** Milliseconds that a drained target waits for the new owners of its keys. */
+/** Milliseconds for which a drained target waits until new owners fetch its keys. */
 const HANDOVER_TIMEOUT_MS = 4000;
 
-/** What a target's driver works with. */
+/** Options of {@link TargetDriver}. */
 export interface TargetDriverOptions {
   readonly settings: TargetProcessSettings;
   readonly incarnation: string;
@@ -79,7 +82,7 @@
   #onDrained: (() => void) | undefined;
   #pendingHandovers = 0;
 
-  /** Does not listen yet. */
+  /** Creates a target that does not listen yet. */
   constructor(options: TargetDriverOptions) {
     this.#options = options;
     this.#reducer = new TargetReducer({
@@ -121,15 +124,15 @@
     });
   }
 
-  /** Requests that wait or run. */
+  /** Number of queued and running requests. */
   get inFlight(): number {
     return this.#reducer.queued + this.#reducer.running;
   }
 
   /**
-   * Listens, and starts to claim key slots.
+   * Starts listening and claiming key slots.
    *
-   * @throws when the address cannot be had
+   * @throws if the address is not available
    */
   async start(): Promise<void> {
     const { settings, machineList, log } = this.#options;
@@ -190,7 +193,10 @@
     };
   }
 
-  /** Rank 0 of this target's group; nobody else may give its engine orders. */
+  /**
+   * Accepts the connection of rank 0 of this target's group, which alone may send orders
+   * for its engine.
+   */
   #onCoordinator(link: Link, name: string) {
     if (name === this.#options.settings.group?.coordinatorName) {
       this.#group?.addLink(link);
@@ -203,7 +209,7 @@
     };
   }
 
-  /** The new owner of slots that this target released. */
+  /** Accepts the connection of the new owner of slots that this target released. */
   #onSuccessor(link: Link) {
     const linkId = this.#nextLinkId++;
     this.#links.set(linkId, link);
@@ -283,7 +289,10 @@
     this.#dispatch({ kind: "link_closed", now: performance.now(), linkId });
   }
 
-  /** Whoever hears first that this target leaves, refuses new work for all. */
+  /**
+   * Updates whether the list of VMs marks this target as leaving. A leaving target refuses
+   * new requests of all entries, including those that do not know yet that it leaves.
+   */
   #onVirtualMachines(virtualMachines: readonly VirtualMachine[]): void {
     this.#claims?.setVirtualMachines(virtualMachines);
     const { name } = this.#options.settings;
@@ -358,7 +367,7 @@
     for (const link of this.#links.values()) link.flush();
     if (releasedCount === 0) return this.#onDrained?.();
     this.#options.log.write("SLOTS_RELEASED", { slots: releasedCount });
-    // New owners ask for the keys; without one there is nobody to wait for.
+    // New owners fetch the keys. If there is none, the timeout ends the wait.
     this.#pendingHandovers = releasedCount;
     setTimeout(() => this.#onDrained?.(), HANDOVER_TIMEOUT_MS);
   }
--- a/src/target/target_pages.ts
+++ b/src/target/target_pages.ts
@@ -1,19 +1,19 @@
 /**
- * The pages that a target serves: whether it lives, whether it takes work, its metrics.
+ * The HTTP pages of a target: liveness, readiness and metrics.
  *
  * @module
  */
 import { Hono } from "hono";
 import type { Metrics } from "../process/metrics.ts";
 
-/** What the pages show. */
+/** Options of {@link createTargetPages}. */
 export interface TargetPagesOptions {
   readonly isLeaving: () => boolean;
   readonly metrics: Metrics;
 }
 
 /**
- * Creates the pages of a target.
+ * Creates the HTTP pages of a target.
  *
  * @example
  * ```ts
--- a/src/target/target_reducer.ts
+++ b/src/target/target_reducer.ts
@@ -1,9 +1,9 @@
 /**
- * The target role as one reducer: queues, admits, runs and cancels requests,
- * and alone says what ran.
+ * The target role as one reducer: queues, admits, runs and cancels requests, and is the
+ * only authority on which requests ran.
  *
- * Every place that says `not-run` is in {@link TargetReducer} and refuses work
- * that was never handed to the back end.
+ * Only {@link TargetReducer} reports submissions as `not-run`, and only for requests that
+ * the back end never started.
  *
  * @module
  */
@@ -42,7 +42,7 @@
   TargetLimits,
 } from "./types.ts";
 
-/** Name of the back end among those that may ask this target for backoffs. */
+/** Name under which the backoffs of the back end are recorded. */
 const BACK_END = "back_end";
 
 interface WaitingRequest {
@@ -63,7 +63,7 @@
   readonly now: number;
 }
 
-/** The target role as one reducer over all its events. */
+/** Reducer over all events of a target. */
 export class TargetReducer {
   readonly #limits: TargetLimits;
   readonly #gate: KeyGate;
@@ -72,43 +72,43 @@
   readonly #reporter = new LoadReporter();
   readonly #openLinks = new Set<number>();
   #nextRunId = 1;
-  /** Told to end; there is no way back. */
+  /** Whether the process is shutting down, which cannot be undone. */
   #isDraining = false;
-  /** Leaving by the word of the platform's list or of the settings. */
+  /** Whether the list of VMs or the settings mark the target as leaving. */
   #isMarkedLeaving = false;
   #hasReportedDrained = false;
   readonly #replies = new TargetReplies();
   readonly #backoffs = new TargetBackoffs();
 
-  /** Starts empty, owning no key slots. */
+  /** Creates a reducer without requests or key slots. */
   constructor(options: TargetReducerOptions) {
     this.#limits = options.limits;
     this.#gate = new KeyGate(options.limits, options.now);
     this.#queue = new FairQueue(options.limits.queueLength);
   }
 
-  /** Requests that wait. */
+  /** Number of queued requests. */
   get queued(): number {
     return this.#queue.length;
   }
 
-  /** Requests that the back end has. */
+  /** Number of requests that were sent to the back end and have not ended. */
   get running(): number {
     return this.#runs.size;
   }
 
-  /** Whether new work is refused. */
+  /** Whether new requests are refused. */
   get isLeaving(): boolean {
     return this.#isDraining || this.#isMarkedLeaving;
   }
 
-  /** The remembered keys. */
+  /** Ledger of the recorded keys. */
   get ledger(): KeyLedger {
     return this.#gate.ledger;
   }
 
   /**
-   * Takes in one event and returns what is to be done, in order.
+   * Processes one event and returns the effects to perform, in order.
    *
    * @example
    * ```ts
@@ -116,7 +116,7 @@
    * ```
    */
   reduce(event: TargetEvent): readonly TargetEffect[] {
-    if (this.#gate.detectPause(event.now)) {
+    if (this.#gate.detectStall(event.now)) {
       this.#replies.push({ kind: "confirm_claims" });
     }
     const wasLeaving = this.isLeaving;
@@ -165,16 +165,16 @@
 
   #onLinkOpened(linkId: number, now: number): void {
     this.#openLinks.add(linkId);
-    this.#reporter.recordReport(linkId, { load: this.#getLoad(), now });
+    this.#reporter.recordSentLoad(linkId, { load: this.#getLoad(), now });
     this.#replies.reply(linkId, this.#createClaims());
     this.#replies.reply(linkId, this.#reporter.createReport(this.#getLoad()));
     if (this.isLeaving) this.#replies.reply(linkId, { kind: "leaving" });
   }
 
   /**
-   * The entry has given up on all it sent here: what waits is dropped, what
-   * runs without a key is broken off. A keyed run goes on, so that whoever asks
-   * again gets its answer.
+   * Drops the queued requests of the entry and cancels its running requests without a
+   * key, since the entry no longer expects their answers. Keyed requests continue to run,
+   * so that a retry gets the answer.
    */
   #onLinkClosed(linkId: number): void {
     this.#openLinks.delete(linkId);
@@ -276,7 +276,7 @@
     }
   }
 
-  /** Nobody waits for the answer any more. */
+  /** Abandons a run for which no entry waits, and cancels it unless it has a key. */
   #abandon(run: Run): void {
     run.abandon();
     if (run.fingerprint !== undefined) return;
@@ -351,7 +351,7 @@
     this.#replies.replyToRun(run, run.tryFlush(event.now));
     this.#replies.replyToRun(run, run.createEnd(this.#getLoad()));
     if (this.#openLinks.has(run.owner.linkId)) {
-      this.#reporter.recordReport(run.owner.linkId, {
+      this.#reporter.recordSentLoad(run.owner.linkId, {
         load: this.#getLoad(),
         now: event.now,
       });
@@ -385,7 +385,10 @@
     this.#replies.push({ kind: "broadcast", message: claims });
   }
 
-  /** Only a target that will run nothing more knows all there is to know. */
+  /**
+   * Hands over the keys of a slot once the target has drained, since the record of its
+   * keys is complete only when no further request can run.
+   */
   #onHandoverRequested(event: HandoverRequested): void {
     if (!this.#hasReportedDrained) return;
     this.#replies.reply(
@@ -402,7 +405,7 @@
     const load = this.#getLoad();
     for (const linkId of this.#reporter.getDueLinks(load, now)) {
       this.#replies.reply(linkId, this.#reporter.createReport(load));
-      this.#reporter.recordReport(linkId, { load, now });
+      this.#reporter.recordSentLoad(linkId, { load, now });
     }
   }
 
@@ -418,7 +421,7 @@
     this.#replies.push({ kind: "drained" });
   }
 
-  /** What waited was never handed to the back end, and never will be. */
+  /** Refuses a queued request, which is never sent to the back end. */
   #refuseWaiting(
     item: WaitingRequest,
     reason: RefusalName,
@@ -434,8 +437,8 @@
   }
 
   /**
-   * While the back end wants nothing, other targets may serve what would wait here; entries
-   * are told for how long.
+   * Refuses all queued requests during a backoff of the back end, so that other targets
+   * can serve them. The refusals contain the remaining time of the backoff.
    */
   #refuseInBackoff(now: number): void {
     const milliseconds = this.#backoffs.getRemainingMs(BACK_END, now);
@@ -465,7 +468,7 @@
   }
 }
 
-/** What is passed on to entries of a backoff that the back end asks for. */
+/** Creates the notice that forwards a backoff of the back end to entries. */
 function createBackoffNotice(backoff: BackoffWord): BackEndNotice {
   const none = { kind: "none" } as const;
   return { rateLimit: none, backoff, leaving: none };
--- a/src/target/target_reducer_test.ts
+++ b/src/target/target_reducer_test.ts
@@ -70,7 +70,7 @@
 }
 
 describe("target reducer", () => {
-  it("says that cancelled work was not run only if it waited", () => {
+  it("reports a cancelled request as not run only if it was queued", () => {
     const target = createTarget();
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2 }));
@@ -92,7 +92,7 @@
     assert.deepEqual(getStartedRequestIds(waiting), []);
   });
 
-  it("never begins what it said was not run", () => {
+  it("never starts a request that it reported as not run", () => {
     const target = createTarget();
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2, remainingMs: 50 }));
@@ -104,7 +104,7 @@
     assert.deepEqual(getStartedRequestIds(ended), []);
   });
 
-  it("gives work up at once that would start too late to end in time", () => {
+  it("refuses a request that would start too late to finish in time", () => {
     const target = createTarget();
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2, remainingMs: 50 }));
@@ -113,13 +113,13 @@
     assert.deepEqual(getStartedRequestIds(ended), []);
   });
 
-  it("takes messages of a lost connection for nothing", () => {
+  it("ignores messages of a lost connection", () => {
     const target = createTarget();
     target.reduce({ kind: "link_closed", now: 0, linkId: LINK });
     assert.deepEqual(getStartedRequestIds(receive(target, createSubmit())), []);
   });
 
-  it("drops what waits when its entry is lost, and breaks off what runs", () => {
+  it("drops queued requests of a lost entry and cancels running ones", () => {
     const target = createTarget();
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2 }));
@@ -128,7 +128,7 @@
     assert.equal(target.queued, 0);
   });
 
-  it("says that nothing began when the back end was not reached", () => {
+  it("reports a request as not run if the back end was not reached", () => {
     const target = createTarget();
     receive(target, createSubmit());
     const failed = target.reduce({
@@ -140,7 +140,7 @@
     assert.equal(getRefusals(failed)[0]?.submission, "not-run");
   });
 
-  it("refuses new work once it is leaving, and ends what it has", () => {
+  it("refuses new requests while draining, and finishes its own", () => {
     const target = createTarget();
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2 }));
@@ -155,24 +155,24 @@
     assert.ok(hasEffect(second, "drained"));
   });
 
-  it("leaves by the platform's or the operators' word, and may come back", () => {
+  it("leaves when the VM list or the settings require it, and can return", () => {
     const target = createTarget();
-    const left = target.reduce({
+    const leavingEffects = target.reduce({
       kind: "leaving_set",
       now: 1,
       isLeaving: true,
     });
-    assert.deepEqual(left, [
+    assert.deepEqual(leavingEffects, [
       { kind: "broadcast", message: { kind: "leaving" } },
     ]);
     const refused = receive(target, createSubmit(), 1);
     assert.equal(getRefusals(refused)[0]?.reason, "TARGET_LEAVING");
-    const back = target.reduce({
+    const servingEffects = target.reduce({
       kind: "leaving_set",
       now: 2,
       isLeaving: false,
     });
-    assert.deepEqual(back, [
+    assert.deepEqual(servingEffects, [
       { kind: "broadcast", message: { kind: "serving" } },
     ]);
     assert.deepEqual(getStartedRequestIds(receive(target, createSubmit(), 2)), [
@@ -180,7 +180,7 @@
     ]);
   });
 
-  it("tells a new entry at once that it is leaving", () => {
+  it("informs a new entry immediately that it is leaving", () => {
     const target = createTarget();
     target.reduce({ kind: "drain_requested", now: 1 });
     const effects = target.reduce({ kind: "link_opened", now: 2, linkId: 2 });
@@ -191,7 +191,7 @@
     );
   });
 
-  it("keeps its queue bounded, at the cost of who floods it", () => {
+  it("bounds its queue at the cost of the organisation that fills it", () => {
     const target = createTarget();
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2, organisation: "flood" }));
@@ -205,7 +205,7 @@
     assert.equal(refusal?.requestId, 3);
   });
 
-  it("sends the first token at once and gathers those that follow", () => {
+  it("sends the first token immediately and gathers later ones", () => {
     const target = createTarget();
     receive(target, createSubmit());
     const firstRun = { runId: 1, now: 0 };
@@ -240,7 +240,7 @@
     assert.deepEqual(getAnswerTexts(ended), ["d"]);
   });
 
-  it("asks for its claims after a pause", () => {
+  it("requests confirmation of its claims after a stall", () => {
     const target = createTarget();
     target.reduce({ kind: "tick", now: 5000 });
     assert.ok(
@@ -252,8 +252,8 @@
   });
 });
 
-describe("a target whose back end asks for a pause", () => {
-  /** The back end answers the first request with 503, and asks for three seconds. */
+describe("a target whose back end requests a backoff", () => {
+  /** Answers the first request with status 503 and a backoff of three seconds. */
   function requestBackoff(target: TargetReducer): readonly TargetEffect[] {
     receive(target, createSubmit({ requestId: 1 }));
     return target.reduce({
@@ -265,18 +265,18 @@
     });
   }
 
-  // Guards against a target that sends on to a back end that wants nothing from it.
-  it("begins nothing until its end, and refuses what waits at once", () => {
-    const paused = createTarget();
-    const asked = requestBackoff(paused);
+  // Guards against a target that continues to send requests during the backoff.
+  it("starts no request during the backoff and refuses new ones", () => {
+    const target = createTarget();
+    const effects = requestBackoff(target);
     assert.ok(
-      asked.some((effect) =>
+      effects.some((effect) =>
         effect.kind === "reply" && effect.message.kind === "answer_head" &&
         effect.message.notice?.backoff.kind === "backoff"
       ),
     );
     const [refusal] = getRefusals(
-      receive(paused, createSubmit({ requestId: 3 }), 1100),
+      receive(target, createSubmit({ requestId: 3 }), 1100),
     );
     assert.equal(refusal?.reason, "TARGET_WITHHELD");
     assert.equal(refusal?.submission, "not-run");
@@ -286,7 +286,7 @@
     });
   });
 
-  it("begins work again after it", () => {
+  it("starts requests again after the backoff", () => {
     const target = createTarget();
     requestBackoff(target);
     target.reduce({ kind: "back_end_end", now: 110, runId: 1 });
--- a/src/target/target_replies.ts
+++ b/src/target/target_replies.ts
@@ -1,5 +1,5 @@
 /**
- * What a target says to entries, gathered as effects of one event.
+ * Collects a target's messages to entries as effects of one event.
  *
  * @module
  */
@@ -11,46 +11,46 @@
 import { Run, type RunOwner, type TargetLoad } from "./run.ts";
 import type { TargetEffect } from "./types.ts";
 
-/** Why an attempt gets no answer. */
+/** Refusal of an attempt. */
 export interface Refusal {
   readonly reason: RefusalName;
   readonly isKeyed: boolean;
-  /** What is known of this submission. */
+  /** What is known about this submission. */
   readonly submission: Outcome;
-  /** What the back end said of itself. */
+  /** Notice of the back end. */
   readonly notice?: BackEndNotice;
 }
 
-/** What a target says to entries. */
+/** Collects the effects of one event. */
 export class TargetReplies {
   #effects: TargetEffect[] = [];
 
-  /** Everything since the last time, in order. */
+  /** Returns and removes the effects added since the previous call, in order. */
   takeEffects(): readonly TargetEffect[] {
     const effects = this.#effects;
     this.#effects = [];
     return effects;
   }
 
-  /** One more effect. */
+  /** Adds an effect. */
   push(effect: TargetEffect): void {
     this.#effects.push(effect);
   }
 
-  /** Says something on one connection. */
+  /** Adds a message on one connection. */
   reply(linkId: number, message: Message): void {
     this.push({ kind: "reply", linkId, message });
   }
 
-  /** Says something of a run, unless nobody waits for it. */
+  /** Adds a message about a run, unless no entry waits for it any longer. */
   replyToRun(run: Run, message: Message | undefined): void {
     if (message === undefined || run.isAbandoned) return;
     this.reply(run.owner.linkId, message);
   }
 
   /**
-   * Of a key it is never said that it has not run: another submission of it may
-   * run before the word arrives.
+   * Refuses an attempt. The outcome of a keyed request is always `unknown`, since another
+   * submission of its key may run before the refusal arrives.
    */
   refuse(owner: RunOwner, refusal: Refusal): void {
     const { linkId, ...attempt } = owner;
@@ -67,7 +67,7 @@
     this.reply(linkId, message);
   }
 
-  /** Gives an answer that was kept. */
+  /** Replays a retained answer. */
   replay(owner: RunOwner, answer: KeptAnswer, load: TargetLoad): void {
     const run = new Run({
       id: 0,
--- a/src/target/types.ts
+++ b/src/target/types.ts
@@ -1,5 +1,5 @@
 /**
- * The vocabulary of the target role: its events and effects.
+ * Types for the target role: its events and effects.
  *
  * @module
  */
@@ -17,36 +17,36 @@
 
 /** The key slots that a target owns. */
 export interface OwnedSlots {
-  /** Version of the owner table in which they stand. */
+  /** Version of the owner table that lists them. */
   readonly version: number;
   readonly slots: readonly OwnedSlot[];
 }
 
-/** One slot and since when its history is known. */
+/** An owned slot and the time since which its history is known. */
 export interface OwnedSlot {
   readonly slot: number;
   /**
-   * Wall-clock milliseconds of the move to this owner; 0 when the slot never
-   * had another.
+   * Time of the move to this owner in wall-clock milliseconds; 0 if the slot never had
+   * another owner.
    */
   readonly movedAt: number;
 }
 
-/** An entry's connection was opened. */
+/** The connection of an entry was opened. */
 export interface LinkOpened {
   readonly kind: "link_opened";
   readonly now: number;
   readonly linkId: number;
 }
 
-/** An entry's connection was lost; no more replies reach it. */
+/** The connection of an entry was lost; no further replies reach the entry. */
 export interface LinkClosed {
   readonly kind: "link_closed";
   readonly now: number;
   readonly linkId: number;
 }
 
-/** A message of an entry arrived. */
+/** A message from an entry arrived. */
 export interface MessageReceived {
   readonly kind: "message_received";
   readonly now: number;
@@ -65,7 +65,7 @@
   readonly headers: readonly Header[];
 }
 
-/** A piece of the back end's answer. */
+/** A chunk of the back end's answer arrived. */
 export interface BackEndData {
   readonly kind: "back_end_data";
   readonly now: number;
@@ -73,14 +73,14 @@
   readonly bytes: Uint8Array;
 }
 
-/** The back end's answer is whole. */
+/** The back end's answer is complete. */
 export interface BackEndEnd {
   readonly kind: "back_end_end";
   readonly now: number;
   readonly runId: number;
 }
 
-/** The back end gave no answer, or broke it off. */
+/** The back end sent no answer, or an incomplete one. */
 export interface BackEndFailed {
   readonly kind: "back_end_failed";
   readonly now: number;
@@ -88,16 +88,16 @@
   readonly failure: BackEndFailure;
 }
 
-/** The owner table was read, or written with success. */
+/** The owner table was read, or successfully written. */
 export interface ClaimsConfirmed {
   readonly kind: "claims_confirmed";
   readonly now: number;
   readonly claims: OwnedSlots;
-  /** When the table was asked for, on the same clock as `now`. */
+  /** Time at which the table was requested, on the same clock as `now`. */
   readonly askedAt: number;
 }
 
-/** The new owner of a released slot asks for its keys. */
+/** The new owner of a released slot requested its keys. */
 export interface HandoverRequested {
   readonly kind: "hand_over_asked";
   readonly now: number;
@@ -105,33 +105,33 @@
   readonly slot: number;
 }
 
-/** The old owner of a slot told its keys. */
+/** The previous owner of a slot handed over its keys. */
 export interface HistoryReceived {
   readonly kind: "history_received";
   readonly now: number;
   readonly history: LedgerSlotMessage;
 }
 
-/** Time passed. */
+/** Periodic event for actions that depend on time. */
 export interface TargetTick {
   readonly kind: "tick";
   readonly now: number;
 }
 
-/** What the platform's list and the settings say of this target. */
+/** The list of VMs or the settings changed whether this target is leaving. */
 export interface LeavingSet {
   readonly kind: "leaving_set";
   readonly now: number;
   readonly isLeaving: boolean;
 }
 
-/** The process was told to end. */
+/** The process was requested to shut down. */
 export interface TargetDrainRequested {
   readonly kind: "drain_requested";
   readonly now: number;
 }
 
-/** Everything that can happen to a target. */
+/** Any event of a target. */
 export type TargetEvent =
   | LinkOpened
   | LinkClosed
@@ -160,20 +160,20 @@
   readonly message: LeavingMessage | ServingMessage | ClaimsMessage;
 }
 
-/** Hand a request to the back end. It counts as begun from here on. */
+/** Send a request to the back end. It counts as started from then on. */
 export interface StartBackEnd {
   readonly kind: "start_back_end";
   readonly runId: number;
   readonly request: SubmitMessage;
 }
 
-/** Break off a call of the back end. */
+/** Cancel a call to the back end. */
 export interface CancelBackEnd {
   readonly kind: "cancel_back_end";
   readonly runId: number;
 }
 
-/** Read the owner table before any keyed request is begun. */
+/** Read the owner table; no keyed request is started before it is confirmed. */
 export interface ConfirmClaims {
   readonly kind: "confirm_claims";
 }
@@ -184,12 +184,12 @@
   readonly reason: RefusalName;
 }
 
-/** Nothing is in flight any more and nothing will be taken. */
+/** Report that no request is in flight and that none will be accepted. */
 export interface Drained {
   readonly kind: "drained";
 }
 
-/** Everything that a target's reducer can ask for. */
+/** Any effect that a target's reducer requests. */
 export type TargetEffect =
   | Reply
   | Broadcast
@@ -201,16 +201,16 @@
 
 /** Limits of one target. */
 export interface TargetLimits {
-  /** Requests that the back end runs at once. */
+  /** Maximum number of requests that the back end runs concurrently. */
   readonly concurrency: number;
-  /** Requests that wait. */
+  /** Maximum number of queued requests. */
   readonly queueLength: number;
-  /** Keys that are remembered. */
+  /** Maximum number of recorded keys. */
   readonly ledgerLength: number;
-  /** Largest answer that is kept for a key, in bytes. */
+  /** Maximum length of an answer that is retained for a key, in bytes. */
   readonly keptAnswerBytes: number;
-  /** Bytes of all kept answers together. */
+  /** Maximum bytes of all retained answers together. */
   readonly keptBytes: number;
-  /** Milliseconds for which pieces of an answer are gathered. */
+  /** Milliseconds for which chunks of an answer are gathered. */
   readonly gatherMs: number;
 }
