--- a/src/messages/settings_documents.ts
+++ b/src/messages/settings_documents.ts
@@ -12,7 +12,7 @@
   readonly requestsPerSecond: number;
   /** Requests above the rate that are admitted in a burst. */
   readonly burst: number;
-  /** Requests in flight through one entry. */
+  /** Maximum number of requests in flight through one entry. */
   readonly concurrency: number;
   /** Weight in the targets' fair queues relative to other organisations. */
   readonly weight: number;
--- a/src/messages/types.ts
+++ b/src/messages/types.ts
@@ -108,7 +108,7 @@
   readonly notice?: BackEndNotice;
 }
 
-/** A piece of an answer's body. */
+/** A chunk of an answer's body. */
 export interface AnswerDataMessage {
   readonly kind: "answer_data";
   readonly requestId: number;
@@ -193,7 +193,7 @@
   readonly kind: "settings_head_request";
 }
 
-/** The newest settings head that the sender has in force. */
+/** Head of the settings that the sender has in force. */
 export interface SettingsHeadMessage {
   readonly kind: "settings_head";
   /** The head value, as in the key-value service. */
--- a/src/target/claim_keeper.ts
+++ b/src/target/claim_keeper.ts
@@ -37,7 +37,7 @@
   readonly address: string;
   readonly targetName: string;
   readonly incarnation: string;
-  /** Whether the platform provides a list of VMs, for which claiming then waits. */
+  /** Whether the platform provides a list of VMs; claiming a share then waits for it. */
   readonly hasMachineList: boolean;
   /** Milliseconds for which a VM must be gone before other targets claim its slots. */
   readonly goneGraceMs: number;
@@ -61,7 +61,7 @@
   readonly #goneSince = new Map<string, number>();
   /** Infinite until the list of VMs is read, so that the share of free slots is zero. */
   #liveTargets = Number.POSITIVE_INFINITY;
-  #hasMachineList = false;
+  #hasReadList = false;
   #listedNames: ReadonlySet<string> = new Set();
   #listReadAt = 0;
   #hasFreeSlots = true;
@@ -83,7 +83,7 @@
 
   /** Processes the platform's list of VMs. */
   setVirtualMachines(virtualMachines: readonly VirtualMachine[]): void {
-    this.#hasMachineList = true;
+    this.#hasReadList = true;
     this.#listReadAt = this.#options.monotonicNow();
     const present = virtualMachines.filter((virtualMachine) =>
       virtualMachine.state !== "gone"
@@ -98,11 +98,11 @@
       virtualMachine.pool === this.#options.pool
     );
     this.#liveTargets = live.length;
-    if (wasUnknown) this.readNow();
+    if (wasUnknown) this.requestRead();
   }
 
   /** Requests a read of the table without waiting for a change of it. */
-  readNow(): void {
+  requestRead(): void {
     this.#isReadRequested = true;
     this.#watchAbort.abort();
     this.#watchAbort = new AbortController();
@@ -115,7 +115,8 @@
     for (let attempt = 0; attempt < MAX_RELEASE_ATTEMPTS; attempt++) {
       const snapshot = await this.#tryRead();
       if (snapshot === undefined) return 0;
-      const owned = ownedSlotsOf(snapshot.table, this.#options).slots.length;
+      const ownedCount =
+        ownedSlotsOf(snapshot.table, this.#options).slots.length;
       const wallNow = Date.now();
       const next = tryRelease(snapshot.table, { ...this.#options, wallNow });
       if (next === undefined) return 0;
@@ -123,7 +124,7 @@
         value: JSON.stringify(next),
         expectedRevision: snapshot.keyRevision,
       });
-      if (result.kind === "swapped") return owned;
+      if (result.kind === "swapped") return ownedCount;
     }
     return 0;
   }
@@ -226,7 +227,7 @@
 
   /** Returns whether all lists that were read in the grace period report a VM as gone. */
   #isGone(name: string): boolean {
-    if (!this.#hasMachineList || this.#listedNames.has(name)) return false;
+    if (!this.#hasReadList || this.#listedNames.has(name)) return false;
     const { goneGraceMs } = this.#options;
     const goneSince = this.#goneSince.get(name);
     if (goneSince === undefined) {
--- a/src/target/key_gate.ts
+++ b/src/target/key_gate.ts
@@ -57,10 +57,11 @@
 /** Decision on a keyed request. */
 export type KeyDecision = KeyMayRun | KeyReplay | KeyRefused;
 
-/** Time since which a slot's keys are known from its previous owner. */
+/** History of a slot that its previous owner handed over. */
 interface ReceivedHistory {
   /** Time of the slot's move, per the owner table, after which it was handed over. */
   readonly tableMovedAt: number;
+  /** Wall-clock time since which all keys of the slot are known. */
   readonly movedAt: number;
 }
 
@@ -75,7 +76,7 @@
   readonly #ledger: KeyLedger;
   #version = 0;
   #movedAtBySlot: ReadonlyMap<number, number> = new Map();
-  #lastTickAt: number;
+  #lastEventAt: number;
   #uncertainSince: number | undefined;
   /** Histories that previous owners handed over, by slot. */
   readonly #histories = new Map<number, ReceivedHistory>();
@@ -83,7 +84,7 @@
   /** Creates a gate that owns no slots. */
   constructor(limits: LedgerLimits, now: number) {
     this.#ledger = new KeyLedger(limits);
-    this.#lastTickAt = now;
+    this.#lastEventAt = now;
   }
 
   /** Ledger of the keys that were used at this target. */
@@ -120,8 +121,8 @@
 
   /** Detects a stall; returns whether ownership has just become uncertain. */
   detectStall(now: number): boolean {
-    const elapsedMs = now - this.#lastTickAt;
-    this.#lastTickAt = now;
+    const elapsedMs = now - this.#lastEventAt;
+    this.#lastEventAt = now;
     if (elapsedMs <= STALL_THRESHOLD_MS) return false;
     const wasCertain = this.#uncertainSince === undefined;
     this.#uncertainSince = now;
@@ -218,7 +219,7 @@
     .exhaustive();
 }
 
-/** Whether the key may have been used before this owner knew of it. */
+/** Returns whether a key may have been used before the slot's keys became known. */
 function mayPredate(
   request: SubmitMessage & { readonly idempotencyKey: string },
   movedAt: number,
--- a/src/target/start_claims.ts
+++ b/src/target/start_claims.ts
@@ -28,7 +28,7 @@
  * @example
  * ```ts
  * const claims = startClaims({ ...options, onEvent: dispatch });
- * claims?.setMachines(machines);
+ * claims?.setVirtualMachines(virtualMachines);
  * ```
  */
 export function startClaims(
--- a/src/target/target_driver.ts
+++ b/src/target/target_driver.ts
@@ -351,7 +351,7 @@
         return this.#calls.cancel(effect.runId);
       case "confirm_claims":
         this.#options.log.write("PAUSED");
-        this.#claims?.readNow();
+        this.#claims?.requestRead();
         return;
       case "count_refusal":
         return this.#metrics.countRefusal(effect.reason);
