--- a/src/target/key_ownership_test.ts
+++ b/src/target/key_ownership_test.ts
@@ -38,8 +38,8 @@
   throw new Error("No key of the first target was found");
 }
 
-/** Lists the owner's VM as gone until the other target has claimed its slots. */
-function loseOwner(simulation: RequestWorld): void {
+/** Lists the owner's VM as gone and lets the other target claim its slots. */
+function moveSlotsToOther(simulation: RequestWorld): void {
   simulation.listGone(OWNER);
   simulation.tick(GONE_GRACE_MS + 1);
   simulation.lookAtTable(OTHER);
@@ -90,7 +90,7 @@
     simulation.kill(OWNER);
     // Entry 0 does not learn of the move.
     simulation.stallBetween(0, OTHER);
-    loseOwner(simulation);
+    moveSlotsToOther(simulation);
     simulation.restart(OWNER);
     const again = simulation.submit(0, { key });
     simulation.settle();
@@ -104,7 +104,7 @@
     simulation.submit(0, { key: old });
     simulation.settle();
     simulation.kill(OWNER);
-    loseOwner(simulation);
+    moveSlotsToOther(simulation);
     const again = simulation.submit(1, { key: old });
     const untimed = simulation.submit(1, {
       key: createKeyOfSameSlot(simulation, old),
@@ -125,7 +125,7 @@
     const sample = createOwnedKey(simulation);
     simulation.pause(OWNER);
     simulation.stallBetween(0, OTHER);
-    loseOwner(simulation);
+    moveSlotsToOther(simulation);
     simulation.tick(2 * MINUTE_MS);
     const key = createKeyOfSameSlot(simulation, sample, { isTimed: true });
     const slow = simulation.submit(0, { key, deadlineMs: 10 * MINUTE_MS });
@@ -138,13 +138,13 @@
     assert.equal(getReason(slow), "OWNER_UNCERTAIN");
   });
 
-  it("does not trust a table read that was requested before a stall", () => {
+  it("does not trust a table read that was requested before a freeze", () => {
     const simulation = createSimulation();
     const sample = createOwnedKey(simulation);
     simulation.startLook(OWNER);
     simulation.pause(OWNER);
     simulation.stallBetween(0, OTHER);
-    loseOwner(simulation);
+    moveSlotsToOther(simulation);
     simulation.tick(2 * MINUTE_MS);
     simulation.wake(OWNER);
     simulation.tick(1);
@@ -157,7 +157,7 @@
     assert.equal(getReason(slow), "OWNER_UNCERTAIN");
   });
 
-  it("starts no queued key after a stall", () => {
+  it("starts no queued key after a freeze", () => {
     const simulation = createSimulation();
     const running = createOwnedKey(simulation, "first");
     const waiting = createOwnedKey(simulation, "second");
@@ -226,7 +226,7 @@
     simulation.submit(0, { key });
     simulation.settle();
     simulation.kill(OWNER);
-    loseOwner(simulation);
+    moveSlotsToOther(simulation);
     simulation.restart(OWNER);
     simulation.listLive(OWNER);
     simulation.drain(OTHER);
@@ -322,7 +322,7 @@
   throw new Error("No other key of the slot was found");
 }
 
-/** Drains the owner until the other target has claimed its slots and fetched its keys. */
+/** Drains the owner and lets the other target claim its slots and fetch its keys. */
 function leaveAndHandOver(simulation: RequestWorld): void {
   simulation.drain(OWNER);
   simulation.settle();
--- a/src/target/request_schedules_test.ts
+++ b/src/target/request_schedules_test.ts
@@ -89,7 +89,7 @@
     faultWeights: { kill: 1, restart: 1, connect: 2 },
   },
   {
-    name: "targets frozen until the VM list reports them as gone",
+    name: "targets frozen while the VM list reports them as gone",
     faultWeights: {
       pause: 1,
       wake: 2,
--- a/src/target/types.ts
+++ b/src/target/types.ts
@@ -147,44 +147,44 @@
   | LeavingSet
   | TargetDrainRequested;
 
-/** Send a message on one connection. */
+/** Sends a message on one connection. */
 export interface Reply {
   readonly kind: "reply";
   readonly linkId: number;
   readonly message: Message;
 }
 
-/** Send a message on every connection. */
+/** Sends a message on every connection. */
 export interface Broadcast {
   readonly kind: "broadcast";
   readonly message: LeavingMessage | ServingMessage | ClaimsMessage;
 }
 
-/** Send a request to the back end. It counts as started from then on. */
+/** Sends a request to the back end. It counts as started from then on. */
 export interface StartBackEnd {
   readonly kind: "start_back_end";
   readonly runId: number;
   readonly request: SubmitMessage;
 }
 
-/** Cancel a call to the back end. */
+/** Cancels a call to the back end. */
 export interface CancelBackEnd {
   readonly kind: "cancel_back_end";
   readonly runId: number;
 }
 
-/** Read the owner table; no keyed request is started before it is confirmed. */
+/** Reads the owner table; no keyed request is started before it is confirmed. */
 export interface ConfirmClaims {
   readonly kind: "confirm_claims";
 }
 
-/** Count a refusal. */
+/** Counts a refusal. */
 export interface CountRefusal {
   readonly kind: "count_refusal";
   readonly reason: RefusalName;
 }
 
-/** Report that no request is in flight and that none will be accepted. */
+/** Reports that no request is in flight and that none will be accepted. */
 export interface Drained {
   readonly kind: "drained";
 }
