--- a/src/target/target_driver.ts
+++ b/src/target/target_driver.ts
@@ -290,8 +290,9 @@
   }
 
   /**
-   * Updates whether the list of VMs marks this target as leaving. A leaving target refuses
-   * new requests of all entries, including those that do not know yet that it leaves.
+   * Updates whether the list of VMs marks this target as leaving. A leaving target
+   * refuses new requests of all entries, including those that do not know yet that it
+   * leaves.
    */
   #onVirtualMachines(virtualMachines: readonly VirtualMachine[]): void {
     this.#claims?.setVirtualMachines(virtualMachines);
