--- a/src/target/claim_keeper.ts
+++ b/src/target/claim_keeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps this target's claims in the owner table: reads it, claims what is free,
- * and releases on leaving.
+ * Maintains this target's claims in the owner table: reads the table, claims available
+ * slots, and releases its slots when the target leaves.
  *
  * @module
  */
@@ -10,9 +10,9 @@
 import {
   type ClaimContext,
   createOwnerTable,
+  getOwnerTableKey,
   ownedSlotsOf,
   type OwnerTable,
-  ownerTableKey,
   type ReleasedSlot,
   releasedSlotsTaken,
   tryClaim,
@@ -21,12 +21,12 @@
 } from "./owner_table.ts";
 import type { OwnedSlots } from "./types.ts";
 
-/** Pause after a call that failed, in milliseconds. */
-const RETRY_PAUSE_MS = 1000;
-/** Shortest time between two looks at the table, in milliseconds. */
-const LOOK_PAUSE_MS = 1000;
-/** Longest time between two looks while slots are free, in milliseconds. */
-const FREE_LOOK_MS = 2000;
+/** Delay after a failed call, in milliseconds. */
+const RETRY_DELAY_MS = 1000;
+/** Minimum time between two reads of the table, in milliseconds. */
+const MIN_READ_INTERVAL_MS = 1000;
+/** Maximum time between two reads while any slot is free, in milliseconds. */
+const FREE_SLOT_READ_INTERVAL_MS = 2000;
 const MAX_RELEASE_ATTEMPTS = 5;
 
 /** Options of a {@link ClaimKeeper}. */
@@ -37,157 +37,171 @@
   readonly address: string;
   readonly targetName: string;
   readonly incarnation: string;
-  /** Whether there is a list to wait for. */
+  /** Whether the platform provides a list of VMs; claiming a share then waits for it. */
   readonly hasMachineList: boolean;
-  /** Milliseconds for which a machine must be gone before it loses slots. */
+  /** Milliseconds for which a VM must be gone before other targets claim its slots. */
   readonly goneGraceMs: number;
-  /** Milliseconds of a monotonic clock. */
+  /** Returns the milliseconds of a monotonic clock. */
   readonly monotonicNow: () => number;
-  /** Called with what the table says, and when it was asked for. */
-  readonly onConfirmed: (claims: OwnedSlots, askedAt: number) => void;
-  /** Called with slots that were taken from one who released them. */
+  /** Called with the slots owned by this target and the time of the request for them. */
+  readonly onConfirmed: (claims: OwnedSlots, requestedAt: number) => void;
+  /** Called with newly claimed slots that another target had released. */
   readonly onTaken: (slots: readonly ReleasedSlot[]) => void;
 }
 
-interface ReadTable {
+interface TableSnapshot {
   readonly table: OwnerTable;
   readonly keyRevision: number;
 }
 
-/** Keeps this target's claims in the owner table. */
+/** Maintains this target's claims in the owner table. */
 export class ClaimKeeper {
   readonly #options: ClaimKeeperOptions;
   readonly #key: string;
   readonly #goneSince = new Map<string, number>();
-  /** Before the list is read there may be any number of them. */
+  /** Infinite until the list of VMs is read, so that the share of free slots is zero. */
   #liveTargets = Number.POSITIVE_INFINITY;
-  #hasMachineList = false;
-  #listed: ReadonlySet<string> = new Set();
+  #hasReadList = false;
+  #listedNames: ReadonlySet<string> = new Set();
   #listReadAt = 0;
   #hasFreeSlots = true;
   #keyRevision = 0;
-  #round = new AbortController();
+  #watchAbort = new AbortController();
   #isStopped = false;
-  #isLookWanted = false;
+  #isReadRequested = false;
 
   /**
-   * Starts claiming at once: its machine's own slots, and its share of the free
-   * ones as soon as the list tells how many share them.
+   * Starts claiming immediately: first the slots of its own VM, and its share of the free
+   * slots as soon as the list of VMs shows how many targets share them.
    */
   constructor(options: ClaimKeeperOptions) {
     this.#options = options;
     if (!options.hasMachineList) this.#liveTargets = 1;
-    this.#key = ownerTableKey(options.pool);
-    void this.#follow();
+    this.#key = getOwnerTableKey(options.pool);
+    void this.#keepClaiming();
   }
 
-  /** Takes in the platform's list. */
-  setMachines(machines: readonly VirtualMachine[]): void {
-    this.#hasMachineList = true;
+  /** Processes the platform's list of VMs. */
+  setVirtualMachines(virtualMachines: readonly VirtualMachine[]): void {
+    this.#hasReadList = true;
     this.#listReadAt = this.#options.monotonicNow();
-    const present = machines.filter((machine) => machine.state !== "gone");
-    this.#listed = new Set(present.map((machine) => machine.name));
-    for (const name of this.#listed) this.#goneSince.delete(name);
+    const present = virtualMachines.filter((virtualMachine) =>
+      virtualMachine.state !== "gone"
+    );
+    this.#listedNames = new Set(
+      present.map((virtualMachine) => virtualMachine.name),
+    );
+    for (const name of this.#listedNames) this.#goneSince.delete(name);
     const wasUnknown = this.#liveTargets === Number.POSITIVE_INFINITY;
-    const live = machines.filter((machine) =>
-      machine.role === "target" && machine.state === "live" &&
-      machine.pool === this.#options.pool
+    const live = virtualMachines.filter((virtualMachine) =>
+      virtualMachine.role === "target" && virtualMachine.state === "live" &&
+      virtualMachine.pool === this.#options.pool
     );
     this.#liveTargets = live.length;
-    if (wasUnknown) this.confirm();
+    if (wasUnknown) this.requestRead();
   }
 
-  /** Reads the table now, before anything else. */
-  confirm(): void {
-    this.#isLookWanted = true;
-    this.#round.abort();
-    this.#round = new AbortController();
+  /** Requests a read of the table without waiting for a change of it. */
+  requestRead(): void {
+    this.#isReadRequested = true;
+    this.#watchAbort.abort();
+    this.#watchAbort = new AbortController();
   }
 
-  /** Gives back all slots; best effort. Returns how many. */
+  /** Tries to release all slots, and returns the number of released ones. */
   async release(): Promise<number> {
     this.#isStopped = true;
-    this.#round.abort();
+    this.#watchAbort.abort();
     for (let attempt = 0; attempt < MAX_RELEASE_ATTEMPTS; attempt++) {
-      const read = await this.#tryRead();
-      if (read === undefined) return 0;
-      const owned = ownedSlotsOf(read.table, this.#options).slots.length;
+      const snapshot = await this.#tryRead();
+      if (snapshot === undefined) return 0;
+      const ownedCount =
+        ownedSlotsOf(snapshot.table, this.#options).slots.length;
       const wallNow = Date.now();
-      const next = tryRelease(read.table, { ...this.#options, wallNow });
+      const next = tryRelease(snapshot.table, { ...this.#options, wallNow });
       if (next === undefined) return 0;
-      const swap = await this.#options.service.compareAndSwap(this.#key, {
+      const result = await this.#options.service.compareAndSwap(this.#key, {
         value: JSON.stringify(next),
-        expectedRevision: read.keyRevision,
+        expectedRevision: snapshot.keyRevision,
       });
-      if (swap.kind === "swapped") return owned;
+      if (result.kind === "swapped") return ownedCount;
     }
     return 0;
   }
 
-  /** Claims no more. */
+  /** Stops claiming. */
   stop(): void {
     this.#isStopped = true;
-    this.#round.abort();
+    this.#watchAbort.abort();
   }
 
-  async #follow(): Promise<void> {
+  async #keepClaiming(): Promise<void> {
     while (!this.#isStopped) {
-      const isAnswered = await this.#look();
-      const pause = isAnswered ? LOOK_PAUSE_MS : RETRY_PAUSE_MS;
-      await sleep(pause, undefined, { ref: false });
-      const mayWait = isAnswered && !this.#isLookWanted && !this.#isStopped;
-      if (mayWait) await this.#waitForChange();
+      const isSuccessful = await this.#readAndClaim();
+      const delayMs = isSuccessful ? MIN_READ_INTERVAL_MS : RETRY_DELAY_MS;
+      await sleep(delayMs, undefined, { ref: false });
+      const shouldWatch = isSuccessful && !this.#isReadRequested &&
+        !this.#isStopped;
+      if (shouldWatch) await this.#waitForChange();
     }
   }
 
-  async #look(): Promise<boolean> {
-    this.#isLookWanted = false;
-    const askedAt = this.#options.monotonicNow();
-    const read = await this.#tryRead();
-    if (read === undefined || this.#isStopped) return read !== undefined;
-    this.#keyRevision = read.keyRevision;
-    const next = tryClaim(read.table, this.#context());
+  async #readAndClaim(): Promise<boolean> {
+    this.#isReadRequested = false;
+    const requestedAt = this.#options.monotonicNow();
+    const snapshot = await this.#tryRead();
+    if (snapshot === undefined || this.#isStopped) {
+      return snapshot !== undefined;
+    }
+    this.#keyRevision = snapshot.keyRevision;
+    const next = tryClaim(snapshot.table, this.#createContext());
     if (next === undefined) {
-      this.#confirmed(read.table, askedAt);
+      this.#reportConfirmed(snapshot.table, requestedAt);
       return true;
     }
-    const swap = await this.#options.service.compareAndSwap(this.#key, {
+    const result = await this.#options.service.compareAndSwap(this.#key, {
       value: JSON.stringify(next),
-      expectedRevision: read.keyRevision,
+      expectedRevision: snapshot.keyRevision,
     });
-    // After a lost reply the next look finds out whether it took effect.
-    if (swap.kind !== "swapped") return false;
-    this.#keyRevision = swap.revision;
-    this.#confirmed(next, askedAt);
-    const taken = releasedSlotsTaken(read.table, next);
+    // If the response was lost, the next read shows whether the swap took effect.
+    if (result.kind !== "swapped") return false;
+    this.#keyRevision = result.revision;
+    this.#reportConfirmed(next, requestedAt);
+    const taken = releasedSlotsTaken(snapshot.table, next);
     if (taken.length > 0) this.#options.onTaken(taken);
     return true;
   }
 
-  #confirmed(table: OwnerTable, askedAt: number): void {
+  #reportConfirmed(table: OwnerTable, requestedAt: number): void {
     this.#hasFreeSlots = table.slots.some((slot) => slot.kind === "free");
-    this.#options.onConfirmed(ownedSlotsOf(table, this.#options), askedAt);
+    this.#options.onConfirmed(ownedSlotsOf(table, this.#options), requestedAt);
   }
 
   async #waitForChange(): Promise<void> {
     try {
       await this.#options.service.watch(this.#key, {
         knownRevision: this.#keyRevision,
-        signal: this.#watchSignal(),
+        signal: this.#createWatchSignal(),
       });
     } catch {
-      // The next look tells whether the service answers.
+      // The next read shows whether the service responds.
     }
   }
 
-  /** Free slots become anybody's by time alone, so they are looked at often. */
-  #watchSignal(): AbortSignal {
-    const { signal } = this.#round;
+  /**
+   * Limits the watch while any slot is free: a target may claim such a slot after some
+   * time, without a change of the table.
+   */
+  #createWatchSignal(): AbortSignal {
+    const { signal } = this.#watchAbort;
     if (!this.#hasFreeSlots) return signal;
-    return AbortSignal.any([signal, AbortSignal.timeout(FREE_LOOK_MS)]);
+    return AbortSignal.any([
+      signal,
+      AbortSignal.timeout(FREE_SLOT_READ_INTERVAL_MS),
+    ]);
   }
 
-  async #tryRead(): Promise<ReadTable | undefined> {
+  async #tryRead(): Promise<TableSnapshot | undefined> {
     try {
       const entry = await this.#options.service.tryRead(this.#key);
       if (entry === undefined) {
@@ -200,7 +214,7 @@
     }
   }
 
-  #context(): ClaimContext {
+  #createContext(): ClaimContext {
     const { targetName, incarnation } = this.#options;
     return {
       targetName,
@@ -211,15 +225,15 @@
     };
   }
 
-  /** Gone for the whole grace, by lists read throughout it. */
+  /** Returns whether all lists that were read in the grace period report a VM as gone. */
   #isGone(name: string): boolean {
-    if (!this.#hasMachineList || this.#listed.has(name)) return false;
+    if (!this.#hasReadList || this.#listedNames.has(name)) return false;
     const { goneGraceMs } = this.#options;
-    const since = this.#goneSince.get(name);
-    if (since === undefined) {
+    const goneSince = this.#goneSince.get(name);
+    if (goneSince === undefined) {
       this.#goneSince.set(name, this.#listReadAt);
       return false;
     }
-    return this.#listReadAt - since >= goneGraceMs;
+    return this.#listReadAt - goneSince >= goneGraceMs;
   }
 }
--- a/src/target/start_claims.ts
+++ b/src/target/start_claims.ts
@@ -1,5 +1,5 @@
 /**
- * Starts to claim key slots for a target, and to fetch the history of those it took.
+ * Starts claiming key slots for a target and fetching the history of claimed slots.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import { HistoryFetcher } from "./history_fetcher.ts";
 import type { TargetEvent } from "./types.ts";
 
-/** What claims are made with. */
+/** Options of {@link startClaims}. */
 export interface StartClaimsOptions {
   readonly settings: TargetProcessSettings;
   readonly incarnation: string;
@@ -23,12 +23,12 @@
 }
 
 /**
- * Starts to claim key slots; a target that owns no keys claims none.
+ * Starts claiming key slots, unless the target is configured to own no keys.
  *
  * @example
  * ```ts
  * const claims = startClaims({ ...options, onEvent: dispatch });
- * claims?.setMachines(machines);
+ * claims?.setVirtualMachines(virtualMachines);
  * ```
  */
 export function startClaims(
@@ -51,16 +51,19 @@
     goneGraceMs: settings.goneGraceMs,
     monotonicNow: () => performance.now(),
     onTaken: (slots) => fetcher.fetch(slots),
-    onConfirmed: createConfirmation(options),
+    onConfirmed: createConfirmedHandler(options),
   });
 }
 
-/** Logs claims once for each version, and passes every confirmation on. */
-function createConfirmation(
+/**
+ * Creates a handler that dispatches every confirmation and logs the claims once for each
+ * version of the owner table.
+ */
+function createConfirmedHandler(
   { log, onEvent }: StartClaimsOptions,
 ): ClaimKeeperOptions["onConfirmed"] {
   let version = 0;
-  return (claims, askedAt) => {
+  return (claims, requestedAt) => {
     if (claims.version !== version) {
       version = claims.version;
       log.write("SLOTS_CLAIMED", { version, slots: claims.slots.length });
@@ -69,7 +72,7 @@
       kind: "claims_confirmed",
       now: performance.now(),
       claims,
-      askedAt,
+      askedAt: requestedAt,
     });
   };
 }
