--- a/bench/choice_bench.ts
+++ b/bench/choice_bench.ts
@@ -257,12 +257,12 @@
       now: this.#events.now,
       failureDomain: String(entry.domain),
       cachedBlocks: usesPrefixes
-        ? entry.prefixes.cachedBlocks(blocks)
+        ? entry.prefixes.countCachedBlocks(blocks)
         : undefined,
       promptBlocks: usesPrefixes ? blocks.length : 0,
     });
     const target = entry.registry.tryGet(chosen?.name ?? "") as TargetRecord;
-    if (usesPrefixes) entry.prefixes.remember(blocks, target.name);
+    if (usesPrefixes) entry.prefixes.record(blocks, target.name);
     target.addInFlight(id, this.#events.now);
     const index = Number(target.name);
     if (this.#events.now >= FAULT_AT_MS) {
--- a/bench/limits_bench.ts
+++ b/bench/limits_bench.ts
@@ -12,7 +12,7 @@
 import { PRIORITIES_BY_NAME } from "../src/messages/priority.ts";
 import {
   FairQueue,
-  latestStart,
+  getLatestStart,
   type QueuedItem,
 } from "../src/policy/fair_queue.ts";
 import { RetryBudget } from "../src/policy/retry_budget.ts";
@@ -187,7 +187,7 @@
     weight: 1,
     priority,
     arrivedAt: now,
-    startBy: latestStart(now, DEADLINE_MS),
+    startBy: getLatestStart(now, DEADLINE_MS),
   };
 }
 
@@ -208,7 +208,7 @@
   const requests = 10_000;
   let attempts = 0;
   for (let request = 0; request < requests; request++) {
-    budget.countRequest();
+    budget.recordRequest();
     attempts++;
     while (budget.tryTake()) attempts++;
   }
--- a/bench/placement_bench.ts
+++ b/bench/placement_bench.ts
@@ -16,8 +16,8 @@
 } from "../src/policy/placement/greedy_packer.ts";
 import { LoadEstimator } from "../src/policy/placement/load_estimator.ts";
 import {
-  lowestSlowestTime,
-  rankTimes,
+  getRankTimes,
+  getSlowestTimeBound,
 } from "../src/policy/placement/rank_times.ts";
 import {
   REBALANCE_PRESETS,
@@ -266,7 +266,7 @@
     let spread = 0;
     for (const tokens of truth.tokens) {
       const load = { tokens, speeds: truth.speeds };
-      slowest += lowestSlowestTime(load, slots);
+      slowest += getSlowestTimeBound(load, slots);
       spread += perfectSpread(tokens, truth.speeds);
     }
     return slowest / spread;
@@ -283,7 +283,7 @@
   for (const [index, layer] of layers.entries()) {
     const tokens = truth.tokens[index] ?? [];
     const load = { tokens, speeds: truth.speeds };
-    slowest += Math.max(...rankTimes(layer.placement, load));
+    slowest += Math.max(...getRankTimes(layer.placement, load));
     spread += perfectSpread(tokens, truth.speeds);
   }
   return slowest / spread;
--- a/src/direct/direct_entry_driver.ts
+++ b/src/direct/direct_entry_driver.ts
@@ -155,7 +155,7 @@
       isKnownPool: (pool) =>
         this.#settings.inUse?.settings.pools.has(pool) ?? true,
       isColdPool: (pool) =>
-        this.#reducer.warmUp.limits.tryPool(pool) !== undefined,
+        this.#reducer.warmUp.limits.tryGetPool(pool) !== undefined,
       onDirectory: (directory) => this.#onDirectory(directory),
       onListed: (directory) => this.#peers.onStoreListed(directory),
       // An entry that gets its back ends from another entry rarely calls the store
@@ -208,7 +208,7 @@
         (event) => this.#server.dispatch(event),
       ),
       issuePermits: (target, count) =>
-        this.#reducer.permits.give(target, count, performance.now()),
+        this.#reducer.permits.issue(target, count, performance.now()),
       onPermits: (outcome) =>
         this.#server.dispatch({
           kind: "permits_told",
--- a/src/direct/entry_audience.ts
+++ b/src/direct/entry_audience.ts
@@ -33,7 +33,7 @@
 
   /** Takes the capacity of the VM's link, in bytes per second. */
   constructor(bytesPerSecond: number) {
-    this.#pacer = new LinkPacer({ bytesPerSecond, part: LINK_SHARE });
+    this.#pacer = new LinkPacer({ bytesPerSecond, fraction: LINK_SHARE });
   }
 
   /** Number of subscribed entries. */
--- a/src/direct/peers/entry_memories_test.ts
+++ b/src/direct/peers/entry_memories_test.ts
@@ -47,7 +47,7 @@
   }
 
   setLimit(perSecond: number): void {
-    this.limits.note({ target: "i-2", perSecond, sentAt: 0, now: 600 });
+    this.limits.record({ target: "i-2", perSecond, sentAt: 0, now: 600 });
   }
 }
 
@@ -56,7 +56,7 @@
     const from = new EntryFixture();
     from.crashes.push(CRASHED);
     from.setLimit(2);
-    from.leaving.note("i-3", 900);
+    from.leaving.record("i-3", 900);
     const update = from.replicatedState.createReplicator().createUpdate(
       EMPTY_DIGESTS,
       1000,
--- a/src/direct/peers/entry_peers.ts
+++ b/src/direct/peers/entry_peers.ts
@@ -10,9 +10,9 @@
 import type { EventLog } from "../../events/event_log.ts";
 import type { LinkIdentity } from "../../links/link_server.ts";
 import type {
-  PermitAnswer,
   PermitOutcome,
-  PermitQuestion,
+  PermitRequest,
+  PermitResponse,
 } from "../../policy/send_permits.ts";
 import type { Directory } from "../directory_follower.ts";
 import type { DrainSet } from "../../messages/peer_types.ts";
@@ -54,7 +54,7 @@
   readonly getStoreState: () => KnownStoreState;
   readonly replicatedState: ReplicatedState;
   /** Issues permits to another entry for a target that has named a limit. */
-  readonly issuePermits: (target: string, count: number) => PermitAnswer;
+  readonly issuePermits: (target: string, count: number) => PermitResponse;
   /** Called with the outcome of a permit request. */
   readonly onPermits: (outcome: PermitOutcome) => void;
   readonly onSettings: (text: string) => void;
@@ -231,7 +231,7 @@
   }
 
   /** Requests permits from another entry. */
-  requestPermits(request: PermitQuestion): void {
+  requestPermits(request: PermitRequest): void {
     this.#permitRequester.request(request);
   }
 
--- a/src/direct/peers/peer_server.ts
+++ b/src/direct/peers/peer_server.ts
@@ -11,7 +11,7 @@
 import type { Directory } from "../directory_follower.ts";
 import type { DrainSet } from "../../messages/peer_types.ts";
 import type { SettingsInUse } from "../settings_follower.ts";
-import type { PermitAnswer } from "../../policy/send_permits.ts";
+import type { PermitResponse } from "../../policy/send_permits.ts";
 import {
   areDigestsEqual,
   getDigests,
@@ -53,7 +53,7 @@
   readonly getStoreState: () => KnownStoreState;
   readonly replicatedState: ReplicatedState;
   /** Issues permits for a target that has named a limit. */
-  readonly issuePermits: (target: string, count: number) => PermitAnswer;
+  readonly issuePermits: (target: string, count: number) => PermitResponse;
 }
 
 /** An update of the store, without replicated state. */
--- a/src/direct/peers/permit_asker.ts
+++ b/src/direct/peers/permit_asker.ts
@@ -8,10 +8,10 @@
 import { LinkClient } from "../../links/link_client.ts";
 import type { LinkIdentity } from "../../links/link_server.ts";
 import {
-  ASK_LIMIT_MS,
-  type PermitAnswer,
+  PERMIT_TIMEOUT_MS,
   type PermitOutcome,
-  type PermitQuestion,
+  type PermitRequest,
+  type PermitResponse,
 } from "../../policy/send_permits.ts";
 
 /** Milliseconds after which an unused connection is closed. */
@@ -28,7 +28,7 @@
 
 /** A request that has no answer yet. */
 interface PendingRequest {
-  readonly request: PermitQuestion;
+  readonly request: PermitRequest;
   readonly askedAt: number;
   readonly timeout: NodeJS.Timeout;
 }
@@ -54,11 +54,11 @@
     this.#options = options;
   }
 
-  /** Requests permits, and reports the outcome within {@link ASK_LIMIT_MS}. */
-  request(request: PermitQuestion): void {
+  /** Requests permits, and reports the outcome within {@link PERMIT_TIMEOUT_MS}. */
+  request(request: PermitRequest): void {
     const queryId = ++this.#queryId;
     const askedAt = performance.now();
-    const timeout = setTimeout(() => this.#settle(queryId), ASK_LIMIT_MS);
+    const timeout = setTimeout(() => this.#settle(queryId), PERMIT_TIMEOUT_MS);
     this.#pending.set(queryId, { request, askedAt, timeout });
     const address = this.#options.tryAddress(request.entry);
     if (address === undefined) {
@@ -129,7 +129,7 @@
     link.send({ kind: "send_permit_query", queryId, target, count });
   }
 
-  #settle(queryId: number, answer?: PermitAnswer): void {
+  #settle(queryId: number, answer?: PermitResponse): void {
     const pending = this.#pending.get(queryId);
     if (pending === undefined) return;
     this.#pending.delete(queryId);
--- a/src/entry/admission_gate.ts
+++ b/src/entry/admission_gate.ts
@@ -10,11 +10,11 @@
 import type { Priority } from "../messages/priority.ts";
 import {
   AdmissionOrder,
-  getAdmissionReturnMs,
-  getHeldPart,
+  getDeferralRetryDelayMs,
+  getDeferredFraction,
 } from "../policy/admission_order.ts";
 import type {
-  CapacityFacts,
+  CapacityContext,
   GroupUtilization,
 } from "../policy/group_capacity.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
@@ -104,7 +104,7 @@
   /** Records the arrival of a request. */
   noteArrival(inFlight: InFlightRequest, now: number): void {
     if (inFlight.poolPriorities === undefined) return;
-    this.#getOrder(inFlight.pool).noteArrival({
+    this.#getOrder(inFlight.pool).recordArrival({
       ...createOrderedRequest(inFlight, now),
       now,
     });
@@ -155,10 +155,10 @@
     if (reason !== "GROUP_BUSY" || state?.utilization === undefined) {
       return undefined;
     }
-    const freeInMs = getAdmissionReturnMs({
+    const freeInMs = getDeferralRetryDelayMs({
       leftMs: Math.max(0, inFlight.deadlineAt - now),
-      heldPart: state.deferredFraction,
-      drawn: this.#random.nextFraction(),
+      deferredFraction: state.deferredFraction,
+      randomFraction: this.#random.nextFraction(),
     });
     return { utilization: state.utilization, freeInMs };
   }
@@ -194,12 +194,16 @@
     },
   ): boolean {
     const { group, utilization, poolPriorities: known, now } = context;
-    const deferredFraction = getHeldPart(utilization);
+    const deferredFraction = getDeferredFraction(utilization);
     if (deferredFraction <= 0) return false;
     const state = this.#getDeferralState(inFlight);
     const ordered = createOrderedRequest(inFlight, now);
     const requestFraction = this.#getOrder(inFlight.pool)
-      .getHeldPartOf(ordered, { now, heldPart: deferredFraction, known });
+      .getDeferralProbability(ordered, {
+        now,
+        deferredFraction: deferredFraction,
+        knownPriorities: known,
+      });
     if (state.number >= requestFraction) return false;
     state.utilization = utilization;
     state.deferredFraction = deferredFraction;
@@ -294,7 +298,7 @@
 ): GroupUtilization | undefined {
   const { pauseObjectiveMs: pauseMs, stepMs, stride = 1 } = settings;
   if (pauseMs === undefined) return undefined;
-  const inputs: CapacityFacts = {
+  const inputs: CapacityContext = {
     now,
     pauseMs,
     idlePassMs: stepMs * stride,
--- a/src/entry/caller_protocol.ts
+++ b/src/entry/caller_protocol.ts
@@ -9,7 +9,7 @@
 import { MAX_KEY_LENGTH } from "../core/idempotency_key.ts";
 import { tryReadPriority } from "../messages/priority.ts";
 import type { Header } from "../messages/types.ts";
-import { prefixBlocksOf } from "../policy/prefix_index.ts";
+import { hashPrefixBlocks } from "../policy/prefix_index.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import type { CallerRequest } from "./types.ts";
 
@@ -64,7 +64,7 @@
       deadlineMs: deadline.value,
       idempotencyKey: key,
       priority,
-      prefixBlocks: prefixBlocksOf(body),
+      prefixBlocks: hashPrefixBlocks(body),
     });
   }
 
--- a/src/entry/crash_watch.ts
+++ b/src/entry/crash_watch.ts
@@ -80,12 +80,12 @@
   /** Whether a request may run: it has not crashed several targets in a row. */
   mayRun(inFlight: InFlightRequest, now: number): boolean {
     return this.#history.isEmpty ||
-      this.#history.getRefusedMs(inFlight.digest, now) === 0;
+      this.#history.getRemainingRefusalMs(inFlight.digest, now) === 0;
   }
 
   /** Whether the request has crashed a target before. */
   hasCrashed(inFlight: InFlightRequest): boolean {
-    return !this.#history.isEmpty && this.#history.hasCrashed(inFlight.digest);
+    return !this.#history.isEmpty && this.#history.hasCrashes(inFlight.digest);
   }
 
   /** Records that the current attempt ended without an answer, and may have run. */
@@ -120,7 +120,7 @@
   /** Records that a request was answered. */
   noteServed(inFlight: InFlightRequest, now: number): readonly EntryEffect[] {
     const hasChanged = this.hasCrashed(inFlight) &&
-      this.#history.noteServed(inFlight.digest, now);
+      this.#history.recordServed(inFlight.digest, now);
     return hasChanged ? [REPLICATED_STATE_CHANGED] : [];
   }
 
@@ -135,9 +135,12 @@
   ): readonly EntryEffect[] {
     const records = lost
       .filter((attempt) => !this.#isMassFailure(attempt))
-      .filter((attempt) => this.#history.note(attempt.digest, attempt, now))
+      .filter((attempt) => this.#history.record(attempt.digest, attempt, now))
       .map((attempt) => {
-        const refusedMs = this.#history.getRefusedMs(attempt.digest, now);
+        const refusedMs = this.#history.getRemainingRefusalMs(
+          attempt.digest,
+          now,
+        );
         return createCrashRecord({ ...attempt, refusedMs });
       });
     return records.length === 0 ? [] : [...records, REPLICATED_STATE_CHANGED];
--- a/src/entry/drained_targets_test.ts
+++ b/src/entry/drained_targets_test.ts
@@ -9,7 +9,7 @@
 import { describe, it } from "node:test";
 import { fingerprintOf, slotOf } from "../core/idempotency_key.ts";
 import { RandomSource } from "../core/random_source.ts";
-import { RETURN_MS } from "../policy/domain_drains.ts";
+import { RAMP_UP_MS } from "../policy/domain_drains.ts";
 import {
   createCallerRequest,
   createInstance,
@@ -128,7 +128,7 @@
     it(`${name} prevents first attempts there`, () => {
       const fixture = new DrainFixture();
       for (const domains of drains) fixture.drain(domains);
-      assert.equal(fixture.domainsOfRequests(RETURN_MS), sentTo);
+      assert.equal(fixture.domainsOfRequests(RAMP_UP_MS), sentTo);
     });
   }
 });
@@ -256,7 +256,7 @@
 
   it("gets a gradually increasing share of requests", () => {
     const shares = [0, 0.2, 0.5, 1].map((fraction) =>
-      shareAfter(fraction * RETURN_MS)
+      shareAfter(fraction * RAMP_UP_MS)
     );
     assert.equal(shares[0], 0);
     const sorted = [...shares].sort((left, right) => left - right);
--- a/src/entry/entry_reducer.ts
+++ b/src/entry/entry_reducer.ts
@@ -213,7 +213,7 @@
         this.#selection.setEntries(event.entries, event.now);
         return this.#retries.setEntries(event.entries.length);
       case "permits_told":
-        this.permits.noteOutcome(event.outcome, event.now);
+        this.permits.recordOutcome(event.outcome, event.now);
         return this.#dispatcher.submitWaiting(event.now);
       case "group_load_told":
         this.#effects.push(...this.#targetUpdates.noteGroupLoad(event));
--- a/src/entry/notice_watch.ts
+++ b/src/entry/notice_watch.ts
@@ -116,7 +116,7 @@
     }
     const perSecond = notice.kind === "limit" ? notice.perSecond : undefined;
     const sentAt = inFlight.attemptStartedAt;
-    const update = this.limits.note({ target, perSecond, sentAt, now });
+    const update = this.limits.record({ target, perSecond, sentAt, now });
     if (update === undefined) return [];
     return [
       createLimitRecord(update, { source: "answer", now }),
@@ -135,7 +135,7 @@
         return [this.#createUnreadableRecord("backoff", target, notice.text)];
       case "backoff": {
         const askedMs = notice.milliseconds;
-        const update = this.backoffs.note({ target, askedMs, now });
+        const update = this.backoffs.record({ target, askedMs, now });
         if (update === undefined) return [];
         return [createBackoffRecord(inFlight.request, update, now)];
       }
@@ -152,7 +152,7 @@
       case "unreadable":
         return [this.#createUnreadableRecord("leaving", target, notice.text)];
       case "leaving": {
-        if (!this.leaving.note(target, now)) return [];
+        if (!this.leaving.record(target, now)) return [];
         const record = createLeavingRecord(target, {
           source: "answer",
           ageMs: 0,
--- a/src/entry/rank_groups.ts
+++ b/src/entry/rank_groups.ts
@@ -75,12 +75,12 @@
     for (const address of ranks) this.#nameByAddress.set(address, group);
     if (isOpen) this.#lastRunningRanks.set(group, ranks);
     const state = this.#getOrCreate(group);
-    state.lateAdmission.note({ passMs, at: now });
+    state.lateAdmission.record({ passMs, at: now });
     const load = loads.reduce(
       (sum, { running, queued }) => sum + running + queued,
       0,
     );
-    state.capacity.note({ at: now, epoch, passMs, load });
+    state.capacity.record({ at: now, epoch, passMs, load });
     return this.observe(group, { isOpen, observedAt: now - ageMs });
   }
 
--- a/src/entry/request_dispatcher.ts
+++ b/src/entry/request_dispatcher.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { PermitQuestion } from "../policy/send_permits.ts";
+import type { PermitRequest } from "../policy/send_permits.ts";
 import type { SendLimits } from "../policy/send_limits.ts";
 import type { Admission } from "./admission.ts";
 import type { AttemptEnd, CrashWatch } from "./crash_watch.ts";
@@ -146,7 +146,7 @@
   #tryPermit(inFlight: InFlightRequest, now: number): boolean {
     const count = 1 + this.#waiting.countOf("TARGETS_LIMITED");
     const plan = this.#selection.planPermits(inFlight, count, now);
-    if (plan.kind === "ask") this.#requestPermits(plan.question);
+    if (plan.kind === "ask") this.#requestPermits(plan.request);
     if (plan.kind !== "none") return true;
     const isKeyed = inFlight.request.idempotencyKey !== undefined;
     const failure = createUnsentFailure("TARGETS_LIMITED", isKeyed);
@@ -154,7 +154,7 @@
     return false;
   }
 
-  #requestPermits(permitRequest: PermitQuestion): void {
+  #requestPermits(permitRequest: PermitRequest): void {
     this.#options.effects.push({
       kind: "ask_permits",
       question: permitRequest,
--- a/src/entry/request_effects.ts
+++ b/src/entry/request_effects.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { Debug } from "../core/debug.ts";
-import { getReturnMs } from "../policy/return_time.ts";
+import { getRetryDelayMs } from "../policy/return_time.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import { createProblem } from "../refusals/problem.ts";
 import { createDoorNote, createFailedNote } from "./decision_notes.ts";
@@ -108,7 +108,7 @@
   now: number,
 ): number | undefined {
   const details = tryCreateRetryDetails(inFlight, cause, now);
-  return details && getReturnMs(details);
+  return details && getRetryDelayMs(details);
 }
 
 function createRefusal(
--- a/src/entry/request_server.ts
+++ b/src/entry/request_server.ts
@@ -12,7 +12,7 @@
 import { HttpListener } from "../process/http_listener.ts";
 import { MeasuredTimer } from "../process/measured_timer.ts";
 import type { Metrics } from "../process/metrics.ts";
-import type { PermitQuestion } from "../policy/send_permits.ts";
+import type { PermitRequest } from "../policy/send_permits.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import { createProblem } from "../refusals/problem.ts";
 import { CallerBuffers } from "./caller_buffers.ts";
@@ -53,7 +53,7 @@
   /** Called when state that is replicated to other entries has changed. */
   readonly onMemoriesChanged?: () => void;
   /** Called to request permits from another entry. */
-  readonly onPermitsWanted?: (permitRequest: PermitQuestion) => void;
+  readonly onPermitsWanted?: (permitRequest: PermitRequest) => void;
 }
 
 /** A caller's request that was read completely. */
--- a/src/entry/retry_policy.ts
+++ b/src/entry/retry_policy.ts
@@ -25,7 +25,7 @@
 
   /** Sets the number of entries that share the limits of pools. */
   setEntries(entries: number): void {
-    this.#byPool.setProcesses(entries);
+    this.#byPool.setEntryCount(entries);
   }
 
   /** Sets the retry limits of pools. */
@@ -41,8 +41,8 @@
 
   /** Counts an admitted request, which adds to the retry budgets. */
   countRequest(inFlight: InFlightRequest, now: number): void {
-    this.#budgetOf(inFlight.route).countRequest();
-    this.#byPool.countRequest(inFlight.pool, now);
+    this.#budgetOf(inFlight.route).recordRequest();
+    this.#byPool.recordRequest(inFlight.pool, now);
   }
 
   /** Takes one retry from the budgets if a retry is safe and the deadline allows it. */
--- a/src/entry/return_facts.ts
+++ b/src/entry/return_facts.ts
@@ -4,7 +4,10 @@
  *
  * @module
  */
-import type { Obstacle, ReturnFacts } from "../policy/return_time.ts";
+import type {
+  RetryInput,
+  UnavailabilityReason,
+} from "../policy/return_time.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import type { Failure } from "./failures.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
@@ -13,24 +16,25 @@
 const DEFAULT_OBJECTIVE_MS = 1000;
 
 /** Unavailability reasons of the refusals after which a later retry may be served. */
-const UNAVAILABILITY_REASONS: Partial<Readonly<Record<RefusalName, Obstacle>>> =
-  {
-    NO_TARGET: "absence",
-    TARGETS_LEAVING: "outage",
-    GROUP_CLOSED: "outage",
-    GROUP_STALLED: "stall",
-    TARGETS_UNREACHABLE: "outage",
-    BACK_END_UNREACHABLE: "outage",
-    WRONG_INSTANCE: "outage",
-    NO_KEY_OWNER: "owner_away",
-    DOMAINS_DRAINED: "drain",
-    POOL_FULL: "overload",
-    GROUP_BUSY: "overload",
-    BACK_END_FULL: "overload",
-    TARGETS_LIMITED: "limit",
-    TARGETS_BACKING_OFF: "backoff",
-    TARGET_WITHHELD: "overload",
-  };
+const UNAVAILABILITY_REASONS: Partial<
+  Readonly<Record<RefusalName, UnavailabilityReason>>
+> = {
+  NO_TARGET: "absence",
+  TARGETS_LEAVING: "outage",
+  GROUP_CLOSED: "outage",
+  GROUP_STALLED: "stall",
+  TARGETS_UNREACHABLE: "outage",
+  BACK_END_UNREACHABLE: "outage",
+  WRONG_INSTANCE: "outage",
+  NO_KEY_OWNER: "owner_away",
+  DOMAINS_DRAINED: "drain",
+  POOL_FULL: "overload",
+  GROUP_BUSY: "overload",
+  BACK_END_FULL: "overload",
+  TARGETS_LIMITED: "limit",
+  TARGETS_BACKING_OFF: "backoff",
+  TARGET_WITHHELD: "overload",
+};
 
 /** Why a request cannot be sent to a target, and for how long, if known. */
 export type RefusalCause = Pick<Failure, "reason" | "freeInMs">;
@@ -40,12 +44,12 @@
   inFlight: InFlightRequest,
   { reason, freeInMs }: RefusalCause,
   now: number,
-): ReturnFacts | undefined {
+): RetryInput | undefined {
   const obstacle = UNAVAILABILITY_REASONS[reason];
   if (obstacle === undefined) return undefined;
   const { objectiveMs } = inFlight.route.service;
   return {
-    obstacle,
+    cause: obstacle,
     freeInMs,
     isRepeated: inFlight.isRepeated,
     leftMs: Math.max(0, inFlight.deadlineAt - now),
--- a/src/entry/returning_callers.ts
+++ b/src/entry/returning_callers.ts
@@ -3,14 +3,14 @@
  *
  * @module
  */
-import { DeadlineMemory } from "../policy/deadline_memory.ts";
+import { DeadlineTracker } from "../policy/deadline_memory.ts";
 import type { Route } from "./routing_table.ts";
 import type { CallerRequest } from "./types.ts";
 
 /** Detects callers' retries, separately for each service. */
 export class RetryingCallers {
   /** Deadlines that callers requested, by service. */
-  readonly #memoriesByService = new Map<string, DeadlineMemory>();
+  readonly #memoriesByService = new Map<string, DeadlineTracker>();
 
   /**
    * Records an admitted request; returns whether its caller has already used a part of
@@ -29,10 +29,10 @@
   #getDeadlineMemory(
     { servicePath, service }: Route,
     now: number,
-  ): DeadlineMemory {
+  ): DeadlineTracker {
     let memory = this.#memoriesByService.get(servicePath);
     if (memory === undefined) {
-      memory = new DeadlineMemory(service.longestDeadlineMs, now);
+      memory = new DeadlineTracker(service.longestDeadlineMs, now);
       this.#memoriesByService.set(servicePath, memory);
     }
     return memory;
--- a/src/entry/target_availability.ts
+++ b/src/entry/target_availability.ts
@@ -15,7 +15,7 @@
 import { DomainDrains } from "../policy/domain_drains.ts";
 import { DomainReachability } from "../policy/domain_reachability.ts";
 import type { SendLimits } from "../policy/send_limits.ts";
-import { type PermitQuestion, SendPermits } from "../policy/send_permits.ts";
+import { type PermitRequest, SendPermits } from "../policy/send_permits.ts";
 import type { TargetBackoffs } from "../policy/target_backoffs.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
@@ -204,7 +204,7 @@
     const backoffs = this.#listCandidates(inFlight)
       .map(({ name }) => ({
         freeInMs: this.#backoffs.getRemainingMs(name, now),
-        spreadMs: this.#backoffs.getReturnMs(name),
+        spreadMs: this.#backoffs.getRampUpMs(name),
       }))
       .filter(({ freeInMs }) => freeInMs > 0)
       .sort((left, right) => left.freeInMs - right.freeInMs);
@@ -271,11 +271,11 @@
   /**
    * Returns a permit request for later requests to a pool; undefined if none is needed.
    */
-  tryPlanAhead(pool: string, now: number): PermitQuestion | undefined {
+  tryPlanAhead(pool: string, now: number): PermitRequest | undefined {
     if (this.#limits.isEmpty) return undefined;
     for (const { name } of this.#registry.servingOf(pool)) {
       if (this.#isBackingOff(name, now)) continue;
-      const permitRequest = this.permits.tryPlanAhead(name, now);
+      const permitRequest = this.permits.tryPlanPrefetch(name, now);
       if (permitRequest !== undefined) return permitRequest;
     }
     return undefined;
@@ -283,8 +283,8 @@
 
   /** Records that a request is sent to a target. */
   noteSent(target: TargetRecord, now: number): void {
-    this.permits.noteSent(target.name, now);
-    this.reachability.noteSent(target, now);
+    this.permits.recordSent(target.name, now);
+    this.reachability.recordSent(target, now);
   }
 
   /**
--- a/src/entry/target_news.ts
+++ b/src/entry/target_news.ts
@@ -57,7 +57,7 @@
     limits.setListed(listed, now);
     this.#registry.leaving.setListed(listed, now);
     const warmUpRecords = warmUp.noteListed(event);
-    selection.availability.permits.forgetUnlimited();
+    selection.availability.permits.removeUnlimited();
     const ended = selection.setInstances(instances, now).flatMap((target) => [
       createTargetEndedRecord(target),
       ...this.#recordGone({ target, now }),
@@ -101,7 +101,7 @@
   /** Records that a target began to answer an attempt. */
   noteReached(target: TargetRecord): readonly EntryEffect[] {
     const { reachability } = this.#options.selection.availability;
-    return reachability.noteReached(target)
+    return reachability.recordReached(target)
       ? [createReachabilityRecord(target, true)]
       : [];
   }
@@ -127,7 +127,7 @@
   ): readonly EntryEffect[] {
     if (reason === "BACK_END_UNREACHABLE") {
       const { reachability } = this.#options.selection.availability;
-      return reachability.noteFailed(target, { tookMs: now - sentAt, now })
+      return reachability.recordFailed(target, { tookMs: now - sentAt, now })
         ? [createReachabilityRecord(target, false)]
         : [];
     }
--- a/src/entry/target_selection.ts
+++ b/src/entry/target_selection.ts
@@ -6,7 +6,7 @@
 import { Err, Ok, type Result } from "ts-results-es";
 import type { RandomSource } from "../core/random_source.ts";
 import type { BackEndInstance } from "../messages/back_end_instance.ts";
-import { getBlindLimit } from "../policy/blind_limit.ts";
+import { getUnknownLoadLimit } from "../policy/blind_limit.ts";
 import { PrefixIndex } from "../policy/prefix_index.ts";
 import {
   estimateLoad,
@@ -130,7 +130,7 @@
       notStragglers.length > 0 ? notStragglers : available,
       now,
     );
-    const due = candidates.find(({ name }) => permits.isDue(name, now));
+    const due = candidates.find(({ name }) => permits.isProbeDue(name, now));
     if (due !== undefined) return Ok(due);
     const inView = candidates.filter(({ name }) => this.#inView.has(name));
     const target = this.#choose(
@@ -157,7 +157,7 @@
     const targets = eligible.filter((target) => !isFull(target, now))
       .sort((left, right) => estimateLoad(left) - estimateLoad(right));
     const names = targets.map(({ name }) => name);
-    return this.availability.permits.plan(names, count, now);
+    return this.availability.permits.planRequest(names, count, now);
   }
 
   /**
@@ -176,8 +176,8 @@
     if (!areRanks || isKnown) return false;
     const sumOf = (read: (target: TargetRecord) => number) =>
       serving.reduce((sum, target) => sum + read(target), 0);
-    const limit = getBlindLimit({
-      places: sumOf(({ concurrency }) => concurrency),
+    const limit = getUnknownLoadLimit({
+      concurrency: sumOf(({ concurrency }) => concurrency),
       entries: this.#entries,
     });
     return sumOf(({ ownInFlight }) => ownInFlight) >= limit;
@@ -219,14 +219,14 @@
    */
   noteSent(inFlight: InFlightRequest, target: TargetRecord, now: number): void {
     const blocks = inFlight.request.prefixBlocks ?? [];
-    this.#prefixes.remember(blocks, target.name);
-    if (inFlight.isLateAt(now)) target.group?.lateAdmission.count();
+    this.#prefixes.record(blocks, target.name);
+    if (inFlight.isLateAt(now)) target.group?.lateAdmission.recordAdmitted();
     this.availability.noteSent(target, now);
   }
 
   /** Removes the cached prompts of a target that was lost. */
   forgetTarget(name: string): void {
-    this.#prefixes.forgetTarget(name);
+    this.#prefixes.removeTarget(name);
   }
 
   #choose(
@@ -238,7 +238,7 @@
     const chosen = this.#choice.tryChoose(candidates, {
       now,
       failureDomain: this.#failureDomain,
-      cachedBlocks: this.#prefixes.cachedBlocks(blocks),
+      cachedBlocks: this.#prefixes.countCachedBlocks(blocks),
       promptBlocks: blocks.length,
     });
     return chosen && this.registry.tryGet(chosen.name);
@@ -256,10 +256,10 @@
   const { group } = target;
   if (group === undefined || !inFlight.isLateAt(now)) return true;
   const { pauseObjectiveMs } = inFlight.route.service;
-  return group.lateAdmission.isOpen(pauseObjectiveMs, {
+  return group.lateAdmission.mayAdmit(pauseObjectiveMs, {
     now,
     waitedMs: now - inFlight.arrivedAt,
-    hasFreePlace: estimateLoad(target) < 1,
+    hasFreeSlot: estimateLoad(target) < 1,
   });
 }
 
--- a/src/entry/types.ts
+++ b/src/entry/types.ts
@@ -17,7 +17,7 @@
 } from "../messages/formed_group_types.ts";
 import type { GroupSettings } from "../external/operator_settings.ts";
 import type { CrashedRequest } from "../policy/crash_history.ts";
-import type { PermitOutcome, PermitQuestion } from "../policy/send_permits.ts";
+import type { PermitOutcome, PermitRequest } from "../policy/send_permits.ts";
 import type { LeavingTarget } from "../policy/leaving_targets.ts";
 import type { TargetLimit } from "../policy/target_limits.ts";
 import type { ColdPools } from "../policy/warm_up_limits.ts";
@@ -365,7 +365,7 @@
 /** Requests permits from another entry; {@link PermitOutcomeReceived} has the outcome. */
 export interface RequestPermits {
   readonly kind: "ask_permits";
-  readonly question: PermitQuestion;
+  readonly question: PermitRequest;
 }
 
 /** Logs a decision about a request or a target. */
--- a/src/entry/waiting_requests.ts
+++ b/src/entry/waiting_requests.ts
@@ -5,7 +5,7 @@
  */
 import { USUAL_PRIORITY } from "../messages/priority.ts";
 import { FairQueue, type QueuedItem } from "../policy/fair_queue.ts";
-import { getLongestWaitMs } from "../policy/return_time.ts";
+import { getMaxWaitMs } from "../policy/return_time.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
 import { tryCreateRetryDetails } from "./return_facts.ts";
 import type { NoTargetReason, Unavailability } from "./target_availability.ts";
@@ -105,7 +105,10 @@
   /** Returns the waiting requests in the order in which they are to be sent. */
   all(now: number): readonly InFlightRequest[] {
     this.#demoteLate(now);
-    return [...this.#firstInFirstOut.inOrder(), ...this.#prioritized.inOrder()]
+    return [
+      ...this.#firstInFirstOut.listInOrder(),
+      ...this.#prioritized.listInOrder(),
+    ]
       .map(({ inFlight }) => inFlight);
   }
 
@@ -145,7 +148,7 @@
   /** Displaces the least urgent request to make room for a more urgent one. */
   #tryDisplace(waiting: WaitingRequest): boolean {
     if (waiting.inFlight.poolPriorities === undefined) return false;
-    const last = this.#prioritized.inOrder().at(-1);
+    const last = this.#prioritized.listInOrder().at(-1);
     if (last === undefined || last.priority <= waiting.priority) return false;
     const displaced = this.#prioritized.tryDrop();
     if (displaced === undefined) return false;
@@ -209,6 +212,6 @@
   const startAt = reason === "TARGETS_LIMITED" ? now : inFlight.arrivedAt;
   const details = tryCreateRetryDetails(inFlight, { reason }, startAt);
   if (details === undefined) return Number.NEGATIVE_INFINITY;
-  const end = startAt + getLongestWaitMs(details);
+  const end = startAt + getMaxWaitMs(details);
   return now + freeInMs < end ? end : Number.NEGATIVE_INFINITY;
 }
--- a/src/entry/warm_up_watch.ts
+++ b/src/entry/warm_up_watch.ts
@@ -66,7 +66,7 @@
   #createUnreadableRecords(coldPools: ColdPools): readonly LogDecision[] {
     return [...coldPools].flatMap(([pool, setting]): readonly LogDecision[] => {
       if (setting.kind !== "unreadable") return [];
-      const inForce = this.limits.tryPool(pool)?.perSecond;
+      const inForce = this.limits.tryGetPool(pool)?.perSecond;
       const details = { pool, text: setting.text, perSecond: inForce };
       return [{ kind: "log_decision", name: "COLD_RATE_UNREADABLE", details }];
     });
@@ -96,8 +96,8 @@
       name: "COLD_TARGETS_CHANGED",
       details: {
         pool,
-        perSecond: this.limits.tryPool(pool)?.perSecond,
-        cold: this.limits.countOf(pool),
+        perSecond: this.limits.tryGetPool(pool)?.perSecond,
+        cold: this.limits.countCold(pool),
         added: describe(cold),
         removed: describe(warm),
         ageMs: askedAt === undefined ? undefined : Math.round(now - askedAt),
--- a/src/external/http_back_end.ts
+++ b/src/external/http_back_end.ts
@@ -294,7 +294,7 @@
     const now = performance.now();
     const isLater = now - this.#startedAt > FORGOTTEN_WITHIN_MS;
     if (isOurs || isLater || this.#restedMs === undefined) return;
-    this.#options.lifetime.noteDead(this.#restedMs, now);
+    this.#options.lifetime.recordDead(this.#restedMs, now);
   }
 
   #getFailure(): BackEndFailure {
--- a/src/group/formed/base_maps.ts
+++ b/src/group/formed/base_maps.ts
@@ -18,7 +18,7 @@
 
   /** `bytesPerSecond` is the capacity of the decider's link. */
   constructor(bytesPerSecond: number) {
-    this.#pacer = new LinkPacer({ bytesPerSecond, part: LINK_SHARE });
+    this.#pacer = new LinkPacer({ bytesPerSecond, fraction: LINK_SHARE });
   }
 
   /**
--- a/src/group/formed/decider_driver.ts
+++ b/src/group/formed/decider_driver.ts
@@ -266,14 +266,14 @@
       paces: this.#getPaces(),
     }, {
       slotsPerRank: settings.slotsPerRank,
-      mostNewPerRank: getCopiesPerRank({
+      maxNewPerRank: getCopiesPerRank({
         loadMs: settings.loadMs,
         passMs: this.#decider.passMs,
         ranks: this.#options.state.ranks,
       }),
-      mostNewPerLayer: settings.mostNewExperts,
+      maxNewPerLayer: settings.mostNewExperts,
       loadMs: settings.loadMs,
-      passPart: passPauseRatio,
+      passFraction: passPauseRatio,
     });
     if (plan === undefined) {
       const { changes } = this.#popularity;
--- a/src/policy/admission_order.ts
+++ b/src/policy/admission_order.ts
@@ -49,9 +49,9 @@
 export interface AdmissionContext {
   readonly now: number;
   /** Fraction of all arriving requests to defer, from 0 to 1. */
-  readonly heldPart: number;
+  readonly deferredFraction: number;
   /** Priorities named by the settings, most urgent first. */
-  readonly known: readonly Priority[];
+  readonly knownPriorities: readonly Priority[];
 }
 
 interface DeferralFractions {
@@ -68,10 +68,10 @@
  *
  * @example
  * ```ts
- * getHeldPart({ load: 85, capacity: 100 }); // 0.5
+ * getDeferredFraction({ load: 85, capacity: 100 }); // 0.5
  * ```
  */
-export function getHeldPart(
+export function getDeferredFraction(
   { load, capacity }: { readonly load: number; readonly capacity: number },
 ): number {
   const utilization = capacity > 0
@@ -87,9 +87,9 @@
   /** Milliseconds until the request's deadline. */
   readonly leftMs: number;
   /** Fraction of all arriving requests that is deferred. */
-  readonly heldPart: number;
+  readonly deferredFraction: number;
   /** A random number in [0, 1) that spreads retries over time. */
-  readonly drawn: number;
+  readonly randomFraction: number;
 }
 
 /**
@@ -99,11 +99,12 @@
  * @example
  * ```ts
  * const input = { leftMs: 8000, deferredFraction: 1, randomFraction: 0.5 };
- * getAdmissionReturnMs(input); // 1803.3
+ * getDeferralRetryDelayMs(input); // 1803.3
  * ```
  */
-export function getAdmissionReturnMs(
-  { leftMs, heldPart, drawn }: RetryDelayInput,
+export function getDeferralRetryDelayMs(
+  { leftMs, deferredFraction: heldPart, randomFraction: drawn }:
+    RetryDelayInput,
 ): number {
   const maxDelayMs = getMaxRetryDelayMs(leftMs);
   const rangeMs = Math.max(0, maxDelayMs - MIN_RETRY_DELAY_MS);
@@ -117,7 +118,7 @@
   #fractions: DeferralFractions | undefined;
 
   /** Records an arriving request. */
-  noteArrival(arrival: Arrival): void {
+  recordArrival(arrival: Arrival): void {
     this.#mix.record(arrival);
   }
 
@@ -131,11 +132,14 @@
    * const order = new AdmissionOrder();
    * const request = { priority: 7, organisation: "andamaq", weight: 1 };
    * const context = { now: 0, deferredFraction: 0.1, knownPriorities: [3, 5, 7] };
-   * order.getHeldPartOf(request, context); // 0.1 / (1 / 3) = 0.3
+   * order.getDeferralProbability(request, context); // 0.1 / (1 / 3) = 0.3
    * ```
    */
-  getHeldPartOf(request: AdmissionRequest, context: AdmissionContext): number {
-    if (context.heldPart <= 0) return 0;
+  getDeferralProbability(
+    request: AdmissionRequest,
+    context: AdmissionContext,
+  ): number {
+    if (context.deferredFraction <= 0) return 0;
     const fractions = this.#getFractions(context);
     const { priority, organisation } = request;
     const deferred = fractions.byPriority.get(priority) ??
@@ -149,7 +153,10 @@
     return byOrganisation.get(organisation) ?? deferred;
   }
 
-  #getFractions({ now, heldPart, known }: AdmissionContext): DeferralFractions {
+  #getFractions(
+    { now, deferredFraction: heldPart, knownPriorities: known }:
+      AdmissionContext,
+  ): DeferralFractions {
     const { computedAt, deferredFraction: previousFraction } =
       this.#fractions ??
         { computedAt: 0, deferredFraction: -1 };
--- a/src/policy/admission_order_test.ts
+++ b/src/policy/admission_order_test.ts
@@ -3,8 +3,8 @@
 import {
   AdmissionOrder,
   type AdmissionRequest,
-  getAdmissionReturnMs,
-  getHeldPart,
+  getDeferralRetryDelayMs,
+  getDeferredFraction,
   type RetryDelayInput,
 } from "./admission_order.ts";
 
@@ -22,7 +22,7 @@
   const order = new AdmissionOrder();
   for (const { requests, ...sender } of senders) {
     for (let index = 0; index < requests; index++) {
-      order.noteArrival({ ...sender, weight: 1, now });
+      order.recordArrival({ ...sender, weight: 1, now });
     }
   }
   return order;
@@ -42,9 +42,13 @@
   request: Partial<AdmissionRequest>,
   context: { readonly heldPart: number; readonly now?: number },
 ): number {
-  const held = order.getHeldPartOf(
+  const held = order.getDeferralProbability(
     { priority: 7, organisation: "andamaq", weight: 1, ...request },
-    { now: context.now ?? 0, heldPart: context.heldPart, known: KNOWN },
+    {
+      now: context.now ?? 0,
+      deferredFraction: context.heldPart,
+      knownPriorities: KNOWN,
+    },
   );
   return Math.round(held * 100) / 100;
 }
@@ -61,20 +65,26 @@
 describe("deferred fraction", () => {
   it("grows from 0 to 1 between 0.7 and 1 of the capacity", () => {
     const getFractionAt = (load: number) =>
-      getHeldPart({ load, capacity: 100 });
+      getDeferredFraction({ load, capacity: 100 });
     const fractions = [60, 70, 85, 100, 200].map(getFractionAt);
     const rounded = fractions.map((fraction) =>
       Math.round(fraction * 100) / 100
     );
     assert.deepEqual(rounded, [0, 0, 0.5, 1, 1]);
-    assert.equal(getHeldPart({ load: 0, capacity: 0 }), 1);
+    assert.equal(getDeferredFraction({ load: 0, capacity: 0 }), 1);
   });
 });
 
 describe("retry delay of a deferred request", () => {
   const getDelaysAt = (heldPart: number) =>
     [0, 0.5, 0.999].map((drawn) =>
-      Math.round(getAdmissionReturnMs({ leftMs: 8000, heldPart, drawn }))
+      Math.round(
+        getDeferralRetryDelayMs({
+          leftMs: 8000,
+          deferredFraction: heldPart,
+          randomFraction: drawn,
+        }),
+      )
     );
 
   it("ranges from a second to a third of the time left, more with a higher deferred fraction", () => {
@@ -83,8 +93,12 @@
   });
 
   it("stays below a third of a short remaining time", () => {
-    const input: RetryDelayInput = { leftMs: 1500, heldPart: 1, drawn: 0.5 };
-    assert.equal(getAdmissionReturnMs(input), 440);
+    const input: RetryDelayInput = {
+      leftMs: 1500,
+      deferredFraction: 1,
+      randomFraction: 0.5,
+    };
+    assert.equal(getDeferralRetryDelayMs(input), 440);
   });
 });
 
--- a/src/policy/blind_limit.ts
+++ b/src/policy/blind_limit.ts
@@ -22,7 +22,7 @@
 /** A pool without a recent load report. */
 export interface UnreportedPool {
   /** Requests that all targets of the pool run at once. */
-  readonly places: number;
+  readonly concurrency: number;
   /** Number of entries that send to the pool; undefined while it is unknown. */
   readonly entries: number | undefined;
 }
@@ -32,10 +32,12 @@
  *
  * @example
  * ```ts
- * getBlindLimit({ concurrency: 80, entries: 35 }); // 3
+ * getUnknownLoadLimit({ concurrency: 80, entries: 35 }); // 3
  * ```
  */
-export function getBlindLimit({ places, entries }: UnreportedPool): number {
+export function getUnknownLoadLimit(
+  { concurrency: places, entries }: UnreportedPool,
+): number {
   if (entries === undefined || entries <= 0) return Number.POSITIVE_INFINITY;
   return Math.max(1, Math.ceil(OVERCOMMIT_FACTOR * places / entries));
 }
--- a/src/policy/blind_limit_test.ts
+++ b/src/policy/blind_limit_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { RandomSource } from "../core/random_source.ts";
-import { getBlindLimit } from "./blind_limit.ts";
+import { getUnknownLoadLimit } from "./blind_limit.ts";
 
 describe("requests to a pool of unknown load", () => {
   /** Counts the requests sent when the callers of a burst choose entries at random. */
@@ -12,7 +12,7 @@
       const entry = random.nextBelow(entries);
       held[entry] = (held[entry] as number) + 1;
     }
-    const limit = getBlindLimit({ places, entries });
+    const limit = getUnknownLoadLimit({ concurrency: places, entries });
     return held.reduce((sum, count) => sum + Math.min(count, limit), 0);
   }
 
@@ -25,7 +25,10 @@
   });
 
   it("are at least one, and unlimited while the number of entries is unknown", () => {
-    assert.equal(getBlindLimit({ places: 8, entries: 200 }), 1);
-    assert.equal(getBlindLimit({ places: 8, entries: undefined }), Infinity);
+    assert.equal(getUnknownLoadLimit({ concurrency: 8, entries: 200 }), 1);
+    assert.equal(
+      getUnknownLoadLimit({ concurrency: 8, entries: undefined }),
+      Infinity,
+    );
   });
 });
--- a/src/policy/crash_history.ts
+++ b/src/policy/crash_history.ts
@@ -94,7 +94,7 @@
   }
 
   /** Whether a target has crashed under a request since its last answer. */
-  hasCrashed(request: string): boolean {
+  hasCrashes(request: string): boolean {
     return (this.#byRequest.get(request)?.crashes.size ?? 0) > 0;
   }
 
@@ -103,10 +103,10 @@
    *
    * @example
    * ```ts
-   * if (history.getRefusedMs(digest, now) > 0) refuse();
+   * if (history.getRemainingRefusalMs(digest, now) > 0) refuse();
    * ```
    */
-  getRefusedMs(request: string, now: number): number {
+  getRemainingRefusalMs(request: string, now: number): number {
     const record = this.#byRequest.get(request);
     if (record === undefined) return 0;
     const streak = getConsecutiveCrashes(record);
@@ -120,7 +120,7 @@
   }
 
   /** Records a crash; returns whether it is new. */
-  note(request: string, crash: Crash, now: number): boolean {
+  record(request: string, crash: Crash, now: number): boolean {
     const isKnown = this.#has(request, crash);
     this.#mergeAll([{ request, crashes: [crash] }], now);
     return !isKnown && this.#has(request, crash);
@@ -130,8 +130,8 @@
    * Records an answer, which clears the request's earlier crashes; returns whether the
    * history changed.
    */
-  noteServed(request: string, servedAt: number): boolean {
-    if (!this.hasCrashed(request)) return false;
+  recordServed(request: string, servedAt: number): boolean {
+    if (!this.hasCrashes(request)) return false;
     return this.merge([{ request, crashes: [], servedAt }], servedAt);
   }
 
--- a/src/policy/crash_history_test.ts
+++ b/src/policy/crash_history_test.ts
@@ -23,7 +23,7 @@
   request = "poison",
 ): CrashHistory {
   const history = new CrashHistory();
-  for (const crash of crashes) history.note(request, crash, crash.endedAt);
+  for (const crash of crashes) history.record(request, crash, crash.endedAt);
   return history;
 }
 
@@ -34,8 +34,8 @@
 describe("a request that was sent again after a crash", () => {
   it("is refused after a second crash", () => {
     const history = createHistory([createCrash(1), createCrash(2)]);
-    assert.ok(history.getRefusedMs("poison", 10_300) > 0);
-    assert.equal(history.getRefusedMs("another", 10_300), 0);
+    assert.ok(history.getRemainingRefusalMs("poison", 10_300) > 0);
+    assert.equal(history.getRemainingRefusalMs("another", 10_300), 0);
   });
 
   it("is refused when the report of its first crash was delayed", () => {
@@ -44,21 +44,21 @@
     const late = { ...first, aliveAt: 9000, endedAt: 11_200 };
     history.merge([{ request: "poison", crashes: [late] }], 12_000);
     history.merge([{ request: "poison", crashes: [first, second] }], 12_000);
-    assert.ok(history.getRefusedMs("poison", 12_000) > 0);
+    assert.ok(history.getRemainingRefusalMs("poison", 12_000) > 0);
   });
 
   it("may run again after a minute, and after four minutes with a third crash", () => {
     const two = createHistory([createCrash(1), createCrash(2)]);
-    assert.equal(two.getRefusedMs("poison", 10_200 + MINUTE_MS), 0);
+    assert.equal(two.getRemainingRefusalMs("poison", 10_200 + MINUTE_MS), 0);
     const crashes = [1, 2, 3].map((number) => createCrash(number));
     const three = createHistory(crashes);
-    assert.equal(three.getRefusedMs("poison", 15_200), 4 * MINUTE_MS);
+    assert.equal(three.getRemainingRefusalMs("poison", 15_200), 4 * MINUTE_MS);
   });
 
   it("is forgotten when it is not sent again", () => {
     const history = createHistory([createCrash(1), createCrash(2)]);
     const later = 2 * 60 * MINUTE_MS;
-    history.note("other", createCrash(3, later), later + 200);
+    history.record("other", createCrash(3, later), later + 200);
     assert.deepEqual(history.list().map(({ request }) => request), ["other"]);
   });
 });
@@ -92,22 +92,22 @@
   for (const { name, crashes } of UNAFFECTED_CASES) {
     it(name, () => {
       const history = createHistory(crashes);
-      assert.equal(history.getRefusedMs("poison", 10_000), 0);
+      assert.equal(history.getRemainingRefusalMs("poison", 10_000), 0);
     });
   }
 
   it("that was answered between two crashes", () => {
     const history = createHistory([createCrash(1)]);
-    assert.ok(history.noteServed("poison", 6000));
-    history.note("poison", createCrash(2), 10_200);
-    assert.equal(history.getRefusedMs("poison", 10_300), 0);
+    assert.ok(history.recordServed("poison", 6000));
+    history.record("poison", createCrash(2), 10_200);
+    assert.equal(history.getRemainingRefusalMs("poison", 10_300), 0);
   });
 
   it("that was answered after two crashes", () => {
     const history = createHistory([createCrash(1), createCrash(2)]);
-    assert.ok(history.noteServed("poison", 11_000));
-    assert.equal(history.getRefusedMs("poison", 11_000), 0);
-    assert.equal(history.note("poison", createCrash(2), 11_000), false);
+    assert.ok(history.recordServed("poison", 11_000));
+    assert.equal(history.getRemainingRefusalMs("poison", 11_000), 0);
+    assert.equal(history.record("poison", createCrash(2), 11_000), false);
   });
 });
 
@@ -129,10 +129,10 @@
     const history = createHistory([createCrash(1), createCrash(2)]);
     for (let number = 0; number < 500; number++) {
       const at = 20_000 + number;
-      history.note(`once-${number}`, createCrash(3, at), at + 200);
+      history.record(`once-${number}`, createCrash(3, at), at + 200);
     }
     assert.ok(history.list().length <= 256);
-    assert.ok(history.getRefusedMs("poison", 20_600) > 0);
+    assert.ok(history.getRemainingRefusalMs("poison", 20_600) > 0);
   });
 
   it("are equal after each has merged the other, in either order", () => {
--- a/src/policy/deadline_memory.ts
+++ b/src/policy/deadline_memory.ts
@@ -23,7 +23,7 @@
 const MIN_DEADLINES = 5;
 
 /** Tracks the longest recent deadline of the requests of one service. */
-export class DeadlineMemory {
+export class DeadlineTracker {
   #startedAt: number;
   /** Longest deadline of the previous window. */
   #previousLongest: number;
@@ -42,7 +42,7 @@
    *
    * @example
    * ```ts
-   * const deadlines = new DeadlineMemory(8000, 0);
+   * const deadlines = new DeadlineTracker(8000, 0);
    * deadlines.observe(7100, 0); // false
    * deadlines.observe(5200, 0); // true
    * ```
--- a/src/policy/deadline_memory_test.ts
+++ b/src/policy/deadline_memory_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { RandomSource } from "../core/random_source.ts";
-import { DeadlineMemory } from "./deadline_memory.ts";
+import { DeadlineTracker } from "./deadline_memory.ts";
 
 /** Longest deadline that callers of the service use, in milliseconds. */
 const MAX_DEADLINE_MS = 8000;
@@ -14,7 +14,7 @@
 describe("retried requests", () => {
   it("are distinguished from first attempts with varying deadlines", () => {
     const random = new RandomSource(7);
-    const deadlines = new DeadlineMemory(MAX_DEADLINE_MS, 0);
+    const deadlines = new DeadlineTracker(MAX_DEADLINE_MS, 0);
     for (let now = 0; now < 60_000; now += 20) {
       const firstMs = createFirstDeadlineMs(random);
       assert.equal(deadlines.observe(firstMs, now), false);
@@ -26,7 +26,7 @@
   it("are recognised when the allowed deadline differs from the used ones", () => {
     for (const allowedMs of [2000, 30_000]) {
       const random = new RandomSource(7);
-      const deadlines = new DeadlineMemory(allowedMs, 0);
+      const deadlines = new DeadlineTracker(allowedMs, 0);
       let misclassified = 0;
       for (let now = 0; now < 40_000; now += 20) {
         const firstMs = createFirstDeadlineMs(random);
@@ -40,7 +40,7 @@
   });
 
   it("are recognised again soon after callers switch to shorter deadlines", () => {
-    const deadlines = new DeadlineMemory(MAX_DEADLINE_MS, 0);
+    const deadlines = new DeadlineTracker(MAX_DEADLINE_MS, 0);
     let now = 0;
     for (; now < 12_000; now += 100) deadlines.observe(MAX_DEADLINE_MS, now);
     for (; now < 40_000; now += 100) deadlines.observe(4000, now);
--- a/src/policy/domain_drains.ts
+++ b/src/policy/domain_drains.ts
@@ -7,7 +7,7 @@
  */
 
 /** Milliseconds over which a failure domain returns to its full load after a drain. */
-export const RETURN_MS = 3000;
+export const RAMP_UP_MS = 3000;
 
 /** The difference between two sets of drained failure domains. */
 export interface DrainChange {
@@ -58,7 +58,7 @@
   /** Whether no failure domain is drained or ramping up after a drain. */
   isIdle(now: number): boolean {
     for (const [name, endedAt] of this.#endedAt) {
-      if (now - endedAt >= RETURN_MS) this.#endedAt.delete(name);
+      if (now - endedAt >= RAMP_UP_MS) this.#endedAt.delete(name);
     }
     return this.#drained.size + this.#endedAt.size === 0;
   }
@@ -71,6 +71,6 @@
     if (this.#drained.has(failureDomain)) return 0;
     const endedAt = this.#endedAt.get(failureDomain);
     if (endedAt === undefined) return 1;
-    return Math.min(1, Math.max(0, (now - endedAt) / RETURN_MS));
+    return Math.min(1, Math.max(0, (now - endedAt) / RAMP_UP_MS));
   }
 }
--- a/src/policy/domain_reachability.ts
+++ b/src/policy/domain_reachability.ts
@@ -86,7 +86,7 @@
    * if (reachability.recordFailed(target, failed)) log("DOMAIN_UNREACHABLE");
    * ```
    */
-  noteFailed(
+  recordFailed(
     { name, failureDomain }: TargetLocation,
     { tookMs, now }: FailedConnection,
   ): boolean {
@@ -107,7 +107,7 @@
   /**
    * Records a message from a target; returns whether its failure domain was unreachable.
    */
-  noteReached({ failureDomain }: TargetLocation): boolean {
+  recordReached({ failureDomain }: TargetLocation): boolean {
     const wasUnreachable =
       this.#states.get(failureDomain)?.isUnreachable === true;
     this.#states.delete(failureDomain);
@@ -138,7 +138,7 @@
   }
 
   /** Records that a request is sent to a target. */
-  noteSent({ pool, failureDomain }: TargetLocation, now: number): void {
+  recordSent({ pool, failureDomain }: TargetLocation, now: number): void {
     this.#states.get(failureDomain)?.probedAt.set(pool, now);
   }
 
--- a/src/policy/domain_reachability_test.ts
+++ b/src/policy/domain_reachability_test.ts
@@ -28,7 +28,7 @@
 function createPartition(failures: number): DomainReachability {
   const reachability = new DomainReachability();
   FAR.slice(0, failures).forEach((target, number) =>
-    reachability.noteFailed(target, { tookMs: 400, now: number * 100 })
+    reachability.recordFailed(target, { tookMs: 400, now: number * 100 })
   );
   return reachability;
 }
@@ -38,14 +38,14 @@
     const reachability = createPartition(3);
     assert.deepEqual(reachability.unreachable, ["far"]);
     assert.equal(reachability.filter(FAR, 300).length, 4);
-    reachability.noteSent(FAR[0] as TargetLocation, 300);
+    reachability.recordSent(FAR[0] as TargetLocation, 300);
     assert.equal(reachability.filter(FAR, 310).length, 0);
     assert.equal(reachability.filter(FAR, 600).length, 4);
   });
 
   it("is probed less often while targets of other domains serve", () => {
     const reachability = createPartition(3);
-    reachability.noteSent(FAR[0] as TargetLocation, 300);
+    reachability.recordSent(FAR[0] as TargetLocation, 300);
     const targets = [...FAR, ...NEAR];
     assert.deepEqual(reachability.filter(targets, 1000), NEAR);
     assert.equal(reachability.filter(targets, 2400).length, 6);
@@ -55,15 +55,15 @@
   it("is probed for each pool separately", () => {
     const reachability = createPartition(3);
     const others = FAR.map((target) => ({ ...target, pool: "orders" }));
-    reachability.noteSent(FAR[0] as TargetLocation, 300);
+    reachability.recordSent(FAR[0] as TargetLocation, 300);
     assert.equal(reachability.filter(FAR, 310).length, 0);
     assert.equal(reachability.filter(others, 310).length, 4);
   });
 
   it("is used again once one of its targets answers", () => {
     const reachability = createPartition(3);
-    reachability.noteSent(FAR[0] as TargetLocation, 300);
-    assert.equal(reachability.noteReached(FAR[1] as TargetLocation), true);
+    reachability.recordSent(FAR[0] as TargetLocation, 300);
+    assert.equal(reachability.recordReached(FAR[1] as TargetLocation), true);
     assert.equal(reachability.filter(FAR, 310).length, 4);
   });
 });
@@ -77,7 +77,7 @@
   it("stays reachable when one target fails repeatedly", () => {
     const reachability = new DomainReachability();
     for (let at = 0; at < 1000; at += 100) {
-      reachability.noteFailed(FAR[0] as TargetLocation, {
+      reachability.recordFailed(FAR[0] as TargetLocation, {
         tookMs: 400,
         now: at,
       });
@@ -88,8 +88,8 @@
   it("stays reachable while its targets answer between failures", () => {
     const reachability = new DomainReachability();
     for (const target of FAR) {
-      reachability.noteFailed(target, { tookMs: 400, now: 0 });
-      reachability.noteReached(target);
+      reachability.recordFailed(target, { tookMs: 400, now: 0 });
+      reachability.recordReached(target);
     }
     assert.deepEqual(reachability.unreachable, []);
   });
@@ -97,7 +97,7 @@
   it("stays reachable when targets fail seconds apart", () => {
     const reachability = new DomainReachability();
     FAR.forEach((target, number) =>
-      reachability.noteFailed(target, { tookMs: 400, now: number * 2000 })
+      reachability.recordFailed(target, { tookMs: 400, now: number * 2000 })
     );
     assert.deepEqual(reachability.unreachable, []);
   });
@@ -107,7 +107,7 @@
     const [, , third, fourth] = FAR as readonly TargetLocation[];
     assert.ok(third !== undefined && fourth !== undefined);
     const recordFailureAt = (target: TargetLocation, now: number) =>
-      reachability.noteFailed(target, { tookMs: 400, now });
+      reachability.recordFailed(target, { tookMs: 400, now });
     assert.equal(recordFailureAt(third, 200), true);
     assert.equal(recordFailureAt(fourth, 300), false);
   });
@@ -116,7 +116,7 @@
   it("stays reachable when its targets refuse connections immediately", () => {
     const reachability = new DomainReachability();
     FAR.forEach((target, number) =>
-      reachability.noteFailed(target, { tookMs: 2, now: number * 100 })
+      reachability.recordFailed(target, { tookMs: 2, now: number * 100 })
     );
     assert.deepEqual(reachability.unreachable, []);
   });
@@ -125,7 +125,7 @@
   it("stays reachable when all connections fail at the same moment", () => {
     const reachability = new DomainReachability();
     for (const target of FAR) {
-      reachability.noteFailed(target, { tookMs: 3000, now: 0 });
+      reachability.recordFailed(target, { tookMs: 3000, now: 0 });
     }
     assert.deepEqual(reachability.unreachable, []);
   });
--- a/src/policy/fair_queue.ts
+++ b/src/policy/fair_queue.ts
@@ -18,7 +18,7 @@
   readonly organisation: string;
   readonly weight: number;
   readonly priority: Priority;
-  /** The item is dropped unless it starts by this time, see {@link latestStart}. */
+  /** The item is dropped unless it starts by this time, see {@link getLatestStart}. */
   readonly startBy: number;
 }
 
@@ -34,10 +34,10 @@
  *
  * @example
  * ```ts
- * const startBy = latestStart(now, request.remainingMs);
+ * const startBy = getLatestStart(now, request.remainingMs);
  * ```
  */
-export function latestStart(now: number, remainingMs: number): number {
+export function getLatestStart(now: number, remainingMs: number): number {
   return now + MAX_WAIT_FRACTION * remainingMs;
 }
 
@@ -109,7 +109,7 @@
    * Returns all items in scheduling order without removing them, as some may not be able
    * to start yet.
    */
-  inOrder(): readonly T[] {
+  listInOrder(): readonly T[] {
     return PRIORITIES.flatMap((priority) =>
       getSchedulingOrder(this.#getLane(priority))
     );
--- a/src/policy/fair_queue_test.ts
+++ b/src/policy/fair_queue_test.ts
@@ -64,7 +64,7 @@
     queue.add(createItem("b1", { organisation: "b" }));
     queue.add(createItem("first", { priority: 0 }));
     const order = ["first", "a1", "b1", "a2", "last"];
-    assert.deepEqual(queue.inOrder().map(({ name }) => name), order);
+    assert.deepEqual(queue.listInOrder().map(({ name }) => name), order);
     assert.deepEqual(drain(queue).map(({ name }) => name), order);
   });
 
--- a/src/policy/group_capacity.ts
+++ b/src/policy/group_capacity.ts
@@ -26,7 +26,7 @@
 }
 
 /** The conditions for which the capacity is computed. */
-export interface CapacityFacts {
+export interface CapacityContext {
   readonly now: number;
   /** Pause between two pieces of an answer that callers tolerate, in milliseconds. */
   readonly pauseMs: number;
@@ -85,7 +85,7 @@
    * capacity.record({ at: 200, passMs: -1, load: 100 }); // false
    * ```
    */
-  note(report: CapacityReport): boolean {
+  record(report: CapacityReport): boolean {
     if (!isPlausible(report)) return false;
     const { at, epoch, passMs, load } = report;
     if (epoch !== this.#last?.epoch) this.#samples = [];
@@ -108,7 +108,7 @@
    * capacity.tryGet(context)?.capacity; // (0.9 * 150 - 35) / 0.55 = 181.8
    * ```
    */
-  tryGet(context: CapacityFacts): GroupUtilization | undefined {
+  tryGet(context: CapacityContext): GroupUtilization | undefined {
     const { now, pauseMs, idlePassMs, slots } = context;
     const last = this.#last;
     if (last === undefined) return undefined;
@@ -124,7 +124,7 @@
    * Returns the highest recent cost: the milliseconds by which one request lengthens a
    * pass.
    */
-  #getHighestCostMs({ now, idlePassMs, slots }: CapacityFacts): number {
+  #getHighestCostMs({ now, idlePassMs, slots }: CapacityContext): number {
     let highest = 0;
     for (const { at, passMs, load } of this.#samples) {
       const isExpired = now - at >= COST_WINDOW_MS;
--- a/src/policy/idle_lifetime.ts
+++ b/src/policy/idle_lifetime.ts
@@ -39,7 +39,7 @@
    * @example
    * ```ts
    * const lifetime = new IdleLifetime();
-   * lifetime.noteDead(1000, 0);
+   * lifetime.recordDead(1000, 0);
    * lifetime.getLimitMs(0); // 500
    * ```
    */
@@ -52,7 +52,7 @@
   }
 
   /** Records that a connection was found dead after `idleMs` of idle time. */
-  noteDead(idleMs: number, now: number): void {
+  recordDead(idleMs: number, now: number): void {
     const limitMs = Math.max(MIN_LIMIT_MS, idleMs * SAFE_FRACTION);
     this.#limitMs = Math.min(this.getLimitMs(now), limitMs);
     this.#changedAt = now;
--- a/src/policy/idle_lifetime_test.ts
+++ b/src/policy/idle_lifetime_test.ts
@@ -13,7 +13,7 @@
     const isReused = gapMs < lifetime.getLimitMs(now);
     if (!isReused || gapMs < droppedAfterMs) continue;
     lostCount++;
-    lifetime.noteDead(gapMs, now);
+    lifetime.recordDead(gapMs, now);
   }
   return lostCount;
 }
@@ -25,20 +25,20 @@
 
   it("drops below the idle time of a dead connection", () => {
     const lifetime = new IdleLifetime();
-    lifetime.noteDead(600, 100);
+    lifetime.recordDead(600, 100);
     assert.equal(lifetime.getLimitMs(100), 300);
   });
 
   it("recovers when servers no longer drop connections", () => {
     const lifetime = new IdleLifetime();
-    lifetime.noteDead(600, 0);
+    lifetime.recordDead(600, 0);
     assert.ok(lifetime.getLimitMs(30_000) >= 10_000);
   });
 
   it("does not grow when a connection is found dead that had exceeded it", () => {
     const lifetime = new IdleLifetime();
-    lifetime.noteDead(600, 0);
-    lifetime.noteDead(9000, 10);
+    lifetime.recordDead(600, 0);
+    lifetime.recordDead(9000, 10);
     assert.equal(lifetime.getLimitMs(10), 300);
   });
 
--- a/src/policy/late_admission.ts
+++ b/src/policy/late_admission.ts
@@ -34,7 +34,7 @@
   /** Milliseconds since the request arrived at this entry. */
   readonly waitedMs: number;
   /** Whether the target would start the request immediately. */
-  readonly hasFreePlace: boolean;
+  readonly hasFreeSlot: boolean;
 }
 
 /**
@@ -65,7 +65,7 @@
   /**
    * Records a report of the group's decider; they arrive every few hundred milliseconds.
    */
-  note(report: PassReport): void {
+  record(report: PassReport): void {
     this.#report = report;
     this.#admittedCount = 0;
   }
@@ -80,7 +80,10 @@
    * admission.mayAdmit(120, { now: 10, waitedMs: 0, hasFreeSlot: true }); // true
    * ```
    */
-  isOpen(pauseObjectiveMs: number | undefined, request: LateRequest): boolean {
+  mayAdmit(
+    pauseObjectiveMs: number | undefined,
+    request: LateRequest,
+  ): boolean {
     const { now } = request;
     const report = this.#report;
     if (report === undefined || now - report.at > REPORT_TTL_MS) return true;
@@ -90,7 +93,7 @@
   }
 
   /** Records that a late request was sent to the group. */
-  count(): void {
+  recordAdmitted(): void {
     this.#admittedCount++;
   }
 }
@@ -101,7 +104,7 @@
  * others unanswered.
  */
 function isLastChance(
-  { waitedMs, hasFreePlace }: LateRequest,
+  { waitedMs, hasFreeSlot: hasFreePlace }: LateRequest,
   { passMs = 0 }: PassReport,
   pauseObjectiveMs: number,
 ): boolean {
--- a/src/policy/late_admission_test.ts
+++ b/src/policy/late_admission_test.ts
@@ -18,10 +18,10 @@
 
 /** Whether a request that has just arrived may be sent. */
 function mayAdmitAt(admission: LateAdmission, now: number): boolean {
-  return admission.isOpen(PAUSE_OBJECTIVE_MS, {
+  return admission.mayAdmit(PAUSE_OBJECTIVE_MS, {
     now,
     waitedMs: 0,
-    hasFreePlace: true,
+    hasFreeSlot: true,
   });
 }
 
@@ -36,13 +36,13 @@
   let pendingNew = 0;
   for (let now = 0; now < 3000;) {
     if (now >= nextReportAt) {
-      for (const admission of admissions) admission.note({ passMs, at: now });
+      for (const admission of admissions) admission.record({ passMs, at: now });
       nextReportAt += REPORT_INTERVAL_MS;
     }
     for (const admission of admissions) {
       while (waiting > 0) {
         if (isLimited && !mayAdmitAt(admission, now)) break;
-        admission.count();
+        admission.recordAdmitted();
         waiting--;
         running.push(PIECES);
       }
@@ -71,16 +71,16 @@
 
   it("are admitted one at a time while the pass time is unknown", () => {
     const admission = new LateAdmission();
-    admission.note({ passMs: undefined, at: 0 });
+    admission.record({ passMs: undefined, at: 0 });
     assert.equal(mayAdmitAt(admission, 0), true);
-    admission.count();
+    admission.recordAdmitted();
     assert.equal(mayAdmitAt(admission, 0), false);
   });
 
   it("are not limited when the decider stops reporting", () => {
     const admission = new LateAdmission();
     assert.equal(mayAdmitAt(admission, 0), true);
-    admission.note({ passMs: 200, at: 0 });
+    admission.record({ passMs: 200, at: 0 });
     assert.equal(mayAdmitAt(admission, 100), false);
     assert.equal(mayAdmitAt(admission, 2000), true);
   });
@@ -91,12 +91,12 @@
    */
   it("are admitted before their callers give up, even if passes are long", () => {
     const admission = new LateAdmission();
-    admission.note({ passMs: 100, at: 0 });
+    admission.record({ passMs: 100, at: 0 });
     const mayAdmitAfter = (waitedMs: number, hasFreePlace: boolean) =>
-      admission.isOpen(PAUSE_OBJECTIVE_MS, {
+      admission.mayAdmit(PAUSE_OBJECTIVE_MS, {
         now: 100,
         waitedMs,
-        hasFreePlace,
+        hasFreeSlot: hasFreePlace,
       });
     assert.equal(mayAdmitAfter(1000, true), false);
     assert.equal(mayAdmitAfter(1400, true), true);
@@ -110,12 +110,12 @@
    */
   it("are not admitted as a last chance if passes exceed the tolerated pause", () => {
     const admission = new LateAdmission();
-    admission.note({ passMs: 150, at: 0 });
+    admission.record({ passMs: 150, at: 0 });
     const request: LateRequest = {
       now: 100,
       waitedMs: 1400,
-      hasFreePlace: true,
+      hasFreeSlot: true,
     };
-    assert.equal(admission.isOpen(PAUSE_OBJECTIVE_MS, request), false);
+    assert.equal(admission.mayAdmit(PAUSE_OBJECTIVE_MS, request), false);
   });
 });
--- a/src/policy/leaving_targets.ts
+++ b/src/policy/leaving_targets.ts
@@ -57,7 +57,7 @@
   }
 
   /** Records a target's announcement; returns whether it is new. */
-  note(target: string, now: number): boolean {
+  record(target: string, now: number): boolean {
     const isNew = !this.#knownAt.has(target);
     this.#set(target, now);
     return isNew;
--- a/src/policy/leaving_targets_test.ts
+++ b/src/policy/leaving_targets_test.ts
@@ -13,15 +13,15 @@
 
 function createLeaving(...targets: readonly string[]): LeavingTargets {
   const leaving = new LeavingTargets();
-  for (const target of targets) leaving.note(target, 0);
+  for (const target of targets) leaving.record(target, 0);
   return leaving;
 }
 
 describe("a target that has announced that it is leaving", () => {
   it("is new only once", () => {
     const leaving = new LeavingTargets();
-    assert.ok(leaving.note("i-1", 0));
-    assert.ok(!leaving.note("i-1", 10));
+    assert.ok(leaving.record("i-1", 0));
+    assert.ok(!leaving.record("i-1", 10));
     assert.ok(leaving.has("i-1"));
     assert.ok(!leaving.has("i-2"));
   });
--- a/src/policy/link_pacer.ts
+++ b/src/policy/link_pacer.ts
@@ -11,7 +11,7 @@
   /** Capacity of the link in bytes per second. */
   readonly bytesPerSecond: number;
   /** Fraction of the link that may be used, from 0 to 1. */
-  readonly part: number;
+  readonly fraction: number;
 }
 
 /** Limits traffic to a fraction of a link. */
@@ -34,7 +34,7 @@
    */
   tryTake(bytes: number, now: number): boolean {
     if (now < this.#freeAt) return false;
-    const { bytesPerSecond, part } = this.#options;
+    const { bytesPerSecond, fraction: part } = this.#options;
     this.#freeAt = now + bytes / (part * bytesPerSecond) * MS_PER_SECOND;
     return true;
   }
--- a/src/policy/link_pacer_test.ts
+++ b/src/policy/link_pacer_test.ts
@@ -4,7 +4,7 @@
 
 describe("link pacer", () => {
   it("uses its fraction of the link and does not exceed it", () => {
-    const pacer = new LinkPacer({ bytesPerSecond: 500_000, part: 0.2 });
+    const pacer = new LinkPacer({ bytesPerSecond: 500_000, fraction: 0.2 });
     let sent = 0;
     for (let now = 0; now < 10_000; now++) {
       if (pacer.tryTake(5000, now)) sent += 5000;
--- a/src/policy/permit_bounds_test.ts
+++ b/src/policy/permit_bounds_test.ts
@@ -44,7 +44,7 @@
     remaining.find((name) => {
       const permits = new SendPermits(name, limits);
       permits.setEntries(remaining, 0);
-      return permits.isFirstOf(TARGET);
+      return permits.isPrimaryIssuer(TARGET);
     }) as string;
   const first = find(names);
   return [first, find(names.filter((name) => name !== first))];
@@ -53,9 +53,9 @@
 /** Returns the times at which an entry issues permits under continuous demand. */
 function drain(permits: SendPermits): readonly number[] {
   const issued: number[] = [];
-  permits.give(TARGET, 0, SETTLED_MS - RUN_MS);
+  permits.issue(TARGET, 0, SETTLED_MS - RUN_MS);
   for (let now = SETTLED_MS; now < SETTLED_MS + RUN_MS; now += 5) {
-    const { granted } = permits.give(TARGET, 8, now);
+    const { granted } = permits.issue(TARGET, 8, now);
     for (let permit = 0; permit < granted; permit++) issued.push(now);
   }
   return issued;
--- a/src/policy/placement/incremental_planner.ts
+++ b/src/policy/placement/incremental_planner.ts
@@ -21,16 +21,16 @@
   /** Maximum number of experts of one layer that a rank holds. */
   readonly slotsPerRank: number;
   /** Maximum number of experts that a rank loads for one map, over all layers. */
-  readonly mostNewPerRank: number;
+  readonly maxNewPerRank: number;
   /** Maximum number of experts of one layer that a rank loads for one map. */
-  readonly mostNewPerLayer: number;
+  readonly maxNewPerLayer: number;
   /** Milliseconds to load one expert. */
   readonly loadMs: number;
   /**
    * Ratio of the pass time to the pause that callers tolerate, if both are known. Near 1
    * a longer pass makes answers late, far below 1 nobody notices it.
    */
-  readonly passPart?: number;
+  readonly passFraction?: number;
 }
 
 /** A planned map. */
@@ -262,7 +262,8 @@
   }
 
   #mayLoad(layer: number, rank: number): boolean {
-    const { mostNewPerRank, mostNewPerLayer } = this.#limits;
+    const { maxNewPerRank: mostNewPerRank, maxNewPerLayer: mostNewPerLayer } =
+      this.#limits;
     const ofLayer = this.#copiesByLayer[layer] as number[];
     return (this.#copies[rank] as number) < mostNewPerRank &&
       (ofLayer[rank] as number) < mostNewPerLayer;
@@ -287,7 +288,7 @@
  * short.
  */
 function getMinCopyGain(
-  { loadMs, passPart }: PlanLimits,
+  { loadMs, passFraction: passPart }: PlanLimits,
   movedFraction: number,
 ): number {
   const forSlowdown = COPY_SLOWDOWN * loadMs / USEFUL_MS;
@@ -301,7 +302,7 @@
  * Returns the fraction of a pass that all copies of a plan must save together to justify
  * the switch.
  */
-function getMinPlanGain({ passPart }: PlanLimits): number {
+function getMinPlanGain({ passFraction: passPart }: PlanLimits): number {
   return SWITCH_MS / USEFUL_MS + SHORT_PASS_PLAN_GAIN * getPassSlack(passPart);
 }
 
--- a/src/policy/placement/incremental_planner_test.ts
+++ b/src/policy/placement/incremental_planner_test.ts
@@ -9,8 +9,8 @@
 const EXPERTS = 12;
 const LIMITS: PlanLimits = {
   slotsPerRank: 5,
-  mostNewPerRank: 1,
-  mostNewPerLayer: 4,
+  maxNewPerRank: 1,
+  maxNewPerLayer: 4,
   loadMs: 400,
 };
 
@@ -113,8 +113,8 @@
     const tokens = createSkewedTokens(16, 96);
     const plan = tryPlanIncrement({ current, tokens, paces }, {
       slotsPerRank: 5,
-      mostNewPerRank: 5,
-      mostNewPerLayer: 2,
+      maxNewPerRank: 5,
+      maxNewPerLayer: 2,
       loadMs: 76,
     });
     assert.ok(plan !== undefined);
@@ -127,8 +127,8 @@
     const copiesAt = (loadMs: number) =>
       tryPlanIncrement({ current, tokens, paces }, {
         slotsPerRank: 11,
-        mostNewPerRank: 4,
-        mostNewPerLayer: 4,
+        maxNewPerRank: 4,
+        maxNewPerLayer: 4,
         loadMs,
       })?.copies ?? 0;
     assert.ok(copiesAt(50) > copiesAt(400));
@@ -144,10 +144,10 @@
       const planAt = (passPart: number | undefined) =>
         tryPlanIncrement({ current, tokens, paces }, {
           slotsPerRank: Math.ceil(experts / ranks) + 1,
-          mostNewPerRank: 4,
-          mostNewPerLayer: 2,
+          maxNewPerRank: 4,
+          maxNewPerLayer: 2,
           loadMs: 39,
-          passPart,
+          passFraction: passPart,
         });
       const [easy, pressed, unknown] = [0.4, 0.9, undefined].map(planAt);
       assert.ok((easy?.copies ?? 0) < (pressed?.copies ?? 0));
@@ -183,7 +183,7 @@
             }
             for (let rank = 0; rank < RANKS; rank++) {
               const added = getNewExperts(current, plan.map, rank);
-              assert.ok(added.length <= LIMITS.mostNewPerRank);
+              assert.ok(added.length <= LIMITS.maxNewPerRank);
             }
             current = plan.map;
           }
--- a/src/policy/placement/rank_times.ts
+++ b/src/policy/placement/rank_times.ts
@@ -12,10 +12,10 @@
  *
  * @example
  * ```ts
- * const slowest = Math.max(...rankTimes(placement, load));
+ * const slowest = Math.max(...getRankTimes(placement, load));
  * ```
  */
-export function rankTimes(
+export function getRankTimes(
   placement: LayerPlacement,
   load: LayerLoad,
 ): readonly number[] {
@@ -61,10 +61,10 @@
  *
  * @example
  * ```ts
- * const ratio = slowest / lowestSlowestTime(load, slots);
+ * const ratio = slowest / getSlowestTimeBound(load, slots);
  * ```
  */
-export function lowestSlowestTime(load: LayerLoad, slots: number): number {
+export function getSlowestTimeBound(load: LayerLoad, slots: number): number {
   const tokens = load.tokens.reduce((sum, count) => sum + count, 0);
   const speed = load.speeds.reduce((sum, value) => sum + value, 0);
   const spread = tokens / speed;
--- a/src/policy/pool_retry_budgets.ts
+++ b/src/policy/pool_retry_budgets.ts
@@ -51,12 +51,12 @@
   }
 
   /** Sets the number of entries that share the slack. */
-  setProcesses(entries: number): void {
+  setEntryCount(entries: number): void {
     this.#entryCount = Math.max(1, entries);
   }
 
   /** Records a first attempt. */
-  countRequest(pool: string, now: number): void {
+  recordRequest(pool: string, now: number): void {
     if (this.#limits === undefined) return;
     this.#getCounts(pool, now).requests.push(now);
   }
--- a/src/policy/pool_retry_budgets_test.ts
+++ b/src/policy/pool_retry_budgets_test.ts
@@ -11,7 +11,7 @@
     const random = new RandomSource(7);
     const create = () => {
       const budgets = new PoolRetryBudgets(LIMITS);
-      budgets.setProcesses(ENTRIES);
+      budgets.setEntryCount(ENTRIES);
       return budgets;
     };
     const entries = Array.from({ length: ENTRIES }, create);
@@ -23,7 +23,7 @@
         entries.splice(0, 4, ...Array.from({ length: 4 }, create));
       }
       const entry = entries[random.nextBelow(ENTRIES)] as PoolRetryBudgets;
-      entry.countRequest("pool", now);
+      entry.recordRequest("pool", now);
       requests.push(now);
       if (entry.tryTake("pool", now)) retries.push(now);
       const inWindow = (times: readonly number[]) =>
--- a/src/policy/prefix_index.ts
+++ b/src/policy/prefix_index.ts
@@ -26,7 +26,7 @@
   }
 
   /** Records that a prompt with these blocks was sent to a target. */
-  remember(blocks: readonly string[], targetName: string): void {
+  record(blocks: readonly string[], targetName: string): void {
     for (const block of blocks) {
       this.#targetByBlock.delete(block);
       this.#targetByBlock.set(block, targetName);
@@ -38,7 +38,7 @@
    * Returns the number of leading blocks that each target is assumed to have in its
    * cache.
    */
-  cachedBlocks(blocks: readonly string[]): ReadonlyMap<string, number> {
+  countCachedBlocks(blocks: readonly string[]): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     for (const [index, block] of blocks.entries()) {
       const target = this.#targetByBlock.get(block);
@@ -49,7 +49,7 @@
   }
 
   /** Removes a target that has lost its cache, or may have. */
-  forgetTarget(targetName: string): void {
+  removeTarget(targetName: string): void {
     for (const [block, name] of this.#targetByBlock) {
       if (name === targetName) this.#targetByBlock.delete(block);
     }
@@ -67,10 +67,10 @@
  *
  * @example
  * ```ts
- * const blocks = prefixBlocksOf(body);
+ * const blocks = hashPrefixBlocks(body);
  * ```
  */
-export function prefixBlocksOf(prompt: Uint8Array): readonly string[] {
+export function hashPrefixBlocks(prompt: Uint8Array): readonly string[] {
   const blocks: string[] = [];
   let previous = "";
   const count = Math.min(
--- a/src/policy/retry_budget.ts
+++ b/src/policy/retry_budget.ts
@@ -26,7 +26,7 @@
   }
 
   /** Records a first attempt. */
-  countRequest(): void {
+  recordRequest(): void {
     const limit = BASE_RETRIES + WINDOW_REQUESTS * this.#share;
     this.#credit = Math.min(limit, this.#credit + this.#share);
   }
--- a/src/policy/return_time.ts
+++ b/src/policy/return_time.ts
@@ -21,10 +21,10 @@
  * first attempt then waits, too, for as long as its caller tolerates silence. Early
  * arrivals are thus retried later, and late arrivals are served as the outage ends.
  */
-import { ASK_LIMIT_MS } from "./send_permits.ts";
+import { PERMIT_TIMEOUT_MS } from "./send_permits.ts";
 
 /** Why a request cannot be sent to a target now. */
-export type Obstacle =
+export type UnavailabilityReason =
   /** All targets that could serve it are known to be lost, for an unknown time. */
   | "outage"
   /** All targets that could serve it are frozen, and none is known to be lost. */
@@ -43,8 +43,8 @@
   | "owner_away";
 
 /** The properties of a request that cannot be sent to a target now. */
-export interface ReturnFacts {
-  readonly obstacle: Obstacle;
+export interface RetryInput {
+  readonly cause: UnavailabilityReason;
   /** Whether its caller was refused before, and so will not retry again. */
   readonly isRepeated: boolean;
   /** Milliseconds after which a target may accept it, if known. */
@@ -87,20 +87,20 @@
  *   leftMs: 8000,
  *   objectiveMs: 400,
  * } as const;
- * getLongestWaitMs(input); // 0
+ * getMaxWaitMs(input); // 0
  * ```
  */
-export function getLongestWaitMs(input: ReturnFacts): number {
-  const isFutile = input.obstacle === "owner_away" ||
-    input.obstacle === "drain";
+export function getMaxWaitMs(input: RetryInput): number {
+  const isFutile = input.cause === "owner_away" ||
+    input.cause === "drain";
   if (isFutile) return 0;
   // The request waits for another entry's response to a permit request, not for a target.
-  if (input.obstacle === "limit") return Math.min(input.leftMs, ASK_LIMIT_MS);
-  const mayBeServedSoon = input.isRepeated || input.obstacle === "stall";
+  if (input.cause === "limit") return Math.min(input.leftMs, PERMIT_TIMEOUT_MS);
+  const mayBeServedSoon = input.isRepeated || input.cause === "stall";
   if (mayBeServedSoon) return Math.min(input.leftMs, MAX_SILENT_WAIT_MS);
   // A first attempt that waits for the end of an outage takes the slots of later ones and
   // leaves its caller less time for a retry.
-  if (input.obstacle === "outage") return 0;
+  if (input.cause === "outage") return 0;
   return Math.min(input.leftMs, FIRST_WAIT_FRACTION * input.objectiveMs);
 }
 
@@ -127,16 +127,16 @@
  *   leftMs: 8000,
  *   objectiveMs: 400,
  * } as const;
- * getReturnMs(input); // 2606.7
+ * getRetryDelayMs(input); // 2606.7
  * ```
  */
-export function getReturnMs(input: ReturnFacts): number {
+export function getRetryDelayMs(input: RetryInput): number {
   // The end is known, so an earlier retry has no benefit, however long the backoff is.
-  if (input.obstacle === "backoff" && input.freeInMs !== undefined) {
+  if (input.cause === "backoff" && input.freeInMs !== undefined) {
     return input.freeInMs;
   }
   const longest = getMaxRetryDelayMs(input.leftMs);
-  if (input.obstacle === "overload" || input.obstacle === "limit") {
+  if (input.cause === "overload" || input.cause === "limit") {
     return Math.min(longest, input.freeInMs ?? OVERLOAD_RETRY_DELAY_MS);
   }
   return longest;
--- a/src/policy/return_time_test.ts
+++ b/src/policy/return_time_test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import {
-  getLongestWaitMs,
-  getReturnMs,
-  type ReturnFacts,
+  getMaxWaitMs,
+  getRetryDelayMs,
+  type RetryInput,
 } from "./return_time.ts";
 
 const DEADLINE_MS = 8000;
@@ -15,9 +15,9 @@
 /** Milliseconds between two requests of the load. */
 const ARRIVAL_INTERVAL_MS = 20;
 
-function createInput(changes: Partial<ReturnFacts> = {}): ReturnFacts {
+function createInput(changes: Partial<RetryInput> = {}): RetryInput {
   return {
-    obstacle: "outage",
+    cause: "outage",
     isRepeated: false,
     leftMs: DEADLINE_MS,
     objectiveMs: OBJECTIVE_MS,
@@ -75,19 +75,19 @@
   // Both the loss and the recovery of targets are detected with a delay.
   const isKnown = arrival >= load.detectedAt &&
     arrival < load.endsAt - FORMING_MS;
-  const first = createInput({ obstacle: isKnown ? "outage" : "stall" });
-  const firstWait = getLongestWaitMs(first);
+  const first = createInput({ cause: isKnown ? "outage" : "stall" });
+  const firstWait = getMaxWaitMs(first);
   if (isAvailableWithin(load, arrival, firstWait)) return true;
   const refusedAt = arrival + firstWait;
   const delayMs = load.callers === "honours"
-    ? getReturnMs(createInput({ leftMs: DEADLINE_MS - firstWait }))
+    ? getRetryDelayMs(createInput({ leftMs: DEADLINE_MS - firstWait }))
     : 0;
   const retriedAt = refusedAt + delayMs;
   const retry = createInput({
     isRepeated: true,
     leftMs: DEADLINE_MS - (retriedAt - arrival),
   });
-  return isAvailableWithin(load, retriedAt, getLongestWaitMs(retry));
+  return isAvailableWithin(load, retriedAt, getMaxWaitMs(retry));
 }
 
 function isAvailableWithin(
@@ -137,7 +137,7 @@
 
   it("are retried at the rate of their arrival", () => {
     const retries = [0, 1000, 2000].map((arrival) =>
-      arrival + getReturnMs(createInput())
+      arrival + getRetryDelayMs(createInput())
     );
     assert.deepEqual(
       retries.slice(1).map((at, index) =>
@@ -152,7 +152,9 @@
   it("get no longer retry delay than callers honour", () => {
     for (const leftMs of [50, 400, 3000, DEADLINE_MS]) {
       for (const obstacle of ["outage", "absence", "overload"] as const) {
-        const delayMs = getReturnMs(createInput({ leftMs, obstacle }));
+        const delayMs = getRetryDelayMs(
+          createInput({ leftMs, cause: obstacle }),
+        );
         assert.ok(delayMs >= 0 && delayMs <= leftMs / 3);
       }
     }
@@ -160,18 +162,18 @@
 
   it("wait no longer than their deadline", () => {
     const input = createInput({ isRepeated: true, leftMs: 300 });
-    assert.equal(getLongestWaitMs(input), 300);
+    assert.equal(getMaxWaitMs(input), 300);
   });
 
   it("wait for a fifth of their objective on the first attempt at a full pool", () => {
-    const input = createInput({ obstacle: "overload" });
-    assert.equal(getLongestWaitMs(input), 80);
+    const input = createInput({ cause: "overload" });
+    assert.equal(getMaxWaitMs(input), 80);
   });
 
   it("are refused immediately if only one target may run them", () => {
     for (const isRepeated of [true, false]) {
-      const input = createInput({ obstacle: "owner_away", isRepeated });
-      assert.equal(getLongestWaitMs(input), 0);
+      const input = createInput({ cause: "owner_away", isRepeated });
+      assert.equal(getMaxWaitMs(input), 0);
     }
   });
 });
--- a/src/policy/send_permits.ts
+++ b/src/policy/send_permits.ts
@@ -25,7 +25,7 @@
 import { TokenBucket } from "./token_bucket.ts";
 
 /** Milliseconds after which an unanswered permit request counts as failed. */
-export const ASK_LIMIT_MS = 300;
+export const PERMIT_TIMEOUT_MS = 300;
 /** Milliseconds for which an unreachable issuer is skipped. */
 const UNREACHABLE_MS = 2000;
 /** Milliseconds until all entries know that an entry has joined or left. */
@@ -54,7 +54,7 @@
 const MAX_WAIT_MS = 10_000;
 
 /** A request to another entry for permits. */
-export interface PermitQuestion {
+export interface PermitRequest {
   readonly target: string;
   /** The entry that receives the request. */
   readonly entry: string;
@@ -62,7 +62,7 @@
 }
 
 /** The response of an issuer. */
-export interface PermitAnswer {
+export interface PermitResponse {
   readonly granted: number;
   /** Milliseconds after which another request may succeed, if none was granted. */
   readonly waitMs: number;
@@ -75,12 +75,12 @@
   /** When the request was sent, in milliseconds. */
   readonly askedAt: number;
   /** Undefined if no response arrived. */
-  readonly answer: PermitAnswer | undefined;
+  readonly answer: PermitResponse | undefined;
 }
 
 /** How a request may get a permit. */
 export type PermitPlan =
-  | { readonly kind: "ask"; readonly question: PermitQuestion }
+  | { readonly kind: "ask"; readonly request: PermitRequest }
   /** A response is pending. */
   | { readonly kind: "pending" }
   /** No target has a permit available for this many milliseconds. */
@@ -160,7 +160,7 @@
   }
 
   /** Records that a request is sent to a target that {@link maySend} allowed. */
-  noteSent(target: string, now: number): void {
+  recordSent(target: string, now: number): void {
     if (this.#limits.tryGet(target) === undefined) return;
     const state = this.#getState(target, now);
     state.sentAt = now;
@@ -175,7 +175,7 @@
    * Whether the next request should go to this target so that its current limit is
    * learned.
    */
-  isDue(target: string, now: number): boolean {
+  isProbeDue(target: string, now: number): boolean {
     const limit = this.#limits.tryGet(target);
     // Lists report when a target has warmed up; only announced limits end by an answer.
     if (limit === undefined || limit.isWarmUp) return false;
@@ -185,12 +185,12 @@
   }
 
   /** Whether this entry is the primary issuer for a target. */
-  isFirstOf(target: string): boolean {
+  isPrimaryIssuer(target: string): boolean {
     return findIssuers(target, this.#entries).primary === this.#self;
   }
 
   /** Issues permits that another entry requests. */
-  give(target: string, count: number, now: number): PermitAnswer {
+  issue(target: string, count: number, now: number): PermitResponse {
     const denial = { granted: 0, waitMs: MIN_WAIT_MS };
     // Both entries will soon agree on whether there is a limit, so the other one may
     // retry soon.
@@ -206,16 +206,16 @@
   /**
    * Plans how to get permits for `count` requests that may go to any of these targets,
    * all of which have limits. The caller sends a planned request and reports its outcome
-   * to {@link noteOutcome}.
+   * to {@link recordOutcome}.
    */
-  plan(
+  planRequest(
     targets: readonly string[],
     count: number,
     now: number,
   ): PermitPlan {
     for (const target of targets) {
       const question = this.#tryCreateRequest(target, count, now);
-      if (question !== undefined) return { kind: "ask", question };
+      if (question !== undefined) return { kind: "ask", request: question };
     }
     const states = targets.map((target) => this.#getState(target, now));
     if (states.some(({ isPending }) => isPending)) return { kind: "pending" };
@@ -230,7 +230,7 @@
    * some requests a second, which the target would miss if only the primary issuer sent
    * to it.
    */
-  tryPlanAhead(target: string, now: number): PermitQuestion | undefined {
+  tryPlanPrefetch(target: string, now: number): PermitRequest | undefined {
     const limit = this.#limits.tryGet(target);
     const share = (limit?.perSecond ?? 0) / Math.max(1, this.#entries.length);
     // If the share is less than one request per permit lifetime, a prefetched permit
@@ -247,7 +247,7 @@
   }
 
   /** Records the outcome of a permit request. */
-  noteOutcome(
+  recordOutcome(
     { target, entry, askedAt, answer }: PermitOutcome,
     now: number,
   ): void {
@@ -268,7 +268,7 @@
   }
 
   /** Removes the state of targets that no longer have a limit. */
-  forgetUnlimited(): void {
+  removeUnlimited(): void {
     for (const target of this.#states.keys()) {
       if (this.#limits.tryGet(target) === undefined) {
         this.#states.delete(target);
@@ -344,7 +344,7 @@
     target: string,
     count: number,
     now: number,
-  ): PermitQuestion | undefined {
+  ): PermitRequest | undefined {
     const state = this.#getState(target, now);
     if (state.isPending || state.deniedUntil > now) return undefined;
     const entry = this.#tryFindIssuer(state, now);
--- a/src/policy/send_permits_test.ts
+++ b/src/policy/send_permits_test.ts
@@ -5,9 +5,9 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import {
-  ASK_LIMIT_MS,
+  PERMIT_TIMEOUT_MS,
   type PermitPlan,
-  type PermitQuestion,
+  type PermitRequest,
   SendPermits,
 } from "./send_permits.ts";
 import { PERMIT_LIFETIME_MS } from "./permit_bounds.ts";
@@ -38,7 +38,7 @@
     );
     for (const name of this.names) {
       const limits = new TargetLimits();
-      limits.note({ target: TARGET, perSecond, sentAt: 0, now: 0 });
+      limits.record({ target: TARGET, perSecond, sentAt: 0, now: 0 });
       const permits = new SendPermits(name, combine(limits));
       permits.setEntries(this.names, 0);
       this.permits.set(name, permits);
@@ -46,11 +46,11 @@
   }
 
   get first(): SendPermits {
-    return this.#find((permits) => permits.isFirstOf(TARGET));
+    return this.#find((permits) => permits.isPrimaryIssuer(TARGET));
   }
 
   get other(): SendPermits {
-    return this.#find((permits) => !permits.isFirstOf(TARGET));
+    return this.#find((permits) => !permits.isPrimaryIssuer(TARGET));
   }
 
   #find(predicate: (permits: SendPermits) => boolean): SendPermits {
@@ -60,16 +60,16 @@
   }
 }
 
-function requestOf(plan: PermitPlan): PermitQuestion {
+function requestOf(plan: PermitPlan): PermitRequest {
   assert.equal(plan.kind, "ask");
-  return (plan as Extract<PermitPlan, { readonly kind: "ask" }>).question;
+  return (plan as Extract<PermitPlan, { readonly kind: "ask" }>).request;
 }
 
 /** Counts the permits that an entry issues within `forMs`. */
 function countIssued(permits: SendPermits, forMs: number): number {
   let issued = 0;
   for (let now = SETTLED_MS; now < SETTLED_MS + forMs; now += 10) {
-    issued += permits.give(TARGET, 1, now).granted;
+    issued += permits.issue(TARGET, 1, now).granted;
   }
   return issued;
 }
@@ -78,7 +78,7 @@
   it("are issued by one entry, which needs none itself", () => {
     const fleet = new Fleet(41);
     const primaries = fleet.names.filter((name) =>
-      fleet.permits.get(name)?.isFirstOf(TARGET)
+      fleet.permits.get(name)?.isPrimaryIssuer(TARGET)
     );
     assert.equal(primaries.length, 1);
     assert.ok(fleet.first.maySend(TARGET, SETTLED_MS));
@@ -93,51 +93,53 @@
 
   it("are taken from the same bucket as the issuer's own requests", () => {
     const { first } = new Fleet(3, 1);
-    first.noteSent(TARGET, SETTLED_MS);
-    assert.equal(first.give(TARGET, 1, SETTLED_MS).granted, 0);
-    assert.equal(first.give(TARGET, 1, SETTLED_MS + 1000).granted, 1);
+    first.recordSent(TARGET, SETTLED_MS);
+    assert.equal(first.issue(TARGET, 1, SETTLED_MS).granted, 0);
+    assert.equal(first.issue(TARGET, 1, SETTLED_MS + 1000).granted, 1);
     assert.ok(!first.maySend(TARGET, SETTLED_MS + 1000));
   });
 
   it("allow one request each, and expire", () => {
     const { other } = new Fleet(3);
-    const { entry } = requestOf(other.plan([TARGET], 2, SETTLED_MS));
+    const { entry } = requestOf(other.planRequest([TARGET], 2, SETTLED_MS));
     const answer = { granted: 2, waitMs: 0 };
     const outcome = { target: TARGET, entry, askedAt: SETTLED_MS, answer };
-    other.noteOutcome(outcome, SETTLED_MS + 5);
-    other.noteSent(TARGET, SETTLED_MS + 6);
+    other.recordOutcome(outcome, SETTLED_MS + 5);
+    other.recordSent(TARGET, SETTLED_MS + 6);
     assert.ok(other.maySend(TARGET, SETTLED_MS + 7));
     assert.ok(!other.maySend(TARGET, SETTLED_MS + PERMIT_LIFETIME_MS));
   });
 
   it("are requested once at a time, and not again before they can be available", () => {
     const { other } = new Fleet(3);
-    const { entry } = requestOf(other.plan([TARGET], 1, SETTLED_MS));
-    assert.equal(other.plan([TARGET], 1, SETTLED_MS).kind, "pending");
+    const { entry } = requestOf(other.planRequest([TARGET], 1, SETTLED_MS));
+    assert.equal(other.planRequest([TARGET], 1, SETTLED_MS).kind, "pending");
     const answer = { granted: 0, waitMs: 800 };
     const outcome = { target: TARGET, entry, askedAt: SETTLED_MS, answer };
-    other.noteOutcome(outcome, SETTLED_MS);
-    assert.deepEqual(other.plan([TARGET], 1, SETTLED_MS + 300), {
+    other.recordOutcome(outcome, SETTLED_MS);
+    assert.deepEqual(other.planRequest([TARGET], 1, SETTLED_MS + 300), {
       kind: "none",
       freeInMs: 500,
     });
-    requestOf(other.plan([TARGET], 1, SETTLED_MS + 800));
+    requestOf(other.planRequest([TARGET], 1, SETTLED_MS + 800));
   });
 
   it("make denied entries wait until those before them have been served", () => {
     const { first } = new Fleet(41, 1);
-    first.give(TARGET, 1, SETTLED_MS);
-    const waits = [1, 2, 3].map(() => first.give(TARGET, 1, SETTLED_MS).waitMs);
+    first.issue(TARGET, 1, SETTLED_MS);
+    const waits = [1, 2, 3].map(() =>
+      first.issue(TARGET, 1, SETTLED_MS).waitMs
+    );
     assert.deepEqual(waits, [1000, 2000, 3000]);
   });
 
   it("are requested from the secondary issuer while the primary one does not respond", () => {
     const { other } = new Fleet(41);
-    const { entry } = requestOf(other.plan([TARGET], 1, SETTLED_MS));
+    const { entry } = requestOf(other.planRequest([TARGET], 1, SETTLED_MS));
     const unanswered = { target: TARGET, entry, askedAt: SETTLED_MS };
-    const later = SETTLED_MS + ASK_LIMIT_MS;
-    other.noteOutcome({ ...unanswered, answer: undefined }, later);
-    const second = requestOf(other.plan([TARGET], 1, later)).entry;
+    const later = SETTLED_MS + PERMIT_TIMEOUT_MS;
+    other.recordOutcome({ ...unanswered, answer: undefined }, later);
+    const second = requestOf(other.planRequest([TARGET], 1, later)).entry;
     assert.notEqual(second, entry);
     // The target can take what the secondary issuer issues in addition to the whole
     // limit.
@@ -150,7 +152,7 @@
   it("are issued at a share by a new primary issuer until the old one has the new list", () => {
     const fleet = new Fleet(3, 20);
     const name = fleet.names.find((entry) =>
-      fleet.permits.get(entry)?.isFirstOf(TARGET)
+      fleet.permits.get(entry)?.isPrimaryIssuer(TARGET)
     );
     const remaining = fleet.names.filter((entry) => entry !== name);
     const others = remaining.map((entry) =>
@@ -160,7 +162,7 @@
       permits.maySend(TARGET, SETTLED_MS);
       permits.setEntries(remaining, SETTLED_MS);
     }
-    const next = others.find((permits) => permits.isFirstOf(TARGET));
+    const next = others.find((permits) => permits.isPrimaryIssuer(TARGET));
     assert.ok(next !== undefined);
     const soon = countIssued(next, 4000);
     assert.ok(soon <= 0.25 * 20 * 4 + 2, `${soon}`);
@@ -168,10 +170,10 @@
 
   it("are requested ahead if each entry's share is a request a second", () => {
     assert.equal(
-      new Fleet(3, 2).other.tryPlanAhead(TARGET, SETTLED_MS),
+      new Fleet(3, 2).other.tryPlanPrefetch(TARGET, SETTLED_MS),
       undefined,
     );
-    const ahead = new Fleet(3, 60).other.tryPlanAhead(TARGET, SETTLED_MS);
+    const ahead = new Fleet(3, 60).other.tryPlanPrefetch(TARGET, SETTLED_MS);
     assert.equal(ahead?.count, 4);
   });
 
@@ -183,14 +185,14 @@
   it("are not issued by an entry that does not know the limit", () => {
     const permits = new SendPermits("entry-0", combine(new TargetLimits()));
     permits.setEntries(["entry-0"], 0);
-    assert.equal(permits.give(TARGET, 1, SETTLED_MS).granted, 0);
+    assert.equal(permits.issue(TARGET, 1, SETTLED_MS).granted, 0);
   });
 
   it("are not available before the other entries are known", () => {
     const limits = new TargetLimits();
-    limits.note({ target: TARGET, perSecond: 9, sentAt: 0, now: 0 });
+    limits.record({ target: TARGET, perSecond: 9, sentAt: 0, now: 0 });
     const permits = new SendPermits("entry-0", combine(limits));
     assert.ok(!permits.maySend(TARGET, SETTLED_MS));
-    assert.equal(permits.plan([TARGET], 1, SETTLED_MS).kind, "none");
+    assert.equal(permits.planRequest([TARGET], 1, SETTLED_MS).kind, "none");
   });
 });
--- a/src/policy/target_backoffs.ts
+++ b/src/policy/target_backoffs.ts
@@ -83,7 +83,7 @@
    * const backoff = backoffs.record({ target: "i-1", askedMs: 3000, now });
    * ```
    */
-  note({ target, askedMs, now }: BackoffRequest): Backoff | undefined {
+  record({ target, askedMs, now }: BackoffRequest): Backoff | undefined {
     const until = now + Math.min(askedMs, MAX_BACKOFF_MS);
     const known = this.#tryActive(target, now);
     if (until <= (known?.until ?? now)) return undefined;
@@ -119,7 +119,7 @@
    * Returns the milliseconds over which a target's load returns once its backoff has
    * ended.
    */
-  getReturnMs(target: string): number {
+  getRampUpMs(target: string): number {
     const active = this.#active.get(target);
     if (active === undefined) return 0;
     const { since, until } = createRampUp(active);
--- a/src/policy/target_backoffs_test.ts
+++ b/src/policy/target_backoffs_test.ts
@@ -15,7 +15,7 @@
 ): TargetBackoffs {
   const backoffs = new TargetBackoffs();
   for (const [now, askedMs] of requests) {
-    backoffs.note({ target: TARGET, askedMs, now });
+    backoffs.record({ target: TARGET, askedMs, now });
   }
   return backoffs;
 }
--- a/src/policy/target_limits.ts
+++ b/src/policy/target_limits.ts
@@ -91,7 +91,7 @@
    * const limit = limits.record({ target, perSecond: 2, sentAt, now });
    * ```
    */
-  note(notice: LimitNotice): TargetLimit | undefined {
+  record(notice: LimitNotice): TargetLimit | undefined {
     const { target, now } = notice;
     const known = this.#byTarget.get(target);
     const perSecond = notice.perSecond && roundDown(notice.perSecond);
--- a/src/policy/target_limits_test.ts
+++ b/src/policy/target_limits_test.ts
@@ -15,7 +15,7 @@
 function createLimits(...answers: readonly Partial<LimitNotice>[]) {
   const limits = new TargetLimits();
   limits.setListed(new Set(["i-1", "i-2"]), 0);
-  for (const answer of answers) limits.note(createNotice(answer));
+  for (const answer of answers) limits.record(createNotice(answer));
   return limits;
 }
 
@@ -27,9 +27,13 @@
 describe("the limit that a target announces", () => {
   it("applies until the answer to a later request announces none", () => {
     const limits = createLimits({ perSecond: 0.5, now: 100 });
-    limits.note(createNotice({ perSecond: undefined, sentAt: 90, now: 2000 }));
+    limits.record(
+      createNotice({ perSecond: undefined, sentAt: 90, now: 2000 }),
+    );
     assert.equal(limits.tryGet("i-1"), 0.5);
-    limits.note(createNotice({ perSecond: undefined, sentAt: 110, now: 2100 }));
+    limits.record(
+      createNotice({ perSecond: undefined, sentAt: 110, now: 2100 }),
+    );
     assert.equal(limits.tryGet("i-1"), undefined);
     assert.ok(limits.isEmpty);
   });
@@ -37,16 +41,16 @@
   it("is lowered immediately, and raised at most once a second", () => {
     const limits = createLimits({ perSecond: 5 }, { perSecond: 2, now: 10 });
     assert.equal(limits.tryGet("i-1"), 2);
-    limits.note(createNotice({ perSecond: 8, now: 20 }));
+    limits.record(createNotice({ perSecond: 8, now: 20 }));
     assert.equal(limits.tryGet("i-1"), 2);
-    limits.note(createNotice({ perSecond: 8, now: 1010 }));
+    limits.record(createNotice({ perSecond: 8, now: 1010 }));
     assert.equal(limits.tryGet("i-1"), 8);
   });
 
   it("ignores changes of insignificant digits, and is never rounded up", () => {
     const limits = createLimits({ perSecond: 3.49 });
     assert.equal(limits.tryGet("i-1"), 3.4);
-    const changed = limits.note(createNotice({ perSecond: 3.41, now: 5000 }));
+    const changed = limits.record(createNotice({ perSecond: 3.41, now: 5000 }));
     assert.equal(changed, undefined);
     assert.equal(createLimits({ perSecond: 0.999 }).tryGet("i-1"), 0.99);
     assert.equal(createLimits({ perSecond: 0.2 }).tryGet("i-1"), 0.2);
@@ -71,7 +75,7 @@
   it("end when another entry reports their end, and outdated updates do not restore them", () => {
     const before = createLimits({});
     const after = createLimits({});
-    after.note(createNotice({ perSecond: undefined, sentAt: 1, now: 50 }));
+    after.record(createNotice({ perSecond: undefined, sentAt: 1, now: 50 }));
     assert.equal(replicate(after, before).length, 1);
     assert.equal(before.tryGet("i-1"), undefined);
     assert.equal(replicate(createLimits({}), before).length, 0);
@@ -80,7 +84,9 @@
   it("are not ended by an answer to an earlier request", () => {
     const other = createLimits();
     replicate(createLimits({ now: 1000 }), other, 1010);
-    other.note(createNotice({ perSecond: undefined, sentAt: 900, now: 1500 }));
+    other.record(
+      createNotice({ perSecond: undefined, sentAt: 900, now: 1500 }),
+    );
     assert.equal(other.tryGet("i-1"), 2);
   });
 
@@ -100,7 +106,7 @@
         for (const { entry, target, perSecond, receiver } of changes) {
           now += 300;
           const from = entries[entry] as TargetLimits;
-          from.note({ target, perSecond, sentAt: now - 1, now });
+          from.record({ target, perSecond, sentAt: now - 1, now });
           replicate(from, entries[receiver] as TargetLimits, now);
         }
         for (let round = 0; round < 2; round++) {
--- a/src/policy/warm_up_limits.ts
+++ b/src/policy/warm_up_limits.ts
@@ -84,12 +84,12 @@
   }
 
   /** Returns the settings of cold targets of a pool; undefined if there are none. */
-  tryPool(pool: string): ColdPool | undefined {
+  tryGetPool(pool: string): ColdPool | undefined {
     return this.#pools.get(pool);
   }
 
   /** Returns the number of cold targets of a pool. */
-  countOf(pool: string): number {
+  countCold(pool: string): number {
     return [...this.#cold.values()].filter((cold) => cold.pool === pool).length;
   }
 
--- a/src/policy/warm_up_limits_test.ts
+++ b/src/policy/warm_up_limits_test.ts
@@ -98,7 +98,7 @@
     assert.ok(combined.isEmpty);
     list(limits, 0, { isCold: true });
     assert.equal(combined.tryGet("i-1")?.perSecond, 17);
-    named.note({ target: "i-1", perSecond: 2, sentAt: 0, now: 0 });
+    named.record({ target: "i-1", perSecond: 2, sentAt: 0, now: 0 });
     assert.deepEqual(combined.tryGet("i-1"), { perSecond: 2, isWarmUp: true });
     limits.setPools(new Map(), 0);
     assert.deepEqual(combined.tryGet("i-1"), { perSecond: 2, isWarmUp: false });
--- a/src/target/target_reducer.ts
+++ b/src/target/target_reducer.ts
@@ -20,7 +20,7 @@
   SubmitMessage,
 } from "../messages/types.ts";
 import { TargetBackoffs } from "../policy/target_backoffs.ts";
-import { FairQueue, latestStart } from "../policy/fair_queue.ts";
+import { FairQueue, getLatestStart } from "../policy/fair_queue.ts";
 import { isNotRun } from "../external/back_end.ts";
 import { getReasonOf } from "../external/back_end_failures.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
@@ -256,7 +256,7 @@
       organisation: request.organisation,
       weight: request.weight,
       priority: request.priority,
-      startBy: latestStart(details.now, request.remainingMs),
+      startBy: getLatestStart(details.now, request.remainingMs),
       deadlineAt: details.now + request.remainingMs,
       fingerprint: details.fingerprint,
     });
@@ -329,7 +329,7 @@
     const backoff = readBackoff(event.status, event.headers);
     if (backoff.kind === "backoff") {
       const askedMs = backoff.milliseconds;
-      this.#backoffs.note({ target: BACK_END, askedMs, now: event.now });
+      this.#backoffs.record({ target: BACK_END, askedMs, now: event.now });
     }
     const notice = backoff.kind === "none"
       ? undefined
--- a/src/testing/drifting_group.ts
+++ b/src/testing/drifting_group.ts
@@ -144,8 +144,8 @@
       paces: new Array<number>(ranks).fill(1),
     }, {
       slotsPerRank: SLOTS_PER_RANK,
-      mostNewPerRank,
-      mostNewPerLayer: 2,
+      maxNewPerRank: mostNewPerRank,
+      maxNewPerLayer: 2,
       loadMs,
     });
     if (plan === undefined) return;
--- a/src/testing/limited_entries.ts
+++ b/src/testing/limited_entries.ts
@@ -7,7 +7,10 @@
 import { RandomSource } from "../core/random_source.ts";
 import { EntryReducer } from "../entry/entry_reducer.ts";
 import type { EntryEffect, EntryEvent } from "../entry/types.ts";
-import { ASK_LIMIT_MS, type PermitQuestion } from "../policy/send_permits.ts";
+import {
+  PERMIT_TIMEOUT_MS,
+  type PermitRequest,
+} from "../policy/send_permits.ts";
 import { type ColdPlan, ColdTargets } from "./cold_targets.ts";
 import { EventQueue } from "./event_queue.ts";
 import { type NoticePlan, SpokenNotices } from "./spoken_notices.ts";
@@ -227,7 +230,7 @@
   /** The entry that gives the permits for the first target. */
   #findGiver(): number {
     const giver = this.#entries.find(({ reducer }) =>
-      reducer.permits.isFirstOf("target-0")
+      reducer.permits.isPrimaryIssuer("target-0")
     );
     return giver?.number ?? 0;
   }
@@ -344,24 +347,28 @@
     });
   }
 
-  #ask(asker: EntryState, question: PermitQuestion): void {
+  #ask(asker: EntryState, question: PermitRequest): void {
     this.#questions++;
     const { target, entry, count } = question;
     const askedAt = this.#queue.now;
     const giver = this.#entries.find(({ number }) => nameOf(number) === entry);
     let isSettled = false;
-    const settle = (answer?: ReturnType<EntryReducer["permits"]["give"]>) => {
+    const settle = (answer?: ReturnType<EntryReducer["permits"]["issue"]>) => {
       if (isSettled) return;
       isSettled = true;
       const { now } = this.#queue;
       const outcome = { target, entry, askedAt, answer };
       this.#reduce(asker, { kind: "permits_told", now, outcome });
     };
-    this.#queue.after(ASK_LIMIT_MS, () => settle());
+    this.#queue.after(PERMIT_TIMEOUT_MS, () => settle());
     if (giver === undefined) return;
     this.#deliver(asker, giver, () => {
       if (giver.isDown) return;
-      const answer = giver.reducer.permits.give(target, count, this.#queue.now);
+      const answer = giver.reducer.permits.issue(
+        target,
+        count,
+        this.#queue.now,
+      );
       this.#deliver(giver, asker, () => settle(answer));
     });
   }
