--- a/src/policy/admission_order.ts
+++ b/src/policy/admission_order.ts
@@ -103,13 +103,15 @@
  * ```
  */
 export function getDeferralRetryDelayMs(
-  { leftMs, deferredFraction: heldPart, randomFraction: drawn }:
-    RetryDelayInput,
+  { leftMs, deferredFraction, randomFraction }: RetryDelayInput,
 ): number {
   const maxDelayMs = getMaxRetryDelayMs(leftMs);
   const rangeMs = Math.max(0, maxDelayMs - MIN_RETRY_DELAY_MS);
-  const fraction = MIN_SPREAD + (1 - MIN_SPREAD) * heldPart;
-  return Math.min(maxDelayMs, MIN_RETRY_DELAY_MS + rangeMs * fraction * drawn);
+  const fraction = MIN_SPREAD + (1 - MIN_SPREAD) * deferredFraction;
+  return Math.min(
+    maxDelayMs,
+    MIN_RETRY_DELAY_MS + rangeMs * fraction * randomFraction,
+  );
 }
 
 /** Decides which requests of one pool are deferred. */
@@ -154,20 +156,22 @@
   }
 
   #getFractions(
-    { now, deferredFraction: heldPart, knownPriorities: known }:
-      AdmissionContext,
+    { now, deferredFraction, knownPriorities }: AdmissionContext,
   ): DeferralFractions {
     const { computedAt, deferredFraction: previousFraction } =
       this.#fractions ??
         { computedAt: 0, deferredFraction: -1 };
-    const isCurrent = previousFraction === heldPart &&
+    const isCurrent = previousFraction === deferredFraction &&
       now - computedAt < FRACTIONS_CACHE_MS;
     if (this.#fractions !== undefined && isCurrent) return this.#fractions;
     this.#mix.evictExpired(now);
-    const byPriority = deferLeastUrgent(this.#mix.getShares(known), heldPart);
+    const byPriority = deferLeastUrgent(
+      this.#mix.getShares(knownPriorities),
+      deferredFraction,
+    );
     this.#fractions = {
       computedAt: now,
-      deferredFraction: heldPart,
+      deferredFraction,
       byPriority,
       byOrganisation: new Map(),
     };
--- a/src/policy/admission_order_test.ts
+++ b/src/policy/admission_order_test.ts
@@ -40,13 +40,13 @@
 function getDeferral(
   order: AdmissionOrder,
   request: Partial<AdmissionRequest>,
-  context: { readonly heldPart: number; readonly now?: number },
+  context: { readonly deferredFraction: number; readonly now?: number },
 ): number {
   const held = order.getDeferralProbability(
     { priority: 7, organisation: "andamaq", weight: 1, ...request },
     {
       now: context.now ?? 0,
-      deferredFraction: context.heldPart,
+      deferredFraction: context.deferredFraction,
       knownPriorities: KNOWN,
     },
   );
@@ -55,10 +55,10 @@
 
 function getDeferralByPriority(
   order: AdmissionOrder,
-  heldPart: number,
+  deferredFraction: number,
 ): readonly number[] {
   return KNOWN.map((priority) =>
-    getDeferral(order, { priority }, { heldPart })
+    getDeferral(order, { priority }, { deferredFraction })
   );
 }
 
@@ -76,13 +76,13 @@
 });
 
 describe("retry delay of a deferred request", () => {
-  const getDelaysAt = (heldPart: number) =>
-    [0, 0.5, 0.999].map((drawn) =>
+  const getDelaysAt = (deferredFraction: number) =>
+    [0, 0.5, 0.999].map((randomFraction) =>
       Math.round(
         getDeferralRetryDelayMs({
           leftMs: 8000,
-          deferredFraction: heldPart,
-          randomFraction: drawn,
+          deferredFraction,
+          randomFraction,
         }),
       )
     );
@@ -132,8 +132,11 @@
   it("ignores arrivals outside its window", () => {
     const sender = { priority: 7, organisation: "andamaq", requests: 1000 };
     const order = createOrder([sender]);
-    assert.equal(getDeferral(order, {}, { heldPart: 0.2 }), 0.2);
-    assert.equal(getDeferral(order, {}, { heldPart: 0.2, now: 5000 }), 0.6);
+    assert.equal(getDeferral(order, {}, { deferredFraction: 0.2 }), 0.2);
+    assert.equal(
+      getDeferral(order, {}, { deferredFraction: 0.2, now: 5000 }),
+      0.6,
+    );
   });
 
   it("defers a large organisation before many small ones", () => {
@@ -144,16 +147,18 @@
     }));
     const large = { priority: 7, organisation: "large", requests: 600 };
     const order = createOrder([...small, large]);
-    const heldPart = 0.3;
-    const ofLarge = getDeferral(order, { organisation: "large" }, { heldPart });
+    const deferredFraction = 0.3;
+    const ofLarge = getDeferral(order, { organisation: "large" }, {
+      deferredFraction,
+    });
     const ofSmall = getDeferral(order, { organisation: "small-1" }, {
-      heldPart,
+      deferredFraction,
     });
     assert.equal(ofSmall, 0);
     assert.ok(ofLarge > 0.4 && ofLarge < 0.6, `${ofLarge}`);
     // The large organisation is admitted with at least half of the usual fraction.
     const ofLargeAtMost = getDeferral(order, { organisation: "large" }, {
-      heldPart: 1,
+      deferredFraction: 1,
     });
     assert.ok(ofLargeAtMost <= 0.88, `${ofLargeAtMost}`);
   });
@@ -161,11 +166,14 @@
   it("defers a priority without arrivals like the next more urgent one", () => {
     const sender = { priority: 8, organisation: "andamaq", requests: 1000 };
     const order = createOrder([sender, { ...sender, priority: 7 }]);
-    const heldPart = 0.3;
-    assert.equal(getDeferral(order, { priority: 8 }, { heldPart }), 0.6);
-    assert.equal(getDeferral(order, { priority: 7 }, { heldPart }), 0);
+    const deferredFraction = 0.3;
+    assert.equal(
+      getDeferral(order, { priority: 8 }, { deferredFraction }),
+      0.6,
+    );
+    assert.equal(getDeferral(order, { priority: 7 }, { deferredFraction }), 0);
     assert.equal(
-      getDeferral(createEvenOrder(), { priority: 4 }, { heldPart }),
+      getDeferral(createEvenOrder(), { priority: 4 }, { deferredFraction }),
       0,
     );
   });
--- a/src/policy/blind_limit.ts
+++ b/src/policy/blind_limit.ts
@@ -36,8 +36,8 @@
  * ```
  */
 export function getUnknownLoadLimit(
-  { concurrency: places, entries }: UnreportedPool,
+  { concurrency, entries }: UnreportedPool,
 ): number {
   if (entries === undefined || entries <= 0) return Number.POSITIVE_INFINITY;
-  return Math.max(1, Math.ceil(OVERCOMMIT_FACTOR * places / entries));
+  return Math.max(1, Math.ceil(OVERCOMMIT_FACTOR * concurrency / entries));
 }
--- a/src/policy/late_admission.ts
+++ b/src/policy/late_admission.ts
@@ -104,11 +104,11 @@
  * others unanswered.
  */
 function isLastChance(
-  { waitedMs, hasFreeSlot: hasFreePlace }: LateRequest,
+  { waitedMs, hasFreeSlot }: LateRequest,
   { passMs = 0 }: PassReport,
   pauseObjectiveMs: number,
 ): boolean {
-  return waitedMs >= MAX_DEFERRAL_MS && hasFreePlace &&
+  return waitedMs >= MAX_DEFERRAL_MS && hasFreeSlot &&
     passMs <= pauseObjectiveMs;
 }
 
--- a/src/policy/late_admission_test.ts
+++ b/src/policy/late_admission_test.ts
@@ -92,11 +92,11 @@
   it("are admitted before their callers give up, even if passes are long", () => {
     const admission = new LateAdmission();
     admission.record({ passMs: 100, at: 0 });
-    const mayAdmitAfter = (waitedMs: number, hasFreePlace: boolean) =>
+    const mayAdmitAfter = (waitedMs: number, hasFreeSlot: boolean) =>
       admission.mayAdmit(PAUSE_OBJECTIVE_MS, {
         now: 100,
         waitedMs,
-        hasFreeSlot: hasFreePlace,
+        hasFreeSlot,
       });
     assert.equal(mayAdmitAfter(1000, true), false);
     assert.equal(mayAdmitAfter(1400, true), true);
--- a/src/policy/link_pacer.ts
+++ b/src/policy/link_pacer.ts
@@ -34,8 +34,8 @@
    */
   tryTake(bytes: number, now: number): boolean {
     if (now < this.#freeAt) return false;
-    const { bytesPerSecond, fraction: part } = this.#options;
-    this.#freeAt = now + bytes / (part * bytesPerSecond) * MS_PER_SECOND;
+    const { bytesPerSecond, fraction } = this.#options;
+    this.#freeAt = now + bytes / (fraction * bytesPerSecond) * MS_PER_SECOND;
     return true;
   }
 }
--- a/src/policy/placement/incremental_planner.ts
+++ b/src/policy/placement/incremental_planner.ts
@@ -262,11 +262,10 @@
   }
 
   #mayLoad(layer: number, rank: number): boolean {
-    const { maxNewPerRank: mostNewPerRank, maxNewPerLayer: mostNewPerLayer } =
-      this.#limits;
+    const { maxNewPerRank, maxNewPerLayer } = this.#limits;
     const ofLayer = this.#copiesByLayer[layer] as number[];
-    return (this.#copies[rank] as number) < mostNewPerRank &&
-      (ofLayer[rank] as number) < mostNewPerLayer;
+    return (this.#copies[rank] as number) < maxNewPerRank &&
+      (ofLayer[rank] as number) < maxNewPerLayer;
   }
 
   /**
@@ -288,13 +287,13 @@
  * short.
  */
 function getMinCopyGain(
-  { loadMs, passFraction: passPart }: PlanLimits,
+  { loadMs, passFraction }: PlanLimits,
   movedFraction: number,
 ): number {
   const forSlowdown = COPY_SLOWDOWN * loadMs / USEFUL_MS;
   return Math.max(
     forSlowdown,
-    SHORT_PASS_COPY_GAIN * movedFraction * getPassSlack(passPart),
+    SHORT_PASS_COPY_GAIN * movedFraction * getPassSlack(passFraction),
   );
 }
 
@@ -302,16 +301,17 @@
  * Returns the fraction of a pass that all copies of a plan must save together to justify
  * the switch.
  */
-function getMinPlanGain({ passFraction: passPart }: PlanLimits): number {
-  return SWITCH_MS / USEFUL_MS + SHORT_PASS_PLAN_GAIN * getPassSlack(passPart);
+function getMinPlanGain({ passFraction }: PlanLimits): number {
+  return SWITCH_MS / USEFUL_MS +
+    SHORT_PASS_PLAN_GAIN * getPassSlack(passFraction);
 }
 
 /**
  * Returns 1 for a pass time of 0, falling to 0 as it approaches the pause that callers
  * tolerate.
  */
-function getPassSlack(passPart: number | undefined): number {
-  return 1 - clampToUnit((passPart ?? 1) / LONG_PASS_FRACTION);
+function getPassSlack(passFraction: number | undefined): number {
+  return 1 - clampToUnit((passFraction ?? 1) / LONG_PASS_FRACTION);
 }
 
 function clampToUnit(value: number): number {
--- a/src/policy/placement/incremental_planner_test.ts
+++ b/src/policy/placement/incremental_planner_test.ts
@@ -141,13 +141,13 @@
     ) {
       const tokens = createSkewedTokens(layers, experts);
       const { current, paces } = createShape(ranks, layers, experts);
-      const planAt = (passPart: number | undefined) =>
+      const planAt = (passFraction: number | undefined) =>
         tryPlanIncrement({ current, tokens, paces }, {
           slotsPerRank: Math.ceil(experts / ranks) + 1,
           maxNewPerRank: 4,
           maxNewPerLayer: 2,
           loadMs: 39,
-          passFraction: passPart,
+          passFraction,
         });
       const [easy, pressed, unknown] = [0.4, 0.9, undefined].map(planAt);
       assert.ok((easy?.copies ?? 0) < (pressed?.copies ?? 0));
--- a/src/policy/return_time_test.ts
+++ b/src/policy/return_time_test.ts
@@ -151,9 +151,9 @@
 describe("requests that may be retried", () => {
   it("get no longer retry delay than callers honour", () => {
     for (const leftMs of [50, 400, 3000, DEADLINE_MS]) {
-      for (const obstacle of ["outage", "absence", "overload"] as const) {
+      for (const cause of ["outage", "absence", "overload"] as const) {
         const delayMs = getRetryDelayMs(
-          createInput({ leftMs, cause: obstacle }),
+          createInput({ leftMs, cause }),
         );
         assert.ok(delayMs >= 0 && delayMs <= leftMs / 3);
       }
--- a/src/policy/send_permits.ts
+++ b/src/policy/send_permits.ts
@@ -214,8 +214,8 @@
     now: number,
   ): PermitPlan {
     for (const target of targets) {
-      const question = this.#tryCreateRequest(target, count, now);
-      if (question !== undefined) return { kind: "ask", request: question };
+      const request = this.#tryCreateRequest(target, count, now);
+      if (request !== undefined) return { kind: "ask", request };
     }
     const states = targets.map((target) => this.#getState(target, now));
     if (states.some(({ isPending }) => isPending)) return { kind: "pending" };
