--- a/src/direct/rank_driver.ts
+++ b/src/direct/rank_driver.ts
@@ -12,9 +12,9 @@
 import type { StoreFormat } from "../external/operator_settings.ts";
 import type { WatchedStore } from "../external/watched_store.ts";
 import { DeciderDriver } from "../group/formed/decider_driver.ts";
-import { ReceivedMap } from "../group/formed/map_changes.ts";
+import { MapDecoder } from "../group/formed/map_changes.ts";
 import { RankAgent, type ReportSender } from "../group/formed/rank_agent.ts";
-import { SwitchRescuer } from "../group/formed/switch_rescuer.ts";
+import { SwitchRecovery } from "../group/formed/switch_rescuer.ts";
 import {
   getHolderRank,
   type RankOrderMessage,
@@ -85,7 +85,7 @@
   readonly #settings: SettingsFollower;
   #registry: ProcessRegistry | undefined;
   #decider: DeciderDriver | undefined;
-  readonly #switchRecovery: SwitchRescuer;
+  readonly #switchRecovery: SwitchRecovery;
   readonly #subscribers: EntrySubscribers;
   #state: RankState | undefined;
   #observationSentAt = Number.NEGATIVE_INFINITY;
@@ -119,7 +119,7 @@
     };
     this.#subscribers = new EntrySubscribers(this.#linkBytesPerSecond);
     this.#agent = new RankAgent(options.engine);
-    this.#switchRecovery = new SwitchRescuer({
+    this.#switchRecovery = new SwitchRecovery({
       identity: this.#identity,
       random: options.random,
       log,
@@ -154,7 +154,7 @@
       listener: {
         onPeer: (link, hello) => {
           if (hello.role === "entry") this.#addEntry(link);
-          const received = new ReceivedMap();
+          const received = new MapDecoder();
           return {
             onMessage: (message) => this.#onMessage(link, message, received),
             // The other process reconnects by itself.
@@ -330,24 +330,26 @@
     this.#switchRecovery.setMembers(addresses);
   }
 
-  #onMessage(link: Link, message: Message, received: ReceivedMap): void {
+  #onMessage(link: Link, message: Message, received: MapDecoder): void {
     const send = (report: Message) => link.send(report);
     if (message.kind === "rank_query") {
       this.#agent.answer(message, send).catch((error) =>
         this.#logEngineFault(error)
       );
     }
-    if (message.kind === "rank_report") this.#switchRecovery.note(message);
+    if (message.kind === "rank_report") {
+      this.#switchRecovery.recordArmed(message);
+    }
     if (message.kind === "rank_check") {
       this.#agent.check(message, send).catch((error) =>
         this.#logEngineFault(error)
       );
     }
     if (message.kind === "rank_order") {
-      if (message.order.kind === "prepare") received.note(message.order.map);
+      if (message.order.kind === "prepare") received.record(message.order.map);
       this.#execute(message, send);
     }
-    if (message.kind === "map_base") received.note(message.map);
+    if (message.kind === "map_base") received.record(message.map);
     if (message.kind === "map_change") {
       const order = received.tryDecode(message);
       // The decider reconnects and sends the next map in full.
@@ -357,7 +359,7 @@
   }
 
   #execute(message: RankOrderMessage, send: ReportSender): void {
-    this.#agent.carryOut(message, send).catch((error) =>
+    this.#agent.execute(message, send).catch((error) =>
       this.#logEngineFault(error)
     );
   }
--- a/src/group/formed/copies_per_rank.ts
+++ b/src/group/formed/copies_per_rank.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** Input of {@link getCopiesPerRank}. */
+/** Input of {@link getMaxCopiesPerRank}. */
 export interface CopyLimitInput {
   /** Milliseconds in which a rank loads one expert. */
   readonly loadMs: number;
@@ -38,10 +38,10 @@
  *
  * @example
  * ```ts
- * getCopiesPerRank({ loadMs: 76, passMs: 60, ranks: 24 }); // 2
+ * getMaxCopiesPerRank({ loadMs: 76, passMs: 60, ranks: 24 }); // 2
  * ```
  */
-export function getCopiesPerRank(
+export function getMaxCopiesPerRank(
   { loadMs, passMs, ranks }: CopyLimitInput,
 ): number {
   const overheadMs = PASSES_PER_SWITCH * (passMs ?? 0);
--- a/src/group/formed/decider_driver.ts
+++ b/src/group/formed/decider_driver.ts
@@ -13,7 +13,7 @@
 import type { LinkIdentity } from "../../links/link_server.ts";
 import { tryPlanIncrement } from "../../policy/placement/incremental_planner.ts";
 import { BaseMapPacer } from "./base_maps.ts";
-import { getCopiesPerRank } from "./copies_per_rank.ts";
+import { getMaxCopiesPerRank } from "./copies_per_rank.ts";
 import { FormedGroupDecider } from "./decider.ts";
 import type {
   DeciderEffect,
@@ -26,7 +26,7 @@
   RankLinks,
   type RankMember,
 } from "./rank_links.ts";
-import { type RankQuestion, RankQuestions } from "./rank_questions.ts";
+import { RankQueries, type RankQuery } from "./rank_questions.ts";
 import {
   getHolderRank,
   type GroupLoad,
@@ -70,7 +70,7 @@
   readonly #decider: FormedGroupDecider;
   readonly #popularity = new Popularity();
   readonly #links: RankLinks;
-  readonly #queries: RankQuestions;
+  readonly #queries: RankQueries;
   readonly #baseMapPacer: BaseMapPacer;
   /** Ranks that sent counts since the last plan or the last switch of the map. */
   readonly #countedRanks = new Set<number>();
@@ -100,7 +100,7 @@
       group: state.group,
       onReport: (member, report) => this.#onReport(member, report),
     });
-    this.#queries = new RankQuestions({
+    this.#queries = new RankQueries({
       ranks: state.ranks,
       bytesPerSecond: options.linkBytesPerSecond,
     });
@@ -120,7 +120,7 @@
   }
 
   #onReport(member: RankMember, report: RankReportMessage): void {
-    this.#queries.answered(report);
+    this.#queries.recordAnswer(report);
     const now = performance.now();
     if (report.state.rank === 0) this.#forwardArmedReport(report);
     this.#recordCounts(member, report);
@@ -188,12 +188,12 @@
         link === undefined ? [] : [rank]
       ),
     );
-    for (const query of this.#queries.take(now, reachable)) {
+    for (const query of this.#queries.takeDue(now, reachable)) {
       this.#sendQuery(query);
     }
   }
 
-  #sendQuery({ rank, ...fields }: RankQuestion): void {
+  #sendQuery({ rank, ...fields }: RankQuery): void {
     const member = this.#links.tryGetMember(rank);
     const { knownCounts } = member ?? {};
     member?.link?.send({ kind: "rank_query", ...fields, knownCounts });
@@ -266,7 +266,7 @@
       paces: this.#getPaces(),
     }, {
       slotsPerRank: settings.slotsPerRank,
-      maxNewPerRank: getCopiesPerRank({
+      maxNewPerRank: getMaxCopiesPerRank({
         loadMs: settings.loadMs,
         passMs: this.#decider.passMs,
         ranks: this.#options.state.ranks,
@@ -330,7 +330,10 @@
   #perform(effect: DeciderEffect): void {
     match(effect)
       .with({ kind: "send_order" }, (order) => this.#sendOrder(order))
-      .with({ kind: "send_query" }, ({ rank }) => this.#queries.want(rank))
+      .with(
+        { kind: "send_query" },
+        ({ rank }) => this.#queries.addUnknown(rank),
+      )
       .with({ kind: "phase_entered" }, ({ kind: _, ...details }) => {
         this.#options.log.write("MAP_PHASE", {
           ...details,
--- a/src/group/formed/map_changes.ts
+++ b/src/group/formed/map_changes.ts
@@ -55,11 +55,11 @@
 }
 
 /** Decodes the maps received on one link. */
-export class ReceivedMap {
+export class MapDecoder {
   #lastMap: ExpertMap | undefined;
 
   /** Records a map that was received in full. */
-  note(map: ExpertMap): void {
+  record(map: ExpertMap): void {
     this.#lastMap = map;
   }
 
--- a/src/group/formed/map_changes_test.ts
+++ b/src/group/formed/map_changes_test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { encodeFrame } from "../../messages/codec.ts";
 import type { ExpertMap } from "../../messages/group_types.ts";
-import { MapEncoder, ReceivedMap } from "./map_changes.ts";
+import { MapDecoder, MapEncoder } from "./map_changes.ts";
 import type {
   MapChangeMessage,
   RankOrderMessage,
@@ -48,10 +48,10 @@
 
   it("restores the full map at the receiver, also when it is sent again", () => {
     const sent = new MapEncoder();
-    const received = new ReceivedMap();
+    const received = new MapDecoder();
     const first = sent.encode(createPrepare(1, FIRST));
     assert.ok(first.kind === "rank_order" && first.order.kind === "prepare");
-    received.note(first.order.map);
+    received.record(first.order.map);
     for (const map of [SECOND, SECOND, FIRST]) {
       const change = sent.encode(createPrepare(2, map));
       assert.ok(change.kind === "map_change");
@@ -60,13 +60,13 @@
   });
 
   it("rejects a change if no map was received", () => {
-    const received = new ReceivedMap();
+    const received = new MapDecoder();
     assert.equal(received.tryDecode(createChange()), undefined);
   });
 
   it("rejects a change that does not match the previous map", () => {
-    const received = new ReceivedMap();
-    received.note(SECOND);
+    const received = new MapDecoder();
+    received.record(SECOND);
     const { checksum } = createChange();
     const rows = { layers: [0], ranks: [0], dropped: [[0]], gained: [[]] };
     const change = { ...createChange(), rows, checksum };
@@ -107,9 +107,9 @@
 
   it("sends changes to a map that was sent ahead of the first order", () => {
     const sent = new MapEncoder();
-    const received = new ReceivedMap();
+    const received = new MapDecoder();
     assert.equal(sent.hasBase, false);
-    received.note(sent.encodeBase(FIRST).map);
+    received.record(sent.encodeBase(FIRST).map);
     assert.equal(sent.hasBase, true);
     const change = sent.encode(createPrepare(2, SECOND));
     assert.ok(change.kind === "map_change");
--- a/src/group/formed/rank_agent.ts
+++ b/src/group/formed/rank_agent.ts
@@ -130,7 +130,7 @@
    *
    * @throws when the engine does not answer
    */
-  async carryOut(
+  async execute(
     message: RankOrderMessage,
     send: ReportSender,
   ): Promise<void> {
--- a/src/group/formed/rank_agent_test.ts
+++ b/src/group/formed/rank_agent_test.ts
@@ -25,7 +25,7 @@
 
   async execute(order: RankOrder): Promise<RankReportMessage | undefined> {
     const reports: RankReportMessage[] = [];
-    await this.#agent.carryOut(
+    await this.#agent.execute(
       { kind: "rank_order", orderId: this.#nextId++, order },
       (report) => reports.push(report),
     );
--- a/src/group/formed/rank_links.ts
+++ b/src/group/formed/rank_links.ts
@@ -173,7 +173,7 @@
     }
     member.lastDirectOrderId = orderId;
     this.#getRemoteAgent(member.engineAddress)
-      .carryOut({ kind: "rank_order", orderId, order }, (report) => {
+      .execute({ kind: "rank_order", orderId, order }, (report) => {
         onReport(member, report);
       })
       .catch((error) => {
--- a/src/group/formed/rank_questions.ts
+++ b/src/group/formed/rank_questions.ts
@@ -48,13 +48,13 @@
 const MS_PER_SECOND = 1000;
 
 /** A query for the state of a rank's engine and, optionally, its experts and counts. */
-export interface RankQuestion {
+export interface RankQuery {
   readonly rank: number;
   readonly withExperts: boolean;
   readonly withCounts: boolean;
 }
 
-/** Options of {@link RankQuestions}. */
+/** Options of {@link RankQueries}. */
 export interface RankQueriesOptions {
   readonly ranks: number;
   /** Capacity of the decider's link in bytes per second. */
@@ -84,7 +84,7 @@
 }
 
 /** Schedules a decider's queries to ranks. */
-export class RankQuestions {
+export class RankQueries {
   readonly #bytesPerSecond: number;
   readonly #lastQueries: readonly LastQuery[];
   /** Ranks whose experts are unknown and have to be queried. */
@@ -108,12 +108,12 @@
   }
 
   /** Adds a rank whose experts are unknown, so that they are queried. */
-  want(rank: number): void {
+  addUnknown(rank: number): void {
     this.#unknownExperts.add(rank);
   }
 
   /** Records an answer of a rank. A report about an order does not answer a query. */
-  answered({ state, orderId, counts, experts }: RankReportMessage): void {
+  recordAnswer({ state, orderId, counts, experts }: RankReportMessage): void {
     const query = this.#lastQueries[state.rank];
     if (query === undefined || orderId !== undefined) return;
     query.isPending = false;
@@ -132,7 +132,7 @@
    * for (const query of queries.takeDue(now, reachable)) send(query);
    * ```
    */
-  take(now: number, reachable: ReadonlySet<number>): readonly RankQuestion[] {
+  takeDue(now: number, reachable: ReadonlySet<number>): readonly RankQuery[] {
     this.#refillBudget(now);
     this.#resetDisconnected(reachable);
     this.#selectSampled(reachable);
@@ -146,7 +146,7 @@
   #takeExpertQueries(
     now: number,
     reachable: ReadonlySet<number>,
-  ): readonly RankQuestion[] {
+  ): readonly RankQuery[] {
     const ranks = [...this.#unknownExperts].filter((rank) =>
       reachable.has(rank)
     );
@@ -154,7 +154,7 @@
       .map((rank) => ({ rank, withExperts: true, withCounts: false }));
   }
 
-  #takeCountQueries(now: number): readonly RankQuestion[] {
+  #takeCountQueries(now: number): readonly RankQuery[] {
     const batch = Math.floor(now * COUNT_BATCHES / COUNT_INTERVAL_MS) %
       COUNT_BATCHES;
     const due = this.#sampled.filter((rank, index) =>
@@ -169,7 +169,7 @@
   #takeStateQueries(
     now: number,
     reachable: ReadonlySet<number>,
-  ): readonly RankQuestion[] {
+  ): readonly RankQuery[] {
     const due = [...reachable].filter((rank) =>
       !this.#sampled.includes(rank) &&
       this.#isDue(rank, now, STATE_INTERVAL_MS)
--- a/src/group/formed/rank_questions_test.ts
+++ b/src/group/formed/rank_questions_test.ts
@@ -16,7 +16,7 @@
   LinkedGroupWorld,
 } from "../../testing/linked_group_world.ts";
 import { createRankState } from "../../testing/rank_state.ts";
-import { RankQuestions } from "./rank_questions.ts";
+import { RankQueries } from "./rank_questions.ts";
 
 /** 4.2 Mbit/s, the link capacity of the VMs in the largest groups. */
 const LINK_BYTES_PER_SECOND = 525_000;
@@ -75,14 +75,14 @@
 describe("queries to one rank", () => {
   const reachable = new Set([0]);
 
-  function createQueries(): RankQuestions {
-    return new RankQuestions({ ranks: 1, bytesPerSecond: 1_000_000 });
+  function createQueries(): RankQueries {
+    return new RankQueries({ ranks: 1, bytesPerSecond: 1_000_000 });
   }
 
-  function countSent(untilMs: number, queries: RankQuestions): number {
+  function countSent(untilMs: number, queries: RankQueries): number {
     let sent = 0;
     for (let now = 0; now < untilMs; now += 25) {
-      sent += queries.take(now, reachable).length;
+      sent += queries.takeDue(now, reachable).length;
     }
     return sent;
   }
@@ -95,25 +95,25 @@
 
   it("for its experts are repeated soon, since it may have been too busy", () => {
     const queries = createQueries();
-    queries.want(0);
-    assert.equal(queries.take(0, reachable)[0]?.withExperts, true);
-    assert.equal(queries.take(200, reachable).length, 0);
-    assert.equal(queries.take(400, reachable)[0]?.withExperts, true);
+    queries.addUnknown(0);
+    assert.equal(queries.takeDue(0, reachable)[0]?.withExperts, true);
+    assert.equal(queries.takeDue(200, reachable).length, 0);
+    assert.equal(queries.takeDue(400, reachable)[0]?.withExperts, true);
   });
 
   it("start over when its connection is lost", () => {
     const queries = createQueries();
-    assert.equal(queries.take(0, reachable).length, 1);
-    assert.equal(queries.take(25, new Set()).length, 0);
-    assert.equal(queries.take(50, reachable).length, 1);
+    assert.equal(queries.takeDue(0, reachable).length, 1);
+    assert.equal(queries.takeDue(25, new Set()).length, 0);
+    assert.equal(queries.takeDue(50, reachable).length, 1);
   });
 
   it("are not answered by its report about an order", () => {
     const queries = createQueries();
-    const [first] = queries.take(0, reachable);
+    const [first] = queries.takeDue(0, reachable);
     assert.equal(first?.rank, 0);
     const state = createRankState({ rank: 0, ranks: 1 });
-    queries.answered({ kind: "rank_report", state, orderId: 7 });
-    assert.equal(queries.take(500, reachable).length, 0);
+    queries.recordAnswer({ kind: "rank_report", state, orderId: 7 });
+    assert.equal(queries.takeDue(500, reachable).length, 0);
   });
 });
--- a/src/group/formed/switch_rescuer.ts
+++ b/src/group/formed/switch_rescuer.ts
@@ -29,7 +29,7 @@
 const MIN_FIRST_ORDER_ID = 2 ** 40;
 const ORDER_ID_RANGE = 2 ** 31;
 
-/** Options of a {@link SwitchRescuer}. */
+/** Options of a {@link SwitchRecovery}. */
 export interface SwitchRecoveryOptions {
   readonly identity: LinkIdentity;
   readonly random: RandomSource;
@@ -41,7 +41,7 @@
 }
 
 /** Completes a held switch that the decider does not complete. */
-export class SwitchRescuer {
+export class SwitchRecovery {
   readonly #options: SwitchRecoveryOptions;
   #addresses: readonly GroupMemberAddress[] = [];
   #rank: number | undefined;
@@ -72,7 +72,7 @@
   }
 
   /** Records that rank 0 is armed, which remains true until the pass begins. */
-  note(report: RankReportMessage): void {
+  recordArmed(report: RankReportMessage): void {
     this.#armedReport = report;
   }
 
@@ -144,7 +144,7 @@
     const { rank, orderId, order } = effect;
     if (rank !== this.#rank) return this.#links?.sendOrder(effect);
     this.#options.agent
-      .carryOut(
+      .execute(
         { kind: "rank_order", orderId, order },
         (report) => this.#onReport(report),
       )
--- a/src/group/group_part.ts
+++ b/src/group/group_part.ts
@@ -20,7 +20,7 @@
   readonly memberAddresses: readonly string[];
 }
 
-/** Options of a {@link GroupPart}. */
+/** Options of a {@link GroupParticipant}. */
 export interface GroupParticipantOptions {
   readonly group: GroupRank;
   readonly identity: LinkIdentity;
@@ -30,7 +30,7 @@
 }
 
 /** Runs the member of a target's rank and, at rank 0, the decider of the group. */
-export class GroupPart {
+export class GroupParticipant {
   readonly #member: MemberDriver;
   readonly #coordinator: CoordinatorDriver | undefined;
   /** Newest connection of rank 0; an older one belongs to an earlier process. */
--- a/src/target/target_driver.ts
+++ b/src/target/target_driver.ts
@@ -6,7 +6,7 @@
 import { performance } from "node:perf_hooks";
 import { assertNever } from "../core/debug.ts";
 import type { EventLog } from "../events/event_log.ts";
-import { GroupPart } from "../group/group_part.ts";
+import { GroupParticipant } from "../group/group_part.ts";
 import type { Link } from "../links/link.ts";
 import { LinkServer, type LinkServerListener } from "../links/link_server.ts";
 import { PeerBodySource } from "../settings/peer_body_source.ts";
@@ -73,7 +73,7 @@
   readonly #exchange: SettingsExchange;
   readonly #bodies = new BodyCache();
   #claims: ClaimKeeper | undefined;
-  #group: GroupPart | undefined;
+  #group: GroupParticipant | undefined;
   #machineListReader: MachineListReader | undefined;
   #tickTimer: NodeJS.Timeout | undefined;
   #nextLinkId = 1;
@@ -243,7 +243,7 @@
     const { settings, incarnation, rankEngine, log } = this.#options;
     const { group } = settings;
     if (group === undefined || rankEngine === undefined) return;
-    this.#group = new GroupPart({
+    this.#group = new GroupParticipant({
       group,
       identity: { ...settings, incarnation },
       engine: rankEngine,
--- a/src/testing/drifting_group.ts
+++ b/src/testing/drifting_group.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { RandomSource } from "../core/random_source.ts";
-import { getCopiesPerRank } from "../group/formed/copies_per_rank.ts";
+import { getMaxCopiesPerRank } from "../group/formed/copies_per_rank.ts";
 import { Popularity } from "../group/formed/popularity.ts";
 import type { ExpertMap } from "../messages/group_types.ts";
 import { tryPlanIncrement } from "../policy/placement/incremental_planner.ts";
@@ -137,7 +137,7 @@
     if (this.#pending !== undefined || !this.#popularity.isKnown) return;
     const { ranks, loadMs, planningMs, planningMsPerCopy } = this.#shape;
     const mostNewPerRank = this.#options.copiesPerRank ??
-      getCopiesPerRank({ loadMs, passMs: USUAL_PASS_MS, ranks });
+      getMaxCopiesPerRank({ loadMs, passMs: USUAL_PASS_MS, ranks });
     const plan = tryPlanIncrement({
       current: this.#map,
       tokens: this.#popularity.tokens,
--- a/src/testing/linked_group_world.ts
+++ b/src/testing/linked_group_world.ts
@@ -7,10 +7,7 @@
 import { RandomSource } from "../core/random_source.ts";
 import { FormedGroupDecider } from "../group/formed/decider.ts";
 import type { DeciderEvent } from "../group/formed/decider_types.ts";
-import {
-  type RankQuestion,
-  RankQuestions,
-} from "../group/formed/rank_questions.ts";
+import { RankQueries, type RankQuery } from "../group/formed/rank_questions.ts";
 import type {
   ExpertCounts,
   RankExperts,
@@ -59,7 +56,7 @@
   readonly #queue = new EventQueue();
   readonly #engines: readonly FakeFormedEngine[];
   readonly #decider: FormedGroupDecider;
-  readonly #questions: RankQuestions;
+  readonly #questions: RankQueries;
   readonly #reachable: ReadonlySet<number>;
   readonly #stateAt: number[];
   readonly #random = new RandomSource(1);
@@ -85,7 +82,7 @@
       now: 0,
       firstOrderId: 1,
     });
-    this.#questions = new RankQuestions({
+    this.#questions = new RankQueries({
       ranks,
       bytesPerSecond: linkBytesPerSecond,
     });
@@ -109,7 +106,7 @@
   #tick(): void {
     const { now } = this.#queue;
     this.#reduce({ kind: "tick", now });
-    for (const question of this.#questions.take(now, this.#reachable)) {
+    for (const question of this.#questions.takeDue(now, this.#reachable)) {
       this.#ask(question);
     }
     this.#queue.after(TICK_MS, () => this.#tick());
@@ -117,14 +114,14 @@
 
   #reduce(event: DeciderEvent): void {
     for (const effect of this.#decider.reduce(event)) {
-      if (effect.kind === "send_query") this.#questions.want(effect.rank);
+      if (effect.kind === "send_query") this.#questions.addUnknown(effect.rank);
     }
     if (this.#decider.settledMap !== undefined) {
       this.#settledAt ??= this.#queue.now;
     }
   }
 
-  #ask(question: RankQuestion): void {
+  #ask(question: RankQuery): void {
     if (this.#options.silentRanks?.has(question.rank)) return;
     this.#queue.after(ANSWER_MS, () => this.#cross(this.#answer(question)));
   }
@@ -147,11 +144,11 @@
     const { rank } = report.state;
     this.#stateAt[rank] = now;
     if (report.counts !== undefined) this.#counts++;
-    this.#questions.answered(report);
+    this.#questions.recordAnswer(report);
     this.#reduce({ kind: "rank_reported", now, rank, report });
   }
 
-  #answer({ rank, withExperts, withCounts }: RankQuestion): RankReportMessage {
+  #answer({ rank, withExperts, withCounts }: RankQuery): RankReportMessage {
     const { state } = this.#engine(rank);
     const counts = withCounts ? this.#createCounts() : undefined;
     return {
