--- a/bench/choice_bench.ts
+++ b/bench/choice_bench.ts
@@ -294,7 +294,7 @@
 
   #first(request: RequestModel, target: TargetRecord): void {
     if (request.isOver) return;
-    target.countFirstByte(request.id, this.#events.now);
+    target.recordFirstByte(request.id, this.#events.now);
     if (request.arrivedAt < COUNT_FROM_MS) return;
     this.#firstTokens.push(this.#events.now - request.arrivedAt);
   }
@@ -307,8 +307,8 @@
     if (request.isOver) return;
     request.isOver = true;
     target.removeInFlight(request.id);
-    target.countAttempt(false, this.#events.now);
-    target.noteConnection(undefined, this.#events.now);
+    target.recordAttempt(false, this.#events.now);
+    target.recordConnection(undefined, this.#events.now);
     target.setReportedLoad(answer.load, this.#events.now);
     if (request.arrivedAt < COUNT_FROM_MS || request.tokens < 2) return;
     this.#between.push(answer.milliseconds / (request.tokens - 1));
@@ -316,7 +316,7 @@
 
   #refused(request: RequestModel, target: TargetRecord): void {
     target.removeInFlight(request.id);
-    target.countAttempt(true, this.#events.now);
+    target.recordAttempt(true, this.#events.now);
     if (request.isRetried) return this.#fail(request);
     request.isRetried = true;
     this.#send(request, target.name);
@@ -326,7 +326,7 @@
     if (request.isOver || target.ownInFlight === 0) return;
     request.isOver = true;
     target.removeInFlight(request.id);
-    target.countAttempt(true, this.#events.now);
+    target.recordAttempt(true, this.#events.now);
     this.#fail(request);
   }
 
--- a/src/direct/direct_target.ts
+++ b/src/direct/direct_target.ts
@@ -16,7 +16,7 @@
 } from "../external/back_end.ts";
 import type { BackEndInstance } from "../messages/back_end_instance.ts";
 import type {
-  AttemptName,
+  AttemptId,
   PausableAnswers,
   TargetLink,
 } from "../entry/target_links.ts";
@@ -77,7 +77,7 @@
     attempt.start(backEnd, { instance: instance.name, mayBegin });
   }
 
-  #tryCall(attempt: AttemptName): BackEndCall | undefined {
+  #tryCall(attempt: AttemptId): BackEndCall | undefined {
     return this.#attempts.get(getAttemptKey(attempt))?.call;
   }
 
@@ -215,6 +215,6 @@
   }
 }
 
-function getAttemptKey({ requestId, attempt }: AttemptName): string {
+function getAttemptKey({ requestId, attempt }: AttemptId): string {
   return `${requestId}.${attempt}`;
 }
--- a/src/direct/peers/entry_memories.ts
+++ b/src/direct/peers/entry_memories.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import type { CrashMemory } from "../../entry/crash_watch.ts";
+import type { ReplicatedCrashes } from "../../entry/crash_watch.ts";
 import type { CrashedRequest } from "../../policy/crash_history.ts";
 import type {
   LeavingTarget,
@@ -40,7 +40,7 @@
 
 /** Options of {@link ReplicatedState}. */
 export interface ReplicatedStateOptions {
-  readonly crashes: CrashMemory;
+  readonly crashes: ReplicatedCrashes;
   readonly limits: Pick<TargetLimits, "content" | "list">;
   readonly leaving: Pick<LeavingTargets, "content" | "list">;
   /** Called with another entry's state, with times converted to this process's clock. */
--- a/src/entry/admission_gate.ts
+++ b/src/entry/admission_gate.ts
@@ -102,7 +102,7 @@
   }
 
   /** Records the arrival of a request. */
-  noteArrival(inFlight: InFlightRequest, now: number): void {
+  recordArrival(inFlight: InFlightRequest, now: number): void {
     if (inFlight.poolPriorities === undefined) return;
     this.#getOrder(inFlight.pool).recordArrival({
       ...createOrderedRequest(inFlight, now),
@@ -146,7 +146,7 @@
    * Returns why a request was last deferred; undefined if it is refused for another
    * reason.
    */
-  tryHoldFacts(
+  tryDeferralDetails(
     inFlight: InFlightRequest,
     reason: RefusalName,
     now: number,
@@ -178,7 +178,7 @@
   }
 
   /** Returns the counter and log effects that were recorded since the last call. */
-  takeNotes(): readonly EntryEffect[] {
+  takeEffects(): readonly EntryEffect[] {
     const effects = this.#pendingEffects;
     if (effects.length > 0) this.#pendingEffects = [];
     return effects;
--- a/src/entry/answer_receiver.ts
+++ b/src/entry/answer_receiver.ts
@@ -19,7 +19,7 @@
 import type { InFlightRequest } from "./in_flight_request.ts";
 import type { NoticeWatch } from "./notice_watch.ts";
 import type { RequestDispatcher } from "./request_dispatcher.ts";
-import type { TargetMoment, TargetNews } from "./target_news.ts";
+import type { TargetEventContext, TargetUpdater } from "./target_news.ts";
 import type { TargetRecord } from "./target_record.ts";
 import type { EntryEffect } from "./types.ts";
 
@@ -27,7 +27,7 @@
 export interface AnswerReceiverOptions {
   readonly dispatcher: RequestDispatcher;
   readonly notices: NoticeWatch;
-  readonly targetUpdates: TargetNews;
+  readonly targetUpdates: TargetUpdater;
   readonly crashes: CrashWatch;
   /** Receives the effects, in order. */
   readonly effects: Pick<EntryEffect[], "push">;
@@ -58,7 +58,7 @@
     }
     const context = { inFlight, target, now };
     this.#options.effects.push(
-      ...this.#options.notices.noteAnswer(message, context),
+      ...this.#options.notices.recordNotices(message, context),
     );
     if (message.kind === "refused") {
       const sentAt = inFlight.attemptStartedAt;
@@ -69,9 +69,9 @@
     }
     switch (message.kind) {
       case "answer_head":
-        target.countFirstByte(message.requestId, now);
+        target.recordFirstByte(message.requestId, now);
         this.#options.effects.push(
-          ...this.#options.targetUpdates.noteReached(target),
+          ...this.#options.targetUpdates.recordReached(target),
         );
         this.#options.effects.push(...relayHead(inFlight));
         return;
@@ -87,7 +87,7 @@
   #continueAnswer(
     inFlight: InFlightRequest,
     bytes: Uint8Array,
-    context: TargetMoment,
+    context: TargetEventContext,
   ): void {
     inFlight.recordChunk(context.now);
     const { effects, hasGap } = relayChunk(inFlight, bytes);
@@ -98,7 +98,7 @@
   #finishAnswer(
     inFlight: InFlightRequest,
     message: AnswerEndMessage,
-    context: TargetMoment,
+    context: TargetEventContext,
   ): void {
     const status = inFlight.head?.status ?? 0;
     const isServerError = status >= MIN_SERVER_ERROR_STATUS;
@@ -108,9 +108,9 @@
     ) > 0;
     // A backoff already states how long the target is to receive no requests.
     if (!isServerError || !isBackingOff) {
-      context.target.countAttempt(isServerError, context.now);
+      context.target.recordAttempt(isServerError, context.now);
     }
-    context.target.noteConnection(message.keptMs, context.now);
+    context.target.recordConnection(message.keptMs, context.now);
     context.target.setReportedLoad(
       message.queued + message.running,
       context.now,
@@ -121,7 +121,7 @@
       this.#dispatcher.tryRetry(inFlight, SERVER_ERROR_FAILURE, context.now)
     ) return;
     this.#options.effects.push(
-      ...this.#options.crashes.noteServed(inFlight, context.now),
+      ...this.#options.crashes.recordServed(inFlight, context.now),
     );
     this.#dispatcher.finish(inFlight, context.now);
   }
@@ -129,10 +129,10 @@
   #onAttemptRefused(
     inFlight: InFlightRequest,
     message: RefusedMessage,
-    context: TargetMoment,
+    context: TargetEventContext,
   ): void {
     this.#options.effects.push(
-      ...this.#options.targetUpdates.noteRefused(message, context),
+      ...this.#options.targetUpdates.recordRefused(message, context),
     );
     this.#dispatcher.onAttemptFailed(inFlight, message, context.now);
   }
@@ -142,7 +142,7 @@
     target: TargetRecord,
     now: number,
   ): void {
-    target.countAttempt(true, now);
+    target.recordAttempt(true, now);
     this.#dispatcher.cancel(inFlight);
     this.#dispatcher.onAttemptFailed(
       inFlight,
--- a/src/entry/caller_buffers.ts
+++ b/src/entry/caller_buffers.ts
@@ -17,7 +17,7 @@
   type PauseAnswer,
   type ResumeAnswer,
 } from "./held_bytes.ts";
-import type { AttemptName, PausableAnswers } from "./target_links.ts";
+import type { AttemptId, PausableAnswers } from "./target_links.ts";
 import type { EntryEvent } from "./types.ts";
 
 /** Options of {@link CallerBuffers}. */
@@ -32,7 +32,7 @@
 
 /** The attempt that produces a caller's answer, and the call that can be paused. */
 interface AnswerSource {
-  readonly attempt: AttemptName;
+  readonly attempt: AttemptId;
   readonly answers: PausableAnswers;
 }
 
@@ -91,7 +91,7 @@
 
   /** Sets the attempt that produces the answer; pauses it if the caller is paused. */
   setSource(
-    attempt: AttemptName,
+    attempt: AttemptId,
     answers: PausableAnswers | undefined,
   ): void {
     const openCaller = this.#callers.get(attempt.requestId);
--- a/src/entry/crash_watch.ts
+++ b/src/entry/crash_watch.ts
@@ -49,14 +49,14 @@
 }
 
 /** The known crashes, as they are replicated to other entries. */
-export interface CrashMemory {
+export interface ReplicatedCrashes {
   /** Digest that is equal for equal crashes. */
   readonly content: string;
   list(): readonly CrashedRequest[];
 }
 
 /** Detects requests that crash targets. */
-export class CrashWatch implements CrashMemory {
+export class CrashWatch implements ReplicatedCrashes {
   readonly #history = new CrashHistory();
   /** Returns when a target last answered anything, in milliseconds; 0 if it never did. */
   readonly #getAnsweredAt: (target: string) => number;
@@ -89,7 +89,7 @@
   }
 
   /** Records that the current attempt ended without an answer, and may have run. */
-  noteLost(
+  recordLost(
     inFlight: InFlightRequest,
     end: AttemptEnd,
   ): readonly EntryEffect[] {
@@ -118,14 +118,14 @@
   }
 
   /** Records that a request was answered. */
-  noteServed(inFlight: InFlightRequest, now: number): readonly EntryEffect[] {
+  recordServed(inFlight: InFlightRequest, now: number): readonly EntryEffect[] {
     const hasChanged = this.hasCrashed(inFlight) &&
       this.#history.recordServed(inFlight.digest, now);
     return hasChanged ? [REPLICATED_STATE_CHANGED] : [];
   }
 
   /** Merges the crashes that another entry replicated. */
-  noteTold({ requests, now }: CrashesTold): readonly EntryEffect[] {
+  mergeCrashes({ requests, now }: CrashesTold): readonly EntryEffect[] {
     return this.#history.merge(requests, now) ? [REPLICATED_STATE_CHANGED] : [];
   }
 
--- a/src/entry/decision_notes.ts
+++ b/src/entry/decision_notes.ts
@@ -9,7 +9,7 @@
 import type { GroupUtilization } from "../policy/group_capacity.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import type { Outcome } from "../refusals/types.ts";
-import type { DrainFacts } from "./drain_watch.ts";
+import type { DrainDetails } from "./drain_watch.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
 import type { NotedCrash } from "./lost_attempt.ts";
 import type { TargetRecord } from "./target_record.ts";
@@ -36,9 +36,9 @@
   readonly submission: Outcome;
   readonly now: number;
   /** Retry delay that the caller was told, in milliseconds from now. */
-  readonly returnMs?: number;
+  readonly retryDelayMs?: number;
   /** The drains that caused the failure. */
-  readonly drains?: DrainFacts;
+  readonly drains?: DrainDetails;
   /** Load and capacity of the rank group for which the request was deferred. */
   readonly utilization?: GroupUtilization;
 }
@@ -46,7 +46,7 @@
 /**
  * Creates the record that a request is sent to a target, as a first attempt or a retry.
  */
-export function createSentNote(
+export function createSentRecord(
   inFlight: InFlightRequest,
   details: SentDetails,
 ): LogDecision {
@@ -78,7 +78,7 @@
 }
 
 /** Creates the record that a request waits because no target is available now. */
-export function createWaitsNote(
+export function createWaitsRecord(
   inFlight: InFlightRequest,
   details: { readonly reason: RefusalName; readonly now: number },
 ): LogDecision {
@@ -98,7 +98,7 @@
  * Creates the record that an attempt failed. The next record of the request shows whether
  * another attempt follows.
  */
-export function createAttemptFailedNote(
+export function createAttemptFailedRecord(
   inFlight: InFlightRequest,
   details: FailureDetails,
 ): LogDecision {
@@ -188,7 +188,7 @@
 }
 
 /** Creates the record that the caller closed its connection. */
-export function createLeftNote(inFlight: InFlightRequest): LogDecision {
+export function createCallerLeftRecord(inFlight: InFlightRequest): LogDecision {
   return {
     kind: "log_decision",
     name: "CALLER_LEFT",
@@ -201,7 +201,7 @@
 }
 
 /** Creates the record that the caller received a whole answer. */
-export function createAnsweredNote(
+export function createAnsweredRecord(
   inFlight: InFlightRequest,
   now: number,
 ): LogDecision {
@@ -226,7 +226,7 @@
 /**
  * Creates the record that the caller received a refusal, or an answer that was cut off.
  */
-export function createFailedNote(
+export function createFailedRecord(
   inFlight: InFlightRequest,
   details: FailureDetails,
 ): LogDecision {
@@ -246,7 +246,7 @@
         : undefined,
       ...details.drains,
       isRepeated: inFlight.isRepeated,
-      returnMs: details.returnMs && Math.round(details.returnMs),
+      returnMs: details.retryDelayMs && Math.round(details.retryDelayMs),
       load: details.utilization?.load,
       capacity: details.utilization && Math.round(details.utilization.capacity),
       reportAgeMs: details.utilization && Math.round(details.utilization.ageMs),
@@ -256,7 +256,7 @@
 }
 
 /** Creates the record that a request was refused before a target was selected. */
-export function createDoorNote(
+export function createNotAdmittedRecord(
   request: CallerRequest,
   reason: RefusalName,
 ): LogDecision {
--- a/src/entry/drain_watch.ts
+++ b/src/entry/drain_watch.ts
@@ -15,7 +15,7 @@
 const MAX_LOGGED_CHARACTERS = 200;
 
 /** Details of the drains that cause a refusal, for its log record. */
-export interface DrainFacts {
+export interface DrainDetails {
   /** The drained failure domains, separated by spaces. */
   readonly drained: string;
   /** Milliseconds since the set of drained failure domains last changed. */
@@ -36,7 +36,7 @@
   }
 
   /** Replaces the set of drained failure domains. */
-  noteDrained(
+  applyDrains(
     { failureDomains, now }: FailureDomainsDrained,
   ): readonly LogDecision[] {
     const { ended } = this.#drains.set(failureDomains, now);
@@ -44,7 +44,7 @@
     for (const name of ended) this.#loggedEvents.delete(name);
     return [
       ...ended.map((name) => this.#createRecord("DOMAIN_RETURNS", name)),
-      ...this.noteTargets(),
+      ...this.onTargetsListed(),
     ];
   }
 
@@ -52,7 +52,7 @@
    * Logs the drained failure domains whose targets are known now. Drains may have been
    * read before the list of targets.
    */
-  noteTargets(): readonly LogDecision[] {
+  onTargetsListed(): readonly LogDecision[] {
     const { drained } = this.#drains;
     if (drained.size === 0 || this.#registry.isEmpty) return [];
     return [...drained].flatMap((name) => {
@@ -65,7 +65,7 @@
   }
 
   /** Returns the details of the current drains, for the log record of a refusal. */
-  getFacts(now: number): DrainFacts {
+  getDetails(now: number): DrainDetails {
     const { drained, changedAt } = this.#drains;
     return {
       drained: [...drained].join(" ").slice(0, MAX_LOGGED_CHARACTERS),
--- a/src/entry/entry_driver.ts
+++ b/src/entry/entry_driver.ts
@@ -226,7 +226,7 @@
       list: machineList,
       onList: (machines) => {
         this.#virtualMachines = machines;
-        this.#dialler?.setMachines(machines);
+        this.#dialler?.setVirtualMachines(machines);
         this.#server.dispatch({
           kind: "machines_listed",
           now: performance.now(),
--- a/src/entry/entry_reducer.ts
+++ b/src/entry/entry_reducer.ts
@@ -17,8 +17,8 @@
 import { Admission } from "./admission.ts";
 import type { AdmissionGate } from "./admission_gate.ts";
 import { AnswerReceiver } from "./answer_receiver.ts";
-import { type CrashMemory, CrashWatch } from "./crash_watch.ts";
-import { createLeftNote } from "./decision_notes.ts";
+import { CrashWatch, type ReplicatedCrashes } from "./crash_watch.ts";
+import { createCallerLeftRecord } from "./decision_notes.ts";
 import { DrainWatch } from "./drain_watch.ts";
 import { createUnknownFailure } from "./failures.ts";
 import { InFlightRequest } from "./in_flight_request.ts";
@@ -32,7 +32,7 @@
 import { RetryingCallers } from "./returning_callers.ts";
 import type { Route } from "./routing_table.ts";
 import type { TargetAvailability } from "./target_availability.ts";
-import { TargetNews } from "./target_news.ts";
+import { TargetUpdater } from "./target_news.ts";
 import { TargetRegistry } from "./target_registry.ts";
 import { TargetSelection } from "./target_selection.ts";
 import type {
@@ -80,7 +80,7 @@
   readonly #drains: DrainWatch;
   /** Tracks which targets are warming up. */
   readonly warmUp = new WarmUpWatch();
-  readonly #targetUpdates: TargetNews;
+  readonly #targetUpdates: TargetUpdater;
   #isDraining = false;
   #isDrained = false;
   #comparedAt = 0;
@@ -106,7 +106,7 @@
     this.#crashes = new CrashWatch((name) =>
       this.registry.tryGet(name)?.answeredAt ?? 0
     );
-    this.#targetUpdates = new TargetNews({
+    this.#targetUpdates = new TargetUpdater({
       selection: this.#selection,
       crashes: this.#crashes,
       limits,
@@ -137,7 +137,7 @@
   }
 
   /** The recorded crashes of targets under requests. */
-  get crashes(): CrashMemory {
+  get crashes(): ReplicatedCrashes {
     return this.#crashes;
   }
 
@@ -200,14 +200,14 @@
       case "message_received":
         return this.#onMessageReceived(event);
       case "machines_listed":
-        return this.registry.setMachines(event.machines);
+        return this.registry.setVirtualMachines(event.machines);
       case "settings_in_force":
         return this.#onSettingsInForce(event);
       case "scripts_finished":
         return this.#onScriptsFinished(event.requestId);
       case "instances_listed":
-        this.#effects.push(...this.#targetUpdates.noteListed(event));
-        this.#effects.push(...this.#drains.noteTargets());
+        this.#effects.push(...this.#targetUpdates.recordInstances(event));
+        this.#effects.push(...this.#drains.onTargetsListed());
         return this.#dispatcher.submitWaiting(event.now);
       case "entries_listed":
         this.#selection.setEntries(event.entries, event.now);
@@ -216,20 +216,20 @@
         this.permits.recordOutcome(event.outcome, event.now);
         return this.#dispatcher.submitWaiting(event.now);
       case "group_load_told":
-        this.#effects.push(...this.#targetUpdates.noteGroupLoad(event));
+        this.#effects.push(...this.#targetUpdates.recordGroupLoad(event));
         this.#dispatcher.rerouteFromSlowRanks(event.now);
         return this.#dispatcher.submitWaiting(event.now);
       case "crashes_told":
-        this.#effects.push(...this.#crashes.noteTold(event));
+        this.#effects.push(...this.#crashes.mergeCrashes(event));
         return;
       case "limits_told":
-        this.#effects.push(...this.#notices.noteLimitsTold(event));
+        this.#effects.push(...this.#notices.mergeLimits(event));
         return this.#dispatcher.submitWaiting(event.now);
       case "leaving_told":
-        this.#effects.push(...this.#notices.noteLeavingTold(event));
+        this.#effects.push(...this.#notices.mergeLeaving(event));
         return;
       case "failure_domains_drained":
-        this.#effects.push(...this.#drains.noteDrained(event));
+        this.#effects.push(...this.#drains.applyDrains(event));
         this.#dispatcher.submitWaiting(event.now);
         return this.#dispatcher.refuseExpired(event.now);
       case "ranks_listed":
@@ -249,7 +249,7 @@
   }
 
   #onGroupObserved(event: GroupSeen): void {
-    const effects = this.#targetUpdates.noteGroupSeen(event);
+    const effects = this.#targetUpdates.recordGroupObservation(event);
     this.#effects.push(...effects);
     const hasOpened = effects.length > 0 && event.sight.isOpen;
     if (hasOpened) this.#dispatcher.submitWaiting(event.now);
@@ -284,7 +284,7 @@
       digestKey: this.#digestKey,
     });
     this.#retries.countRequest(inFlight, now);
-    this.gate.noteArrival(inFlight, now);
+    this.gate.recordArrival(inFlight, now);
     this.#dispatcher.add(inFlight, now);
   }
 
@@ -295,7 +295,7 @@
     if (isAttemptMessage(message)) {
       return this.#answers.receive(message, target, now);
     }
-    this.#targetUpdates.noteWord(message, { target, now });
+    this.#targetUpdates.recordMessage(message, { target, now });
   }
 
   #onTargetDisconnected(targetName: string, now: number): void {
@@ -316,7 +316,7 @@
     if (inFlight === undefined) return;
     this.#dispatcher.recordLostAttempt(inFlight, { now, isBroken: false });
     this.#dispatcher.cancel(inFlight);
-    this.#effects.push(createLeftNote(inFlight));
+    this.#effects.push(createCallerLeftRecord(inFlight));
     this.#dispatcher.drop(inFlight);
   }
 
@@ -335,7 +335,7 @@
     const { routes, changed, now, groups } = event;
     if (groups !== undefined) this.gate.setGroups(groups);
     this.#admission.setRoutes(routes);
-    this.#effects.push(...this.warmUp.noteSettings(event));
+    this.#effects.push(...this.warmUp.applySettings(event));
     this.registry.setLeavingBySettings(event.leavingTargets ?? new Set());
     const changedRoutes = changed === undefined
       ? routes.routes()
@@ -354,8 +354,8 @@
   }
 
   #onTick(now: number): void {
-    this.#effects.push(...this.warmUp.noteTime(now));
-    this.#effects.push(...this.#notices.noteTime(now));
+    this.#effects.push(...this.warmUp.advanceTo(now));
+    this.#effects.push(...this.#notices.advanceTo(now));
     if (now - this.#comparedAt >= COMPARISON_INTERVAL_MS) {
       this.#comparedAt = now;
       this.registry.updateSlowness(now);
@@ -375,7 +375,7 @@
   #countMissingFirstByte(inFlight: InFlightRequest, now: number): void {
     if (inFlight.head !== undefined) return;
     const target = this.registry.tryGet(inFlight.targetName ?? "");
-    target?.countAttempt(true, now);
+    target?.recordAttempt(true, now);
   }
 
   #refuse(request: CallerRequest, reason: RefusalName): void {
--- a/src/entry/failures.ts
+++ b/src/entry/failures.ts
@@ -6,7 +6,7 @@
 import type { GroupUtilization } from "../policy/group_capacity.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import type { Outcome } from "../refusals/types.ts";
-import type { DrainFacts } from "./drain_watch.ts";
+import type { DrainDetails } from "./drain_watch.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
 
 /** Why a request got no answer, and whether it may have run. */
@@ -19,7 +19,7 @@
   /** Milliseconds until a target may accept the request, if known. */
   readonly freeInMs?: number;
   /** The drains that caused the failure. */
-  readonly drains?: DrainFacts;
+  readonly drains?: DrainDetails;
   /** Load of the rank group for which the request was deferred. */
   readonly utilization?: GroupUtilization;
 }
--- a/src/entry/notice_watch.ts
+++ b/src/entry/notice_watch.ts
@@ -67,7 +67,7 @@
   /**
    * Records the notices of an answer; returns the effects of those that changed anything.
    */
-  noteAnswer(
+  recordNotices(
     message: AttemptMessage,
     context: AnswerContext,
   ): readonly EntryEffect[] {
@@ -81,7 +81,7 @@
   }
 
   /** Merges the limits that another entry replicated. */
-  noteLimitsTold({ limits, now }: LimitsTold): readonly EntryEffect[] {
+  mergeLimits({ limits, now }: LimitsTold): readonly EntryEffect[] {
     const updates = this.limits.merge(limits, now);
     if (updates.length === 0) return [];
     const records = updates.map((limit) =>
@@ -91,7 +91,7 @@
   }
 
   /** Merges the leaving targets that another entry replicated. */
-  noteLeavingTold({ targets, now }: LeavingTold): readonly EntryEffect[] {
+  mergeLeaving({ targets, now }: LeavingTold): readonly EntryEffect[] {
     const updates = this.leaving.merge(targets, now);
     if (updates.length === 0) return [];
     const records = updates.map(({ target, knownAt }) =>
@@ -101,7 +101,7 @@
   }
 
   /** Returns log records of the backoffs that have ended by `now`. */
-  noteTime(now: number): readonly LogDecision[] {
+  advanceTo(now: number): readonly LogDecision[] {
     return this.backoffs.takeEnded(now).map((backoff) =>
       createBackoffEndedRecord(backoff, now)
     );
--- a/src/entry/request_dispatcher.ts
+++ b/src/entry/request_dispatcher.ts
@@ -9,10 +9,10 @@
 import type { Admission } from "./admission.ts";
 import type { AttemptEnd, CrashWatch } from "./crash_watch.ts";
 import {
-  createAnsweredNote,
-  createAttemptFailedNote,
-  createSentNote,
-  createWaitsNote,
+  createAnsweredRecord,
+  createAttemptFailedRecord,
+  createSentRecord,
+  createWaitsRecord,
 } from "./decision_notes.ts";
 import type { DrainWatch } from "./drain_watch.ts";
 import {
@@ -93,13 +93,17 @@
   submitOrWait(inFlight: InFlightRequest, now: number): void {
     if (this.#tryRefuseCrashing(inFlight, now)) return;
     const selected = this.#selection.select(inFlight, now);
-    this.#options.effects.push(...this.#selection.gate.takeNotes());
+    this.#options.effects.push(...this.#selection.gate.takeEffects());
     if (selected.isOk()) return this.#submit(inFlight, selected.value, now);
     const reason = selected.error;
     if (reason === "TARGETS_LIMITED" && !this.#tryPermit(inFlight, now)) return;
-    const unavailability = this.#availability.describe(inFlight, reason, now);
+    const unavailability = this.#availability.describeUnavailability(
+      inFlight,
+      reason,
+      now,
+    );
     if (this.#waiting.tryAdd(inFlight, unavailability, now)) {
-      this.#options.effects.push(createWaitsNote(inFlight, { reason, now }));
+      this.#options.effects.push(createWaitsRecord(inFlight, { reason, now }));
       return;
     }
     this.#failUnsent(inFlight, unavailability, now);
@@ -126,7 +130,7 @@
       if (selected.isErr()) {
         const reason = selected.error;
         if (reason === "TARGETS_LIMITED") this.#tryPermit(inFlight, now);
-        const unavailability = this.#availability.describe(
+        const unavailability = this.#availability.describeUnavailability(
           inFlight,
           reason,
           now,
@@ -169,7 +173,7 @@
     inFlight.startAttempt(target.name, now);
     this.#recordChoice(inFlight, target, now);
     target.addInFlight(inFlight.request.id, now);
-    this.#selection.noteSent(inFlight, target, now);
+    this.#selection.recordSent(inFlight, target, now);
     this.#options.effects.push({
       kind: "send",
       targetName: target.name,
@@ -187,12 +191,16 @@
     const { reason } = unavailability;
     const isKeyed = inFlight.request.idempotencyKey !== undefined;
     const drains = reason === "DOMAINS_DRAINED"
-      ? this.#options.drains.getFacts(now)
+      ? this.#options.drains.getDetails(now)
       : undefined;
     const failure = createUnsentFailure(reason, isKeyed);
-    const deferral = this.#selection.gate.tryHoldFacts(inFlight, reason, now);
+    const deferral = this.#selection.gate.tryDeferralDetails(
+      inFlight,
+      reason,
+      now,
+    );
     const freeInMs = reason === "TARGETS_BACKING_OFF"
-      ? this.#availability.tryDrawReturnMs(unavailability)
+      ? this.#availability.trySampleRetryDelayMs(unavailability)
       : undefined;
     this.fail(inFlight, { ...failure, freeInMs, ...deferral, drains }, now);
   }
@@ -205,7 +213,7 @@
   ): void {
     this.#removeFromTarget(inFlight);
     this.#options.effects.push(
-      createAttemptFailedNote(inFlight, { ...failure, now }),
+      createAttemptFailedRecord(inFlight, { ...failure, now }),
     );
     const isBroken = failure.reason !== "DEADLINE";
     if (failure.submission === "unknown") {
@@ -221,7 +229,7 @@
   /** Records that the current attempt ended without an answer. */
   recordLostAttempt(inFlight: InFlightRequest, end: AttemptEnd): void {
     this.#options.effects.push(
-      ...this.#options.crashes.noteLost(inFlight, end),
+      ...this.#options.crashes.recordLost(inFlight, end),
     );
   }
 
@@ -232,10 +240,14 @@
     now: number,
   ): boolean {
     const isBackingOff = failure.submission === "not-run" &&
-      this.#availability.isBackingOffWhole(inFlight.pool, now);
+      this.#availability.isWholePoolBackingOff(inFlight.pool, now);
     if (!isBackingOff) return false;
     const reason = "TARGETS_BACKING_OFF";
-    const unavailability = this.#availability.describe(inFlight, reason, now);
+    const unavailability = this.#availability.describeUnavailability(
+      inFlight,
+      reason,
+      now,
+    );
     this.#failUnsent(inFlight, unavailability, now);
     return true;
   }
@@ -258,7 +270,7 @@
     // The unreachable target may be the only one and may become reachable again.
     if (reason === "TARGETS_UNREACHABLE") inFlight.allowLastTargetAgain();
     if (!this.#waiting.tryAdd(inFlight, { reason }, now)) return false;
-    this.#options.effects.push(createWaitsNote(inFlight, { reason, now }));
+    this.#options.effects.push(createWaitsRecord(inFlight, { reason, now }));
     return true;
   }
 
@@ -273,7 +285,7 @@
     const hasCrashedTarget = failure.submission === "unknown" &&
       this.#options.crashes.hasCrashed(inFlight);
     const canRetry = !hasCrashedTarget &&
-      this.#availability.hasOther(inFlight, now) &&
+      this.#availability.hasAlternative(inFlight, now) &&
       this.#options.retries.tryTake(inFlight, failure, now);
     if (!canRetry) return false;
     this.#removeFromTarget(inFlight);
@@ -290,7 +302,7 @@
   rerouteFromSlowRanks(now: number): void {
     for (const inFlight of this.inFlight) {
       const target = this.#selection.registry.tryGet(inFlight.targetName ?? "");
-      if (target?.holdsBackGroup !== true) continue;
+      if (target?.shouldMoveRequests !== true) continue;
       if (this.#selection.select(inFlight, now).isErr()) continue;
       const { attempt } = inFlight;
       if (!this.tryRetry(inFlight, SLOW_TARGET_FAILURE, now)) continue;
@@ -303,7 +315,11 @@
   /** Refuses waiting requests whose wait has expired. */
   refuseExpired(now: number): void {
     for (const { inFlight, reason } of this.#waiting.takeExpired(now)) {
-      const unavailability = this.#availability.describe(inFlight, reason, now);
+      const unavailability = this.#availability.describeUnavailability(
+        inFlight,
+        reason,
+        now,
+      );
       this.#failUnsent(inFlight, unavailability, now);
     }
   }
@@ -315,10 +331,10 @@
   ): void {
     const serving = this.#selection.registry.servingOf(inFlight.pool).length;
     const limit = this.#options.sendLimits.tryGet(target.name);
-    this.#options.warmUp.noteSent(target.name, inFlight.pool);
+    this.#options.warmUp.recordSent(target.name, inFlight.pool);
     const share = this.#availability.getShare(target, now);
     const details = { target, now, serving, limit, share };
-    this.#options.effects.push(createSentNote(inFlight, details));
+    this.#options.effects.push(createSentRecord(inFlight, details));
   }
 
   /** Cancels the current attempt at its target. */
@@ -334,7 +350,7 @@
   finish(inFlight: InFlightRequest, now: number): void {
     this.#end(inFlight);
     const { effects } = this.#options;
-    effects.push(createAnsweredNote(inFlight, now));
+    effects.push(createAnsweredRecord(inFlight, now));
     effects.push(...createAnswerCounts(inFlight));
     effects.push(...relayEnd(inFlight));
   }
--- a/src/entry/request_effects.ts
+++ b/src/entry/request_effects.ts
@@ -7,7 +7,10 @@
 import { getRetryDelayMs } from "../policy/return_time.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import { createProblem } from "../refusals/problem.ts";
-import { createDoorNote, createFailedNote } from "./decision_notes.ts";
+import {
+  createFailedRecord,
+  createNotAdmittedRecord,
+} from "./decision_notes.ts";
 import {
   createOverallFailure,
   createUnsentFailure,
@@ -25,7 +28,7 @@
 ): readonly EntryEffect[] {
   const isKeyed = request.idempotencyKey !== undefined;
   return [
-    createDoorNote(request, reason),
+    createNotAdmittedRecord(request, reason),
     ...createRefusal(request.id, createUnsentFailure(reason, isKeyed)),
   ];
 }
@@ -40,7 +43,11 @@
   if (!inFlight.isStreaming) {
     const overallFailure = createOverallFailure(inFlight, failure);
     const returnMs = tryGetRetryDelayMs(inFlight, overallFailure, now);
-    const logRecord = createFailedNote(inFlight, { ...failure, now, returnMs });
+    const logRecord = createFailedRecord(inFlight, {
+      ...failure,
+      now,
+      retryDelayMs: returnMs,
+    });
     const counts = createRefusalCounts(inFlight, returnMs);
     return [
       logRecord,
@@ -49,7 +56,7 @@
     ];
   }
   return [
-    createFailedNote(inFlight, { ...failure, now }),
+    createFailedRecord(inFlight, { ...failure, now }),
     { kind: "count_refusal", reason: failure.reason },
     { kind: "cut_answer", requestId },
   ];
--- a/src/entry/target_availability.ts
+++ b/src/entry/target_availability.ts
@@ -195,7 +195,7 @@
    * Completes the reason why a request has no target with the time until one may be
    * available, if that is known.
    */
-  describe(
+  describeUnavailability(
     inFlight: InFlightRequest,
     reason: NoTargetReason,
     now: number,
@@ -216,7 +216,7 @@
    * is not known when a target is available. The retries that follow the end of one
    * backoff are spread over the time in which its target ramps up.
    */
-  tryDrawReturnMs(
+  trySampleRetryDelayMs(
     { freeInMs, spreadMs = 0 }: Unavailability,
   ): number | undefined {
     if (freeInMs === undefined) return undefined;
@@ -227,7 +227,7 @@
   /**
    * Whether all serving targets of a pool, tried or not, are in a backoff.
    */
-  isBackingOffWhole(pool: string, now: number): boolean {
+  isWholePoolBackingOff(pool: string, now: number): boolean {
     if (this.#backoffs.isIdle) return false;
     const serving = this.#registry.servingOf(pool);
     return serving.length > 0 &&
@@ -264,7 +264,7 @@
   }
 
   /** Whether a target that was not tried may be sent the request. */
-  hasOther(inFlight: InFlightRequest, now: number): boolean {
+  hasAlternative(inFlight: InFlightRequest, now: number): boolean {
     return this.listEligible(inFlight, now).isOk();
   }
 
@@ -282,7 +282,7 @@
   }
 
   /** Records that a request is sent to a target. */
-  noteSent(target: TargetRecord, now: number): void {
+  recordSent(target: TargetRecord, now: number): void {
     this.permits.recordSent(target.name, now);
     this.reachability.recordSent(target, now);
   }
--- a/src/entry/target_dialler.ts
+++ b/src/entry/target_dialler.ts
@@ -54,7 +54,7 @@
    * in it, but keeps connections that are established: the list lags behind and may be
    * wrong.
    */
-  setMachines(virtualMachines: readonly VirtualMachine[]): void {
+  setVirtualMachines(virtualMachines: readonly VirtualMachine[]): void {
     const wanted = new Set(this.#options.fixedAddresses);
     const present = virtualMachines.filter((virtualMachine) =>
       virtualMachine.role === "target" && virtualMachine.state !== "gone"
--- a/src/entry/target_links.ts
+++ b/src/entry/target_links.ts
@@ -6,16 +6,16 @@
 import type { CancelMessage, SubmitMessage } from "../messages/types.ts";
 
 /** Identifies one attempt at a target. */
-export type AttemptName = Pick<SubmitMessage, "requestId" | "attempt">;
+export type AttemptId = Pick<SubmitMessage, "requestId" | "attempt">;
 
 /** Pauses and resumes reading the answers of attempts. */
 export interface PausableAnswers {
   /** Stops reading the answer until it is resumed. */
-  pause(attempt: AttemptName): void;
+  pause(attempt: AttemptId): void;
   /** Continues reading the answer. */
-  resume(attempt: AttemptName): void;
+  resume(attempt: AttemptId): void;
   /** Returns the bytes of a paused attempt's answer that this process buffers unread. */
-  getUnreadBytes(attempt: AttemptName): number;
+  getUnreadBytes(attempt: AttemptId): number;
 }
 
 /** Sends messages to one target. */
--- a/src/entry/target_news.ts
+++ b/src/entry/target_news.ts
@@ -25,14 +25,14 @@
 import type { WarmUpWatch } from "./warm_up_watch.ts";
 
 /** The target of an update, and the time of the update in milliseconds. */
-export interface TargetMoment {
+export interface TargetEventContext {
   readonly target: TargetRecord;
   /** When the attempt that the update belongs to was sent, in milliseconds. */
   readonly sentAt?: number;
   readonly now: number;
 }
 
-/** Options of {@link TargetNews}. */
+/** Options of {@link TargetUpdater}. */
 export interface TargetUpdaterOptions {
   readonly selection: TargetSelection;
   readonly crashes: CrashWatch;
@@ -41,7 +41,7 @@
 }
 
 /** Applies updates on targets. */
-export class TargetNews {
+export class TargetUpdater {
   readonly #options: TargetUpdaterOptions;
 
   /** Creates an updater for the targets of a selection. */
@@ -50,13 +50,13 @@
   }
 
   /** Applies a list of the back ends that are called directly. */
-  noteListed(event: InstancesListed): readonly EntryEffect[] {
+  recordInstances(event: InstancesListed): readonly EntryEffect[] {
     const { instances, now } = event;
     const { selection, limits, warmUp } = this.#options;
     const listed = new Set(instances.map(({ id }) => id));
     limits.setListed(listed, now);
     this.#registry.leaving.setListed(listed, now);
-    const warmUpRecords = warmUp.noteListed(event);
+    const warmUpRecords = warmUp.recordInstances(event);
     selection.availability.permits.removeUnlimited();
     const ended = selection.setInstances(instances, now).flatMap((target) => [
       createTargetEndedRecord(target),
@@ -66,13 +66,13 @@
   }
 
   /** Applies a report of a group's decider on the load of its ranks. */
-  noteGroupLoad({ load, now }: GroupLoadTold): readonly EntryEffect[] {
+  recordGroupLoad({ load, now }: GroupLoadTold): readonly EntryEffect[] {
     const hasChanged = this.#registry.setGroupLoad(load, now);
     return hasChanged ? [createGroupObservedRecord(load, "decider")] : [];
   }
 
   /** Applies an observation of whether a group runs, which a rank's sidecar sent. */
-  noteGroupSeen({ sight, now }: GroupSeen): readonly EntryEffect[] {
+  recordGroupObservation({ sight, now }: GroupSeen): readonly EntryEffect[] {
     const { group, isOpen, ageMs } = sight;
     const observedAt = now - ageMs;
     const hasChanged = this.#registry.groups.observe(group, {
@@ -83,7 +83,7 @@
   }
 
   /** Applies a message of a target that belongs to no attempt. */
-  noteWord(message: Message, { target, now }: TargetMoment): void {
+  recordMessage(message: Message, { target, now }: TargetEventContext): void {
     switch (message.kind) {
       case "report":
         return target.setReportedLoad(message.queued + message.running, now);
@@ -99,7 +99,7 @@
   }
 
   /** Records that a target began to answer an attempt. */
-  noteReached(target: TargetRecord): readonly EntryEffect[] {
+  recordReached(target: TargetRecord): readonly EntryEffect[] {
     const { reachability } = this.#options.selection.availability;
     return reachability.recordReached(target)
       ? [createReachabilityRecord(target, true)]
@@ -107,9 +107,9 @@
   }
 
   /** Records that a target refused an attempt, or that the attempt failed there. */
-  noteRefused(
+  recordRefused(
     message: RefusedMessage,
-    context: TargetMoment,
+    context: TargetEventContext,
   ): readonly EntryEffect[] {
     return [
       ...this.#recordReachability(message, context),
@@ -123,7 +123,7 @@
    */
   #recordReachability(
     { reason, submission }: RefusedMessage,
-    { target, now, sentAt = now }: TargetMoment,
+    { target, now, sentAt = now }: TargetEventContext,
   ): readonly EntryEffect[] {
     if (reason === "BACK_END_UNREACHABLE") {
       const { reachability } = this.#options.selection.availability;
@@ -131,20 +131,20 @@
         ? [createReachabilityRecord(target, false)]
         : [];
     }
-    return submission === "not-run" ? this.noteReached(target) : [];
+    return submission === "not-run" ? this.recordReached(target) : [];
   }
 
   #recordRefusal(
     { reason, submission, keptMs, lostPeer, notice }: RefusedMessage,
-    context: TargetMoment,
+    context: TargetEventContext,
   ): readonly EntryEffect[] {
     const { target, now } = context;
     // A backoff already determines for how long the target gets no requests.
     if (notice?.backoff.kind !== "backoff") {
-      target.countAttempt(isTargetsFault(reason), now);
+      target.recordAttempt(isTargetsFault(reason), now);
     }
     if (submission === "unknown") target.forgetConnections();
-    else target.noteConnection(keptMs, now);
+    else target.recordConnection(keptMs, now);
     switch (reason) {
       case "TARGET_LEAVING":
         target.setAnnouncedLeaving(true);
@@ -164,7 +164,7 @@
   }
 
   /** Records that a target is gone without having announced that it leaves. */
-  #recordGone({ target, now }: TargetMoment): readonly EntryEffect[] {
+  #recordGone({ target, now }: TargetEventContext): readonly EntryEffect[] {
     return this.#options.crashes.recordGone(target.name, now);
   }
 
@@ -173,7 +173,7 @@
    * `lostPeer` is unless the report names none.
    */
   #recordGroupClosed(
-    { target, now }: TargetMoment,
+    { target, now }: TargetEventContext,
     lostPeer: string | undefined,
   ): readonly EntryEffect[] {
     const { group } = target;
--- a/src/entry/target_record.ts
+++ b/src/entry/target_record.ts
@@ -216,7 +216,7 @@
   /**
    * Whether the rank is so slow that its requests in flight should move to other targets.
    */
-  get holdsBackGroup(): boolean {
+  get shouldMoveRequests(): boolean {
     return this.#pace >= MOVE_REQUESTS_PACE;
   }
 
@@ -246,7 +246,7 @@
   }
 
   /** Records that the first byte of an answer arrived. */
-  countFirstByte(requestId: number, now: number): void {
+  recordFirstByte(requestId: number, now: number): void {
     this.#answeredAt = now;
     this.#awaitingFirstByte.delete(requestId);
     const sentAt = this.#inFlight.get(requestId);
@@ -263,7 +263,7 @@
   }
 
   /** Records whether an attempt failed. */
-  countAttempt(hasFailed: boolean, now: number): void {
+  recordAttempt(hasFailed: boolean, now: number): void {
     this.#now = now;
     const sample = hasFailed ? 1 : 0;
     const share = this.failureShare;
@@ -276,7 +276,7 @@
    * Records that the connection of an ended attempt can carry another one for `keptMs`
    * milliseconds, or for the default time if that is unknown.
    */
-  noteConnection(keptMs: number | undefined, now: number): void {
+  recordConnection(keptMs: number | undefined, now: number): void {
     const firstOpen = this.#idleUntil.findIndex((until) => until > now);
     this.#idleUntil.splice(0, firstOpen < 0 ? Infinity : firstOpen);
     const openMs = keptMs ?? DEFAULT_CONNECTION_KEPT_MS;
--- a/src/entry/target_registry.ts
+++ b/src/entry/target_registry.ts
@@ -123,7 +123,7 @@
   }
 
   /** Applies the platform's list of VMs. */
-  setMachines(virtualMachines: readonly VirtualMachine[]): void {
+  setVirtualMachines(virtualMachines: readonly VirtualMachine[]): void {
     this.#listedLeavingNames = new Set(
       virtualMachines.filter((virtualMachine) =>
         virtualMachine.state !== "live"
--- a/src/entry/target_selection.ts
+++ b/src/entry/target_selection.ts
@@ -217,11 +217,15 @@
   /**
    * Records that a request was sent to a target, which has its prompt cached from now on.
    */
-  noteSent(inFlight: InFlightRequest, target: TargetRecord, now: number): void {
+  recordSent(
+    inFlight: InFlightRequest,
+    target: TargetRecord,
+    now: number,
+  ): void {
     const blocks = inFlight.request.prefixBlocks ?? [];
     this.#prefixes.record(blocks, target.name);
     if (inFlight.isLateAt(now)) target.group?.lateAdmission.recordAdmitted();
-    this.availability.noteSent(target, now);
+    this.availability.recordSent(target, now);
   }
 
   /** Removes the cached prompts of a target that was lost. */
--- a/src/entry/warm_up_watch.ts
+++ b/src/entry/warm_up_watch.ts
@@ -33,7 +33,7 @@
   }
 
   /** Applies settings that came into force. */
-  noteSettings(
+  applySettings(
     { coldPools = NO_POOLS, now }: Pick<SettingsInForce, "coldPools" | "now">,
   ): readonly LogDecision[] {
     const changes = this.limits.setPools(coldPools, now);
@@ -44,7 +44,7 @@
   }
 
   /** Applies a list of targets. */
-  noteListed(
+  recordInstances(
     { instances, askedAt, now }: InstancesListed,
   ): readonly LogDecision[] {
     const changes = this.limits.setListed(instances, now);
@@ -52,13 +52,13 @@
   }
 
   /** Returns log records of the targets whose warm-up time has ended by `now`. */
-  noteTime(now: number): readonly LogDecision[] {
+  advanceTo(now: number): readonly LogDecision[] {
     if (this.limits.isEmpty) return [];
     return this.#createChangeRecords(this.limits.advance(now), { now });
   }
 
   /** Counts a request that was sent to a target, if the target is cold. */
-  noteSent(target: string, pool: string): void {
+  recordSent(target: string, pool: string): void {
     if (this.limits.tryGet(target) === undefined) return;
     this.#sentByPool.set(pool, (this.#sentByPool.get(pool) ?? 0) + 1);
   }
