--- a/src/direct/drain_follower.ts
+++ b/src/direct/drain_follower.ts
@@ -145,7 +145,7 @@
     if (count > MAX_DRAINS) {
       return this.#logUnreadable(`${count} drains at once`, set.revision);
     }
-    const applied = this.#drains.take(set, performance.now());
+    const applied = this.#drains.apply(set, performance.now());
     if (applied === undefined) return;
     if (applied.kept.length > 0) {
       this.#options.log.write("DRAINS_KEPT", {
@@ -180,7 +180,7 @@
 
   #scheduleNextExpiry(now: number): void {
     clearTimeout(this.#timer);
-    const end = this.#drains.nextEnd;
+    const end = this.#drains.nextExpiry;
     if (end === undefined || end <= now) return;
     // One more millisecond, because timers may fire slightly early.
     this.#timer = setTimeout(() => this.#update(FROM_STORE), end - now + 1);
--- a/src/direct/drained_domains.ts
+++ b/src/direct/drained_domains.ts
@@ -44,7 +44,7 @@
   }
 
   /** When the next kept drain expires, in milliseconds; undefined if none is kept. */
-  get nextEnd(): number | undefined {
+  get nextExpiry(): number | undefined {
     const ends = [...this.#keptUntil.values()];
     return ends.length === 0 ? undefined : Math.min(...ends);
   }
@@ -57,7 +57,7 @@
    * drains.apply({ revision: 7, failureDomains: ["a"] }, performance.now());
    * ```
    */
-  take(set: DrainSet, now: number): AppliedDrains | undefined {
+  apply(set: DrainSet, now: number): AppliedDrains | undefined {
     const before = this.#stored;
     if (before !== undefined && set.revision < before.revision) {
       return undefined;
--- a/src/direct/drained_domains_test.ts
+++ b/src/direct/drained_domains_test.ts
@@ -88,7 +88,7 @@
       const drains = new DrainedDomains();
       for (const { era = 1, revision, drained, at: receivedAt } of updates) {
         const joined = joinRevision({ era, revision });
-        drains.take({ revision: joined, failureDomains: drained }, receivedAt);
+        drains.apply({ revision: joined, failureDomains: drained }, receivedAt);
       }
       assert.deepEqual(drains.listInForce(at), inForce);
     });
--- a/src/direct/peers/entry_peers.ts
+++ b/src/direct/peers/entry_peers.ts
@@ -22,7 +22,7 @@
 import { type KnownStoreState, PeerServer } from "./peer_server.ts";
 import { PermitRequester } from "./permit_asker.ts";
 import { ReaderFollower } from "./reader_follower.ts";
-import { ReaderTurns } from "./reader_turns.ts";
+import { ReaderPolicy } from "./reader_turns.ts";
 import type {
   DirectoryUpdate,
   KnownVersions,
@@ -82,7 +82,7 @@
   readonly #server: PeerServer;
   readonly #peerFollower: PeerFollower;
   readonly #readerFollower: ReaderFollower;
-  readonly #readerPolicy: ReaderTurns;
+  readonly #readerPolicy: ReaderPolicy;
   readonly #permitRequester: PermitRequester;
   #addresses: ReadonlyMap<string, string> = new Map();
   #timer: NodeJS.Timeout | undefined;
@@ -97,7 +97,7 @@
     const { identity, self, seedAddresses, random, log, replicatedState } =
       options;
     const getKnown = () => this.#getKnown();
-    this.#readerPolicy = new ReaderTurns(options.leavingLimitMs);
+    this.#readerPolicy = new ReaderPolicy(options.leavingLimitMs);
     this.#server = new PeerServer({
       identity,
       log,
@@ -158,7 +158,7 @@
 
   /** Whether a reader sends all updates of the store. */
   get isFollowingReader(): boolean {
-    return this.#readerPolicy.isLed;
+    return this.#readerPolicy.isFollowingReader;
   }
 
   /** Closes all connections. */
@@ -190,7 +190,7 @@
     const { processes } = this.#options.getStoreState();
     if (this.#isWithoutReader) this.#peerFollower.start();
     else if (processes.revision > 0) this.#peerFollower.stop();
-    this.#readerPolicy.noteListed(directory.askedAt);
+    this.#readerPolicy.recordListing(directory.askedAt);
     this.#server.updateFollowers();
   }
 
@@ -200,7 +200,7 @@
    * send nor receive, for example, a request that crashes targets.
    */
   get #isWithoutReader(): boolean {
-    return this.#candidateCount > 0 && !this.#readerPolicy.isLed;
+    return this.#candidateCount > 0 && !this.#readerPolicy.isFollowingReader;
   }
 
   /** The store does not answer: peers are queried until it does. */
@@ -241,7 +241,7 @@
   }
 
   #performNextAction(): void {
-    const action = this.#readerPolicy.next(performance.now());
+    const action = this.#readerPolicy.nextAction(performance.now());
     if (action.kind === "ask") this.#readerFollower.query(action.address);
     if (action.kind === "list") {
       if (this.#hasListed) this.#setFollowingReader(false);
@@ -265,8 +265,8 @@
     // it.
     const isUsable = isReading && settingsAgeMs <= maxAgeMs;
     const ageMs = isUsable ? directory?.ageMs : undefined;
-    this.#readerPolicy.noteAnswer(address, { askedAt, ageMs }, now);
-    if (!this.#readerPolicy.isLed) return;
+    this.#readerPolicy.recordAnswer(address, { askedAt, ageMs }, now);
+    if (!this.#readerPolicy.isFollowingReader) return;
     this.#setFollowingReader(true);
     this.#peerFollower.stop();
   }
--- a/src/direct/peers/peer_server.ts
+++ b/src/direct/peers/peer_server.ts
@@ -129,7 +129,7 @@
       if (!hasUpdate(state, known) && areDigestsEqual(digests, own)) continue;
       const now = performance.now();
       link.send({
-        ...createNews(state, known, now),
+        ...createStoreUpdate(state, known, now),
         memories: replicator.createUpdate(digests, now),
       });
       this.#follow(link, mergeKnown(state, known), replicator);
@@ -162,7 +162,7 @@
     }
     const now = performance.now();
     link.send({
-      ...createNews(state, query, now),
+      ...createStoreUpdate(state, query, now),
       memories: replicator.createUpdate(getDigests(query.memories), now),
       queryId: query.queryId,
     });
@@ -177,7 +177,7 @@
  * const update = createStoreUpdate(state, { settingsVersion: 3 }, now);
  * ```
  */
-export function createNews(
+export function createStoreUpdate(
   state: KnownStoreState,
   known: KnownVersions,
   now: number,
--- a/src/direct/peers/peer_server_test.ts
+++ b/src/direct/peers/peer_server_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { SettingsInUse } from "../settings_follower.ts";
-import { createNews, type KnownStoreState } from "./peer_server.ts";
+import { createStoreUpdate, type KnownStoreState } from "./peer_server.ts";
 
 function createSettings(version: number): SettingsInUse {
   return {
@@ -31,7 +31,7 @@
 
 describe("createNews", () => {
   it("includes everything and its age for an entry that knows nothing", () => {
-    const update = createNews(
+    const update = createStoreUpdate(
       createStoreState(),
       { processesRevision: 0 },
       350,
@@ -50,16 +50,20 @@
   it("includes drains for an entry that knows none or older ones", () => {
     const drains = { revision: 7, failureDomains: ["a"] };
     const drainsFor = (drainsRevision?: number) =>
-      createNews(createStoreState({ drains }), { drainsRevision }, 350).drains;
+      createStoreUpdate(createStoreState({ drains }), { drainsRevision }, 350)
+        .drains;
     assert.deepEqual(drainsFor(), drains);
     assert.deepEqual(drainsFor(6), drains);
     assert.equal(drainsFor(7), undefined);
-    assert.equal(createNews(createStoreState(), {}, 350).drains, undefined);
+    assert.equal(
+      createStoreUpdate(createStoreState(), {}, 350).drains,
+      undefined,
+    );
   });
 
   it("includes whether the store answers the sender", () => {
     const withoutReader = createStoreState({ isReading: false });
-    assert.equal(createNews(withoutReader, {}, 350).isReading, false);
+    assert.equal(createStoreUpdate(withoutReader, {}, 350).isReading, false);
   });
 
   it("omits what the receiver knows already, but includes its age", () => {
@@ -68,7 +72,7 @@
       directoryContent: "none",
       processesRevision: 3,
     };
-    const update = createNews(createStoreState(), known, 350);
+    const update = createStoreUpdate(createStoreState(), known, 350);
     assert.equal(update.settingsText, undefined);
     assert.equal(update.settingsAgeMs, 300);
     assert.equal(update.directory?.instances, undefined);
@@ -82,7 +86,7 @@
       settingsCheckedAt: Number.NEGATIVE_INFINITY,
       directory: undefined,
     });
-    const update = createNews(empty, {}, 350);
+    const update = createStoreUpdate(empty, {}, 350);
     assert.equal(update.settingsText, undefined);
     assert.equal(update.settingsAgeMs, undefined);
     assert.equal(update.directory, undefined);
--- a/src/direct/peers/reader_turns.ts
+++ b/src/direct/peers/reader_turns.ts
@@ -78,7 +78,7 @@
 const NO_ACTION: ReaderAction = { kind: "nothing" };
 
 /** Decides when to query a reader and when to list the store. */
-export class ReaderTurns {
+export class ReaderPolicy {
   readonly #listIntervalMs: number;
   readonly #queryIntervalMs: number;
   readonly #leavingLimitMs: number;
@@ -91,7 +91,7 @@
   #listedAt = Number.NEGATIVE_INFINITY;
   /** Everything that the store contained at this time is known here. */
   #knownAt = Number.NEGATIVE_INFINITY;
-  #isLed = false;
+  #isFollowingReader = false;
 
   /** Takes the milliseconds for which a leaving back end may still receive requests. */
   constructor(leavingLimitMs: number) {
@@ -102,8 +102,8 @@
   }
 
   /** Whether a reader sends all updates, so that the store need not be queried. */
-  get isLed(): boolean {
-    return this.#isLed;
+  get isFollowingReader(): boolean {
+    return this.#isFollowingReader;
   }
 
   /** Sets the entries that may read the store for this one. */
@@ -114,19 +114,19 @@
     const isListed = this.#pendingQuery &&
       addresses.includes(this.#pendingQuery.address);
     if (!isListed) this.#pendingQuery = undefined;
-    if (addresses.length === 0) this.#isLed = false;
+    if (addresses.length === 0) this.#isFollowingReader = false;
   }
 
   /**
    * Records that the store answered a listing that was requested at `askedAt`, in
    * milliseconds.
    */
-  noteListed(askedAt: number): void {
+  recordListing(askedAt: number): void {
     this.#knownAt = Math.max(this.#knownAt, askedAt);
   }
 
   /** Records the answer of a reader. */
-  noteAnswer(address: string, answer: ReaderAnswer, now: number): void {
+  recordAnswer(address: string, answer: ReaderAnswer, now: number): void {
     if (!this.#candidates.includes(address)) return;
     if (this.#pendingQuery?.address === address) this.#pendingQuery = undefined;
     const { askedAt, ageMs = Number.POSITIVE_INFINITY } = answer;
@@ -137,7 +137,7 @@
     this.#misses = 0;
     this.#failures.delete(address);
     this.#knownAt = Math.max(this.#knownAt, knownAt);
-    this.#isLed = true;
+    this.#isFollowingReader = true;
   }
 
   /** Records that a reader cannot be reached, or that its state is too old. */
@@ -146,7 +146,7 @@
     const doubled = 2 ** Math.min(failureCount - 1, MAX_PAUSE_DOUBLINGS);
     const until = now + FAILED_READER_PAUSE_MS * doubled;
     this.#failures.set(address, { until, failureCount });
-    this.#isLed = false;
+    this.#isFollowingReader = false;
     this.#misses = 0;
     if (this.#pendingQuery?.address === address) this.#pendingQuery = undefined;
   }
@@ -159,7 +159,7 @@
    * const action = policy.nextAction(performance.now());
    * ```
    */
-  next(now: number): ReaderAction {
+  nextAction(now: number): ReaderAction {
     this.#expirePendingQuery(now);
     const reader = this.#candidates.find((address) =>
       (this.#failures.get(address)?.until ?? now) <= now
--- a/src/direct/peers/reader_turns_test.ts
+++ b/src/direct/peers/reader_turns_test.ts
@@ -14,7 +14,7 @@
   ReadingFleet,
   type ReadingFleetOptions,
 } from "../../testing/reading_fleet.ts";
-import { ReaderTurns } from "./reader_turns.ts";
+import { ReaderPolicy } from "./reader_turns.ts";
 
 const LEAVING_LIMIT_MS = 2000;
 const RUN_MS = 20_000;
@@ -103,13 +103,13 @@
 
 describe("a reader that is gone", () => {
   it("is queried less and less often", () => {
-    const policy = new ReaderTurns(LEAVING_LIMIT_MS);
+    const policy = new ReaderPolicy(LEAVING_LIMIT_MS);
     policy.setCandidates({ addresses: ["gone:1"], isFirstOfDomain: false });
     const queries: number[] = [];
     for (let now = 0; now < 60_000; now += 50) {
-      const action = policy.next(now);
+      const action = policy.nextAction(now);
       if (action.kind === "ask") queries.push(now);
-      if (action.kind === "list") policy.noteListed(now);
+      if (action.kind === "list") policy.recordListing(now);
     }
     assert.ok(queries.length <= 10, `${queries.length}`);
   });
@@ -118,42 +118,45 @@
 describe("an answer of a reader", () => {
   it("is not mistaken for the answer to a later query", () => {
     const policy = createQueried();
-    policy.next(400);
-    policy.noteAnswer("reader:1", { askedAt: 10, ageMs: 0 }, 410);
+    policy.nextAction(400);
+    policy.recordAnswer("reader:1", { askedAt: 10, ageMs: 0 }, 410);
     // Nothing that the store contained after 10 ms is known.
-    assert.equal(policy.next(1400).kind, "ask");
-    assert.equal(policy.next(1415).kind, "list");
+    assert.equal(policy.nextAction(1400).kind, "ask");
+    assert.equal(policy.nextAction(1415).kind, "list");
   });
 
-  function createQueried(): ReaderTurns {
-    const policy = new ReaderTurns(LEAVING_LIMIT_MS);
+  function createQueried(): ReaderPolicy {
+    const policy = new ReaderPolicy(LEAVING_LIMIT_MS);
     policy.setCandidates({ addresses: ["reader:1"], isFirstOfDomain: false });
-    policy.noteListed(0);
-    assert.deepEqual(policy.next(10), { kind: "ask", address: "reader:1" });
+    policy.recordListing(0);
+    assert.deepEqual(policy.nextAction(10), {
+      kind: "ask",
+      address: "reader:1",
+    });
     return policy;
   }
 
   it("has an age that counts from the query, also if it is read late", () => {
     const policy = createQueried();
-    policy.noteAnswer(
+    policy.recordAnswer(
       "reader:1",
       { askedAt: 10, ageMs: 100 },
       LEAVING_LIMIT_MS,
     );
-    assert.equal(policy.isLed, false);
-    assert.equal(policy.next(LEAVING_LIMIT_MS).kind, "list");
+    assert.equal(policy.isFollowingReader, false);
+    assert.equal(policy.nextAction(LEAVING_LIMIT_MS).kind, "list");
   });
 
   it("is not used when the reader has no state", () => {
     const policy = createQueried();
-    policy.noteAnswer("reader:1", { askedAt: 10, ageMs: undefined }, 20);
-    assert.equal(policy.isLed, false);
+    policy.recordAnswer("reader:1", { askedAt: 10, ageMs: undefined }, 20);
+    assert.equal(policy.isFollowingReader, false);
   });
 
   it("makes calls to the store unnecessary while it is recent", () => {
     const policy = createQueried();
-    policy.noteAnswer("reader:1", { askedAt: 10, ageMs: 100 }, 20);
-    assert.equal(policy.isLed, true);
-    assert.equal(policy.next(150).kind, "nothing");
+    policy.recordAnswer("reader:1", { askedAt: 10, ageMs: 100 }, 20);
+    assert.equal(policy.isFollowingReader, true);
+    assert.equal(policy.nextAction(150).kind, "nothing");
   });
 });
--- a/src/testing/drain_fleet.ts
+++ b/src/testing/drain_fleet.ts
@@ -8,8 +8,8 @@
 import { RandomSource } from "../core/random_source.ts";
 import { DrainedDomains } from "../direct/drained_domains.ts";
 import { listReaderCandidates } from "../direct/peers/peer_choice.ts";
-import { createNews } from "../direct/peers/peer_server.ts";
-import { ReaderTurns } from "../direct/peers/reader_turns.ts";
+import { createStoreUpdate } from "../direct/peers/peer_server.ts";
+import { ReaderPolicy } from "../direct/peers/reader_turns.ts";
 import { EntryReducer } from "../entry/entry_reducer.ts";
 import type { EntryEffect, EntryEvent } from "../entry/types.ts";
 import { joinRevision } from "../external/store_revision.ts";
@@ -81,7 +81,7 @@
   readonly name: string;
   readonly address: string;
   readonly failureDomain: string;
-  readonly turns: ReaderTurns;
+  readonly turns: ReaderPolicy;
   readonly reducer: EntryReducer;
   readonly drains: DrainedDomains;
   /** Those who ask this entry, with the revision of the drains that they have. */
@@ -162,7 +162,7 @@
       name,
       address: `${name}:1`,
       failureDomain,
-      turns: new ReaderTurns(leavingLimitMs),
+      turns: new ReaderPolicy(leavingLimitMs),
       reducer: new EntryReducer({ failureDomain, entryName: name, random }),
       drains: new DrainedDomains(),
       followers: new Map(),
@@ -195,7 +195,7 @@
         entry.checkedAt = Math.max(entry.checkedAt, askedAt);
         const joined = joinRevision({ era, revision });
         const failureDomains = [...drained];
-        entry.drains.take({ revision: joined, failureDomains }, this.#now);
+        entry.drains.apply({ revision: joined, failureDomains }, this.#now);
         this.#drainsChanged(entry);
       },
     });
@@ -211,7 +211,7 @@
     if (entry.reducer.inFlight > 0) {
       this.#reduce(entry, { kind: "tick", now: this.#now });
     }
-    const turn = entry.turns.next(this.#now);
+    const turn = entry.turns.nextAction(this.#now);
     if (turn.kind === "list") this.#list(entry);
     if (turn.kind === "ask") this.#ask(entry, turn.address);
   }
@@ -223,7 +223,7 @@
     this.#store.call((isAnswered) => {
       entry.isReached = isAnswered;
       if (!isAnswered) return;
-      entry.turns.noteListed(askedAt);
+      entry.turns.recordListing(askedAt);
       entry.listedAt = Math.max(entry.listedAt, askedAt);
     });
   }
@@ -248,24 +248,24 @@
     asked.followers.set(asker, asked.drains.stored?.revision ?? 0);
     this.#cross(asked, asker, () => {
       const { drains, settingsAgeMs = Infinity, isReading } = news;
-      if (drains !== undefined) asker.drains.take(drains, this.#now);
+      if (drains !== undefined) asker.drains.apply(drains, this.#now);
       const checkedAt = askedAt - settingsAgeMs;
       asker.checkedAt = Math.max(asker.checkedAt, checkedAt);
       const oldestMs = this.#options.leavingLimitMs * OLDEST_SETTINGS_PART;
       const isFit = isReading && settingsAgeMs <= oldestMs;
       const ageMs = isFit ? news.directory?.ageMs : undefined;
-      asker.turns.noteAnswer(asked.address, { askedAt, ageMs }, this.#now);
+      asker.turns.recordAnswer(asked.address, { askedAt, ageMs }, this.#now);
       if (ageMs !== undefined) {
         asker.listedAt = Math.max(asker.listedAt, askedAt - ageMs);
       }
-      if (asker.turns.isLed) this.#setLed(asker, true);
+      if (asker.turns.isFollowingReader) this.#setLed(asker, true);
       this.#drainsChanged(asker);
     });
   }
 
   #createNews(entry: FleetEntry, drainsRevision: number | undefined) {
     const knowledge = {
-      isReading: entry.turns.isLed || entry.isReached,
+      isReading: entry.turns.isFollowingReader || entry.isReached,
       settings: undefined,
       settingsCheckedAt: entry.checkedAt,
       drains: entry.drains.stored,
@@ -277,7 +277,7 @@
       },
       processes: { revision: 0, processes: [] },
     };
-    return createNews(knowledge, { drainsRevision }, this.#now);
+    return createStoreUpdate(knowledge, { drainsRevision }, this.#now);
   }
 
   /** Puts in force what was heard, and tells those who ask this entry. */
@@ -290,7 +290,7 @@
       if (entry.inForce !== "") this.#lastInForceMs = now - DRAINED_AT_MS;
       const kind = "failure_domains_drained";
       this.#perform(entry, reducer.reduce({ kind, now, failureDomains }));
-      const end = drains.nextEnd;
+      const end = drains.nextExpiry;
       if (end !== undefined && end > now) {
         this.#queue.after(end - now + 1, () => this.#drainsChanged(entry));
       }
@@ -302,7 +302,7 @@
       entry.followers.set(follower, told.revision);
       if (follower.reader !== entry.address) continue;
       this.#cross(entry, follower, () => {
-        follower.drains.take(told, this.#now);
+        follower.drains.apply(told, this.#now);
         this.#drainsChanged(follower);
       });
     }
--- a/src/testing/reading_fleet.ts
+++ b/src/testing/reading_fleet.ts
@@ -10,7 +10,7 @@
   type ListedEntry,
   listReaderCandidates,
 } from "../direct/peers/peer_choice.ts";
-import { ReaderTurns } from "../direct/peers/reader_turns.ts";
+import { ReaderPolicy } from "../direct/peers/reader_turns.ts";
 import { EventQueue } from "./event_queue.ts";
 
 const TURN_MS = 50;
@@ -48,7 +48,7 @@
 
 interface Reader {
   readonly self: ListedEntry;
-  readonly turns: ReaderTurns;
+  readonly turns: ReaderPolicy;
   /** All that the store said until then is known here. */
   knownAt: number;
   /** Whether the store answered its last list. */
@@ -72,7 +72,7 @@
     this.#random = new RandomSource(options.seed);
     const entries = createEntries(options);
     this.#readers = entries.map((self) => {
-      const turns = new ReaderTurns(options.leavingLimitMs);
+      const turns = new ReaderPolicy(options.leavingLimitMs);
       turns.setCandidates(listReaderCandidates(entries, self));
       const excusedUntil = options.leavingLimitMs;
       return { self, turns, knownAt: 0, excusedUntil, isReached: false };
@@ -108,7 +108,7 @@
       const ageMs = this.#now - reader.knownAt;
       this.#oldestMs = Math.max(this.#oldestMs, ageMs);
     }
-    const turn = reader.turns.next(this.#now);
+    const turn = reader.turns.nextAction(this.#now);
     if (turn.kind === "list") this.#list(reader, reachesStore);
     if (turn.kind === "ask") this.#ask(reader, turn.address);
   }
@@ -126,7 +126,7 @@
     reader.isReached = reachesStore;
     if (!reachesStore) return;
     this.#queue.after(STORE_MS, () => {
-      reader.turns.noteListed(askedAt);
+      reader.turns.recordListing(askedAt);
       reader.knownAt = Math.max(reader.knownAt, askedAt);
     });
   }
@@ -138,11 +138,11 @@
     this.#cross(asker, asked, () => {
       const toldAt = this.#now;
       const { knownAt } = asked;
-      const isReading = asked.isReached || asked.turns.isLed;
+      const isReading = asked.isReached || asked.turns.isFollowingReader;
       this.#cross(asked, asker, () => {
         const ageMs = isReading ? toldAt - knownAt : undefined;
         const answer = { askedAt, ageMs };
-        asker.turns.noteAnswer(address, answer, this.#now);
+        asker.turns.recordAnswer(address, answer, this.#now);
         asker.knownAt = Math.max(asker.knownAt, knownAt);
       });
     });
