--- a/src/commands/administration_client.ts
+++ b/src/commands/administration_client.ts
@@ -5,7 +5,7 @@
  */
 import { request } from "undici";
 
-/** Answer of the administration API. */
+/** Response of the administration API. */
 export interface AdministrationAnswer {
   readonly status: number;
   readonly body: Readonly<Record<string, unknown>>;
@@ -18,28 +18,28 @@
   readonly token: string;
 }
 
-/** Thrown when the entry did not answer. */
+/** Thrown when the entry does not answer. */
 export class EntryUnreachableError extends Error {
   override readonly name = "EntryUnreachableError";
 }
 
-const CALL_LIMIT_MS = 15_000;
+const CALL_TIMEOUT_MS = 15_000;
 
 /** Calls the administration API of an entry. */
 export class AdministrationClient {
   readonly #options: AdministrationClientOptions;
 
-  /** Connects on the first call. */
+  /** Creates a client that connects on the first call. */
   constructor(options: AdministrationClientOptions) {
     this.#options = options;
   }
 
-  /** Reads. */
+  /** Sends a GET request. */
   async get(path: string): Promise<AdministrationAnswer> {
     return await this.#call("GET", path);
   }
 
-  /** Writes. */
+  /** Sends a PUT request with a JSON body. */
   async put(path: string, body: object): Promise<AdministrationAnswer> {
     return await this.#call("PUT", path, JSON.stringify(body));
   }
@@ -58,7 +58,7 @@
           "content-type": "application/json",
         },
         body,
-        signal: AbortSignal.timeout(CALL_LIMIT_MS),
+        signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
       });
       const parsed = await response.body.json();
       return {
--- a/src/commands/exit_codes.ts
+++ b/src/commands/exit_codes.ts
@@ -7,15 +7,15 @@
 /** Exit codes of the program. */
 export const EXIT_CODES = {
   OK: 0,
-  /** The work could not be done; nothing was changed. */
+  /** The command failed and changed nothing. */
   FAILED: 1,
   /** Wrong usage, or findings in a file. */
   USAGE: 2,
-  /** Ended with requests in flight. */
+  /** The process ended with requests in flight, which were cut off. */
   CUT: 3,
-  /** Somebody else changed the same path. */
+  /** Another change of the same path was accepted first. */
   CONFLICT: 4,
-  /** It is not known whether the change was accepted; ask again. */
+  /** The outcome of the change is unknown; retry it with the same change identifier. */
   UNSETTLED: 5,
 } as const;
 
--- a/src/commands/platform_services.ts
+++ b/src/commands/platform_services.ts
@@ -1,5 +1,6 @@
 /**
- * The platform's services that the processes of both roles are told of.
+ * Creates the clients of the platform's services, which the processes of both roles
+ * use.
  *
  * @module
  */
@@ -8,19 +9,19 @@
 import type { KeyValueService } from "../external/key_value_service.ts";
 import type { VirtualMachineList } from "../external/virtual_machine_list.ts";
 
-/** Where the platform's services are. */
+/** Addresses of the platform's services. */
 export interface PlatformAddresses {
   readonly keyValueAddress?: string;
   readonly machineListAddress?: string;
 }
 
-/** The platform's services, as far as the process is told of them. */
+/** Clients of the platform's services; undefined where no address is configured. */
 export interface Platform {
   readonly keyValueService?: KeyValueService;
   readonly machineList?: VirtualMachineList;
 }
 
-/** Makes the adapters of the platform's services. */
+/** Creates the clients of the services whose address is configured. */
 export function createPlatform(addresses: PlatformAddresses): Platform {
   const { keyValueAddress, machineListAddress } = addresses;
   return {
--- a/src/commands/print_findings.ts
+++ b/src/commands/print_findings.ts
@@ -7,7 +7,7 @@
 import type { ProcessSettingsFinding } from "../process/process_settings.ts";
 import { EXIT_CODES, type ExitCode } from "./exit_codes.ts";
 
-/** Prints all findings of a file and gives the exit code for them. */
+/** Prints all findings of a file and returns the exit code for them. */
 export function printFindings(
   file: string,
   findings: readonly ProcessSettingsFinding[],
--- a/src/commands/run_process.ts
+++ b/src/commands/run_process.ts
@@ -1,5 +1,5 @@
 /**
- * What all processes have in common when they start.
+ * Starts a process of any role.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { type Drainable, drainOnSignal } from "../process/shutdown.ts";
 import { EXIT_CODES, type ExitCode } from "./exit_codes.ts";
 
-/** A process that can be started, and ended by a signal. */
+/** A process that can be started and drained. */
 export interface RunnableProcess extends Drainable {
   start(): Promise<void>;
 }
@@ -21,18 +21,18 @@
 
 /** Starts a process; returns an exit code only if it could not start. */
 export async function runProcess(
-  running: RunnableProcess,
+  runnable: RunnableProcess,
   options: RunProcessOptions,
 ): Promise<ExitCode | undefined> {
   try {
-    await running.start();
+    await runnable.start();
   } catch (error) {
     options.log.write("START_FAILED", { cause: String(error) });
     options.log.flush();
     process.exitCode = EXIT_CODES.FAILED;
-    await running.close();
+    await runnable.close();
     return EXIT_CODES.FAILED;
   }
-  drainOnSignal(running, options);
+  drainOnSignal(runnable, options);
   return undefined;
 }
--- a/src/commands/settings_command.ts
+++ b/src/commands/settings_command.ts
@@ -1,5 +1,5 @@
 /**
- * `lagoonwharf settings`: the operators' way to read and change settings.
+ * `lagoonwharf settings`: reads and changes settings.
  *
  * @module
  */
@@ -15,29 +15,29 @@
   EntryUnreachableError,
 } from "./administration_client.ts";
 import { EXIT_CODES, type ExitCode } from "./exit_codes.ts";
-import { readWholeStatus } from "./status_command.ts";
+import { readDeploymentStatus } from "./status_command.ts";
 
 /** Options of {@link runSettings}. */
 export interface SettingsCommandOptions {
   readonly entry: string;
   readonly token: string;
-  /** Settings path, where the file does not say it. */
+  /** Settings path, if the file has no line that names it. */
   readonly path?: string;
-  /** Record that the change was made from, as `show` prints it. */
+  /** Hash of the record that the change is based on, as `show` prints it. */
   readonly base?: string;
-  /** Identifier of a change that is asked for again. */
+  /** Identifier of an earlier change to retry. */
   readonly changeId?: string;
-  /** Milliseconds that `wait` waits. */
+  /** Milliseconds after which `wait` gives up. */
   readonly limitMs: number;
 }
 
-/** First line of a file that says which path it belongs to. */
+/** Line that names the settings path of a file. */
 const PATH_COMMENT = /^#\s*path:\s*(\S+)\s*$/m;
-/** First lines of a file that `show` printed. */
+/** Line that names the base record; `show` prints it. */
 const BASE_COMMENT = /^#\s*base:\s*([0-9a-f]{64})\s*$/m;
 const APPLY_ATTEMPTS = 5;
-const APPLY_PAUSE_MS = 500;
-const WAIT_PAUSE_MS = 250;
+const APPLY_RETRY_DELAY_MS = 500;
+const WAIT_POLL_INTERVAL_MS = 250;
 const SETTINGS_PATH = "/administration/v1/settings";
 const HISTORY_PATH = "/administration/v1/history";
 
@@ -50,13 +50,13 @@
  * ```
  */
 export async function runSettings(
-  words: readonly string[],
+  commandArguments: readonly string[],
   options: SettingsCommandOptions,
 ): Promise<ExitCode> {
-  const [verb, argument] = words;
+  const [subcommand, argument] = commandArguments;
   const command = new SettingsCommand(options);
   try {
-    return await command.run(verb, argument);
+    return await command.run(subcommand, argument);
   } catch (error) {
     if (!(error instanceof EntryUnreachableError)) throw error;
     process.stderr.write(`The entry did not answer: ${error.message}\n`);
@@ -83,10 +83,10 @@
     });
   }
 
-  async run(verb?: string, argument?: string): Promise<ExitCode> {
-    if (verb === "list") return await this.#list();
-    if (argument === undefined) return usage();
-    switch (verb) {
+  async run(subcommand?: string, argument?: string): Promise<ExitCode> {
+    if (subcommand === "list") return await this.#list();
+    if (argument === undefined) return reportWrongUsage();
+    switch (subcommand) {
       case "check":
         return this.#check(this.#readSource(argument));
       case "apply":
@@ -102,13 +102,13 @@
       case "wait":
         return await this.#wait(Number(argument));
       default:
-        return usage();
+        return reportWrongUsage();
     }
   }
 
   async #list(): Promise<ExitCode> {
     const answer = await this.#client.get(SETTINGS_PATH);
-    if (answer.status !== 200) return fail(answer);
+    if (answer.status !== 200) return reportFailure(answer);
     const paths = answer.body["paths"] as readonly string[];
     print(`revision ${answer.body["revision"]}`);
     for (const path of paths) print(path);
@@ -135,7 +135,10 @@
     return await this.#change(path, null, this.#options.base);
   }
 
-  /** Asking again with the same identifier is idempotent. */
+  /**
+   * Submits a change until its outcome is known. A retry has the same identifier, so it
+   * is idempotent.
+   */
   async #change(
     path: string,
     text: string | null,
@@ -145,7 +148,7 @@
     const body = { text, changeId, baseRecord: base };
     let isUnsettled = false;
     for (let attempt = 0; attempt < APPLY_ATTEMPTS; attempt++) {
-      if (attempt > 0) await sleep(APPLY_PAUSE_MS);
+      if (attempt > 0) await sleep(APPLY_RETRY_DELAY_MS);
       const answer = await this.#tryPut(SETTINGS_PATH + path, body);
       if (answer === undefined || answer.body["kind"] === "unsettled") {
         isUnsettled = true;
@@ -156,7 +159,7 @@
     }
     if (isUnsettled) {
       process.stderr.write(
-        "It is not known whether the change was accepted; ask again with " +
+        "It is unknown whether the change was accepted; retry with " +
           `--change-id ${changeId}\n`,
       );
       return EXIT_CODES.UNSETTLED;
@@ -189,7 +192,7 @@
       process.stderr.write(String(answer.body["rendered"]));
       return EXIT_CODES.USAGE;
     }
-    if (answer.status !== 409) return fail(answer);
+    if (answer.status !== 409) return reportFailure(answer);
     const theirs = answer.body["theirs"] as
       | { readonly text: string | null; readonly author: string }
       | undefined;
@@ -203,7 +206,7 @@
 
   async #show(path: string): Promise<ExitCode> {
     const answer = await this.#client.get(SETTINGS_PATH + path);
-    if (answer.status !== 200) return fail(answer);
+    if (answer.status !== 200) return reportFailure(answer);
     const { text, record, revision, author, at } = answer.body;
     print(`# path: ${path}`);
     print(`# base: ${record}`);
@@ -214,8 +217,10 @@
 
   async #diff(source: SourceFile): Promise<ExitCode> {
     const answer = await this.#client.get(SETTINGS_PATH + source.path);
-    const held = answer.status === 200 ? String(answer.body["text"] ?? "") : "";
-    const theirs = stripComments(held).trimEnd().split("\n");
+    const currentText = answer.status === 200
+      ? String(answer.body["text"] ?? "")
+      : "";
+    const theirs = stripComments(currentText).trimEnd().split("\n");
     const yours = stripComments(source.text).trimEnd().split("\n");
     for (const line of theirs) if (!yours.includes(line)) print(`- ${line}`);
     for (const line of yours) if (!theirs.includes(line)) print(`+ ${line}`);
@@ -224,7 +229,7 @@
 
   async #history(path: string): Promise<ExitCode> {
     const answer = await this.#client.get(HISTORY_PATH + path);
-    if (answer.status !== 200) return fail(answer);
+    if (answer.status !== 200) return reportFailure(answer);
     const records = answer.body["records"] as readonly {
       readonly revision: number;
       readonly at: string;
@@ -233,9 +238,9 @@
       readonly text: string | null;
     }[];
     for (const record of records) {
-      const what = record.text === null ? "removed" : "changed";
+      const action = record.text === null ? "removed" : "changed";
       print(
-        `${record.revision} ${record.at} ${what} by ${record.author} ` +
+        `${record.revision} ${record.at} ${action} by ${record.author} ` +
           `(${record.changeId})`,
       );
     }
@@ -243,10 +248,10 @@
   }
 
   async #wait(revision: number): Promise<ExitCode> {
-    if (!Number.isInteger(revision) || revision < 1) return usage();
-    const end = Date.now() + this.#options.limitMs;
+    if (!Number.isInteger(revision) || revision < 1) return reportWrongUsage();
+    const deadline = Date.now() + this.#options.limitMs;
     while (true) {
-      const status = await readWholeStatus(this.#options);
+      const status = await readDeploymentStatus(this.#options);
       const behind = status.filter((row) =>
         row.revision !== undefined && row.revision < revision
       );
@@ -255,12 +260,12 @@
         print(`revision ${revision} is in force at ${status.length} processes`);
         return EXIT_CODES.OK;
       }
-      if (Date.now() >= end) {
+      if (Date.now() >= deadline) {
         for (const row of behind) print(`${row.name}: at ${row.revision}`);
         for (const row of unknown) print(`${row.name}: not asked`);
         return EXIT_CODES.FAILED;
       }
-      await sleep(WAIT_PAUSE_MS);
+      await sleep(WAIT_POLL_INTERVAL_MS);
     }
   }
 
@@ -272,7 +277,7 @@
   }
 }
 
-/** Comments that `show` writes and `apply` reads are not the document's. */
+/** Removes the comments that `show` prints, which are not part of the document. */
 function stripComments(text: string): string {
   return text
     .replace(/^# (path|base): .*\n/gm, "")
@@ -283,14 +288,14 @@
   process.stdout.write(`${line}\n`);
 }
 
-function fail(answer: AdministrationAnswer): ExitCode {
+function reportFailure(answer: AdministrationAnswer): ExitCode {
   process.stderr.write(
     `Refused with status ${answer.status}: ${JSON.stringify(answer.body)}\n`,
   );
   return EXIT_CODES.FAILED;
 }
 
-function usage(): ExitCode {
+function reportWrongUsage(): ExitCode {
   process.stderr.write("Wrong usage; see `lagoonwharf --help`\n");
   return EXIT_CODES.USAGE;
 }
--- a/src/commands/status_command.ts
+++ b/src/commands/status_command.ts
@@ -1,5 +1,5 @@
 /**
- * `lagoonwharf status`: which revision is in force, process by process.
+ * `lagoonwharf status`: prints the settings revision and load of each process.
  *
  * @module
  */
@@ -16,11 +16,11 @@
   readonly token: string;
 }
 
-/** One process and what it says of itself. */
+/** State of one process. */
 export interface StatusRow {
   readonly role: "entry" | "target";
   readonly name: string;
-  /** Undefined when the process could not be asked. */
+  /** Undefined when the process could not be reached. */
   readonly revision?: number;
   readonly inFlight?: number;
   readonly isLeaving?: boolean;
@@ -47,12 +47,12 @@
 
 const STATUS_PATH = "/administration/v1/status";
 
-/** Prints one line a process. */
+/** Prints one line for each process. */
 export async function runStatus(
   options: StatusCommandOptions,
 ): Promise<ExitCode> {
   try {
-    for (const row of await readWholeStatus(options)) {
+    for (const row of await readDeploymentStatus(options)) {
       process.stdout.write(`${formatRow(row)}\n`);
     }
     return EXIT_CODES.OK;
@@ -64,29 +64,30 @@
 }
 
 /**
- * State of every process that one entry knows of; entries are asked each.
+ * Reads the state of every process that one entry knows. The state of the other entries
+ * is read from each of them; that of the targets comes from the first entry.
  *
  * @throws {EntryUnreachableError} when the first entry does not answer
  */
-export async function readWholeStatus(
+export async function readDeploymentStatus(
   options: StatusCommandOptions,
 ): Promise<readonly StatusRow[]> {
   const first = await readEntry(options.entry, options.token);
-  const rows: StatusRow[] = [entryRow(first)];
+  const rows: StatusRow[] = [createEntryRow(first)];
   for (const entry of first.entries) {
     if (entry.name === first.process) continue;
-    rows.push(await tryEntryRow(entry.name, entry.address, options));
+    rows.push(await tryReadEntryRow(entry.name, entry.address, options));
   }
-  return [...rows, ...first.targets.map(targetRow)];
+  return [...rows, ...first.targets.map(createTargetRow)];
 }
 
-async function tryEntryRow(
+async function tryReadEntryRow(
   name: string,
   address: string,
   options: StatusCommandOptions,
 ): Promise<StatusRow> {
   try {
-    return entryRow(await readEntry(address, options.token));
+    return createEntryRow(await readEntry(address, options.token));
   } catch {
     return { role: "entry", name };
   }
@@ -101,7 +102,7 @@
   return answer.body as unknown as EntryStatusBody;
 }
 
-function entryRow(body: EntryStatusBody): StatusRow {
+function createEntryRow(body: EntryStatusBody): StatusRow {
   return {
     role: "entry",
     name: body.process,
@@ -111,7 +112,9 @@
   };
 }
 
-function targetRow(target: EntryStatusBody["targets"][number]): StatusRow {
+function createTargetRow(
+  target: EntryStatusBody["targets"][number],
+): StatusRow {
   const inFlight = target.kind === "answered"
     ? (target.queued ?? 0) + (target.running ?? 0)
     : undefined;
--- a/src/core/debug.ts
+++ b/src/core/debug.ts
@@ -1,15 +1,15 @@
 /**
- * Invariants and exhaustiveness checks, used in every part.
+ * Assertions and exhaustiveness checks.
  *
  * @module
  */
 
-/** Thrown when an invariant of the program itself does not hold. */
+/** Thrown when an invariant of the program does not hold. */
 export class InvariantError extends Error {
   override readonly name = "InvariantError";
 }
 
-/** Statements about the program that must be true whatever its input. */
+/** Assertions about invariants of the program, which must hold for any input. */
 export class Debug {
   /**
    * Throws an {@link InvariantError} unless `condition` holds.
@@ -24,7 +24,7 @@
   }
 
   /**
-   * Returns `value` when it is there and throws otherwise.
+   * Returns `value` if it is defined; throws an {@link InvariantError} otherwise.
    *
    * @example
    * ```ts
@@ -38,7 +38,8 @@
 }
 
 /**
- * Closes a switch over a union: reaching it at run time is a fault of ours.
+ * Marks the default case of an exhaustive switch over a union; reaching it at run time
+ * is a bug.
  *
  * @example
  * ```ts
--- a/src/core/event_loop.ts
+++ b/src/core/event_loop.ts
@@ -1,12 +1,13 @@
 /**
- * Turns of the event loop.
+ * Waits for iterations of the event loop.
  *
  * @module
  */
 
 /**
- * Ends when everything was read that had arrived by now: the connections that are
- * readable are looked at once a turn, between two of the callbacks used here.
+ * Resolves once all data that has already arrived at the process's sockets was read.
+ * The event loop polls sockets once per iteration, between two `setImmediate`
+ * callbacks.
  *
  * @example
  * ```ts
@@ -14,10 +15,10 @@
  * ```
  */
 export async function turnEventLoop(): Promise<void> {
-  await nextImmediate();
-  await nextImmediate();
+  await waitForImmediate();
+  await waitForImmediate();
 }
 
-function nextImmediate(): Promise<void> {
+function waitForImmediate(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/src/core/idempotency_key.ts
+++ b/src/core/idempotency_key.ts
@@ -1,29 +1,32 @@
 /**
- * Idempotency keys: which slot owns a key, and how old a key can be.
+ * Fingerprints, slots and creation times of idempotency keys.
  *
  * @module
  */
 import { Buffer } from "node:buffer";
 import { createHash } from "node:crypto";
 
-/** Slots into which the keys of a pool fall. */
+/** Slots into which the keys of a pool are hashed. */
 export const SLOT_COUNT = 64;
 
-/** Longest key that is taken, in characters. */
+/** Longest key that is accepted, in characters. */
 export const MAX_KEY_LENGTH = 255;
 
 const VERSION_7_PATTERN =
   /^[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/i;
 const FINGERPRINT_BYTES = 16;
 
-/** Whose key it is. Keys of different organisations never meet. */
+/**
+ * The namespace of a key: equal keys of different organisations or services are
+ * distinct.
+ */
 export interface KeyScope {
   readonly organisation: string;
   readonly service: string;
   readonly idempotencyKey: string;
 }
 
-/** Identifies a key within the deployment, whatever its length. */
+/** Returns a hash of fixed length that identifies a key within the deployment. */
 export function fingerprintOf(scope: KeyScope): string {
   return createHash("sha256")
     .update(
@@ -38,19 +41,22 @@
     .toString("base64");
 }
 
-/** The slot that a fingerprint falls into. */
+/** Returns the slot that a fingerprint belongs to. */
 export function slotOf(fingerprint: string): number {
   return Buffer.from(fingerprint, "base64").readUInt32BE(0) % SLOT_COUNT;
 }
 
-/** What makes two requests the same request. */
+/** The fields that identify a request: two requests are the same if these are equal. */
 export interface RequestIdentity {
   readonly method: string;
   readonly path: string;
   readonly body: Uint8Array;
 }
 
-/** Identifies a request, so that a key used for another one is noticed. */
+/**
+ * Returns a hash of a request, by which the reuse of a key for another request is
+ * detected.
+ */
 export function requestHashOf(request: RequestIdentity): string {
   return createHash("sha256")
     .update(`${request.method} ${request.path}\n`)
@@ -59,8 +65,8 @@
 }
 
 /**
- * Wall-clock milliseconds at which a UUID of version 7 was made; undefined for
- * any other key.
+ * Returns the wall-clock milliseconds at which a version 7 UUID was created; undefined
+ * for any other key.
  *
  * @example
  * ```ts
--- a/src/core/random_source.ts
+++ b/src/core/random_source.ts
@@ -1,5 +1,5 @@
 /**
- * Random numbers from a seed, so that every run can be repeated.
+ * Seeded random numbers, which make runs reproducible.
  *
  * @module
  */
@@ -8,31 +8,34 @@
 
 const FRACTION_STEPS = 2 ** 30;
 
-/** Random numbers from a seed. */
+/** A seeded random number generator. */
 export class RandomSource {
   readonly #generator: ReturnType<typeof xoroshiro128plus>;
 
-  /** The same seed gives the same numbers. */
+  /** Creates a generator; equal seeds yield equal sequences. */
   constructor(seed: number) {
     this.#generator = xoroshiro128plus(seed);
   }
 
-  /** A whole number from 0 up to, not including, `limit`. */
+  /** Returns an integer from 0 up to, but not including, `limit`. */
   nextBelow(limit: number): number {
     return uniformInt(this.#generator, 0, limit - 1);
   }
 
-  /** A number from 0 up to, not including, 1. */
+  /** Returns a number from 0 up to, but not including, 1. */
   nextFraction(): number {
     return this.nextBelow(FRACTION_STEPS) / FRACTION_STEPS;
   }
 
-  /** A waiting time with the given mean, for events without memory. */
+  /**
+   * Returns an exponentially distributed number, such as the time between two arrivals
+   * of a Poisson process.
+   */
   nextExponential(mean: number): number {
     return -mean * Math.log(1 - this.nextFraction());
   }
 
-  /** A normally distributed number. */
+  /** Returns a normally distributed number. */
   nextNormal(mean: number, deviation: number): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.nextFraction()));
     const angle = 2 * Math.PI * this.nextFraction();
--- a/src/core/rendezvous_hash.ts
+++ b/src/core/rendezvous_hash.ts
@@ -1,13 +1,14 @@
 /**
- * Rendezvous hashing: ranks pairs of names so that processes agree on a choice without
- * asking each other, and one that comes or goes changes little else.
+ * Rendezvous hashing: ranks pairs of names, so that processes make the same choice
+ * without communicating, and a candidate that is added or removed changes few other
+ * choices.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
 /**
- * Rank of a candidate for a chooser; the lowest comes first.
+ * Returns the rank of a candidate for a chooser; the lowest rank is preferred.
  *
  * @example
  * ```ts
--- a/src/core/socket_reset.ts
+++ b/src/core/socket_reset.ts
@@ -6,8 +6,9 @@
 import type { Socket } from "node:net";
 
 /**
- * Lets the close of a socket be a reset. Node.js has `resetAndDestroy` for it, but that
- * waits until all is sent, and closes the socket a turn later.
+ * Makes the next close of a socket send a reset. Unlike `resetAndDestroy` of Node.js,
+ * this neither waits until all data is sent nor defers the close to a later iteration
+ * of the event loop.
  *
  * @example
  * ```ts
@@ -16,6 +17,6 @@
  * ```
  */
 export function resetWhenClosed(socket: Socket): void {
-  // The flag that `resetAndDestroy` sets.
+  // `resetAndDestroy` sets the same flag.
   Object.assign(socket, { resetAndClosing: true });
 }
--- a/src/diagnostics/catalogue.ts
+++ b/src/diagnostics/catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * Every finding that a settings document or the process settings can have, by
- * name and number. Numbers are never used again.
+ * All findings for settings documents and process settings, by name and number. A
+ * number is never reused.
  *
  * @module
  */
@@ -31,17 +31,17 @@
   SCRIPTS_ADDRESS_MISSING: {
     code: 1006,
     category: "error",
-    template: "A service on the scripts needs 'scriptsAddress'",
+    template: "'scriptsAddress' is required when 'handover' is 'scripts'",
   },
   DEADLINES_CROSSED: {
     code: 1007,
     category: "error",
-    template: "'defaultDeadlineMs' is above 'longestDeadlineMs'",
+    template: "'defaultDeadlineMs' is greater than 'longestDeadlineMs'",
   },
   PREFIX_TAKEN: {
     code: 1008,
     category: "error",
-    template: "The path prefix '{0}' is taken by '{1}'",
+    template: "The path prefix '{0}' is already used by '{1}'",
   },
   ORGANISATION_MISSING: {
     code: 1009,
@@ -56,7 +56,7 @@
   DOCUMENT_TOO_LARGE: {
     code: 1011,
     category: "error",
-    template: "The document has {0} bytes, more than the {1} allowed",
+    template: "The document has {0} bytes, but at most {1} are allowed",
   },
   MISSING_PROPERTY: {
     code: 1012,
@@ -68,7 +68,7 @@
 /** Name of a finding. */
 export type DiagnosticName = keyof typeof MESSAGES;
 
-/** The catalogue row of a name. */
+/** Returns the catalogue row of a name. */
 export function getDiagnosticMessage(name: DiagnosticName): DiagnosticMessage {
   return MESSAGES[name];
 }
--- a/src/diagnostics/message.ts
+++ b/src/diagnostics/message.ts
@@ -1,16 +1,16 @@
 /**
- * What a row of the diagnostics catalogue says.
+ * Types of the diagnostics catalogue.
  *
  * @module
  */
 
-/** How bad a finding is. Only errors keep a change from being accepted. */
+/** Severity of a finding. Only errors prevent a change from being accepted. */
 export type DiagnosticCategory = "error" | "warning";
 
 /** One row of the diagnostics catalogue. */
 export interface DiagnosticMessage {
   readonly code: number;
   readonly category: DiagnosticCategory;
-  /** Text with `{0}`, `{1}` for the arguments. */
+  /** Message text with the placeholders `{0}` and `{1}` for the arguments. */
   readonly template: string;
 }
--- a/src/diagnostics/render.ts
+++ b/src/diagnostics/render.ts
@@ -1,5 +1,5 @@
 /**
- * Sorts findings and shows them with the line that they are about.
+ * Sorts findings and formats them with the source line that they refer to.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import { getDiagnosticMessage } from "./catalogue.ts";
 import type { Diagnostic } from "./types.ts";
 
-/** The text of a finding without its place. */
+/** Formats a finding without its position. */
 export function formatDiagnosticText(diagnostic: Diagnostic): string {
   const message = getDiagnosticMessage(diagnostic.name);
   const text = message.template.replace(
@@ -17,7 +17,7 @@
   return `${message.category} LW${message.code}: ${text}`;
 }
 
-/** Sorts by place and leaves out what stands twice. */
+/** Sorts findings by position and removes duplicates. */
 export function sortAndDeduplicate(
   diagnostics: readonly Diagnostic[],
 ): readonly Diagnostic[] {
@@ -26,17 +26,17 @@
     getDiagnosticMessage(left.name).code -
       getDiagnosticMessage(right.name).code
   );
-  const seen = new Set<string>();
+  const knownKeys = new Set<string>();
   return sorted.filter((diagnostic) => {
     const key = JSON.stringify(diagnostic);
-    const isNew = !seen.has(key);
-    seen.add(key);
+    const isNew = !knownKeys.has(key);
+    knownKeys.add(key);
     return isNew;
   });
 }
 
 /**
- * Shows all findings of one file with their lines.
+ * Formats all findings of one file with their source lines.
  *
  * @example
  * ```ts
@@ -50,7 +50,7 @@
   const lines = source.split("\n");
   const counter = createLineCounter(source);
   return sortAndDeduplicate(diagnostics)
-    .map((diagnostic) => formatOne(diagnostic, lines, counter))
+    .map((diagnostic) => formatDiagnostic(diagnostic, lines, counter))
     .join("\n");
 }
 
@@ -63,17 +63,17 @@
   return counter;
 }
 
-function formatOne(
+function formatDiagnostic(
   diagnostic: Diagnostic,
   lines: readonly string[],
   counter: LineCounter,
 ): string {
-  const place = counter.linePos(diagnostic.start);
-  const line = lines[place.line - 1] ?? "";
-  const room = Math.max(1, line.length - place.col + 1);
-  const underline = " ".repeat(place.col - 1) +
-    "~".repeat(Math.min(Math.max(1, diagnostic.length), room));
-  const where = `${diagnostic.file}:${place.line}:${place.col}`;
+  const position = counter.linePos(diagnostic.start);
+  const line = lines[position.line - 1] ?? "";
+  const maxLength = Math.max(1, line.length - position.col + 1);
+  const underline = " ".repeat(position.col - 1) +
+    "~".repeat(Math.min(Math.max(1, diagnostic.length), maxLength));
+  const location = `${diagnostic.file}:${position.line}:${position.col}`;
   const text = formatDiagnosticText(diagnostic);
-  return `${where} - ${text}\n\n  ${line}\n  ${underline}\n`;
+  return `${location} - ${text}\n\n  ${line}\n  ${underline}\n`;
 }
--- a/src/diagnostics/render_test.ts
+++ b/src/diagnostics/render_test.ts
@@ -7,7 +7,10 @@
 import { createDocuments } from "../testing/fixtures.ts";
 import { formatDiagnostics } from "./render.ts";
 
-/** Set to accept the output as it is now. */
+/**
+ * Variable that, when set, makes the test overwrite the baseline with the current
+ * output.
+ */
 const ACCEPT_VARIABLE = "LAGOONWHARF_ACCEPT_BASELINES";
 const BASELINE = new URL("baselines/findings.txt", import.meta.url);
 
@@ -49,19 +52,19 @@
   },
 ]);
 
-function findingsOf(one: Case): string {
-  const source = { ...one, file: "document.yaml" };
+function formatFindings(testCase: Case): string {
+  const source = { ...testCase, file: "document.yaml" };
   const checked = checkDocument(source);
   const findings = checked.isErr()
     ? checked.error
     : checkAgainstTree({ ...source, document: checked.value }, OTHERS);
-  return `=== ${one.path}\n${one.text}---\n` +
-    formatDiagnostics(findings, one.text);
+  return `=== ${testCase.path}\n${testCase.text}---\n` +
+    formatDiagnostics(findings, testCase.text);
 }
 
-describe("findings as they are shown", () => {
-  it("look as they were accepted", () => {
-    const output = `${CASES.map(findingsOf).join("\n")}\n`;
+describe("formatted findings", () => {
+  it("match the baseline", () => {
+    const output = `${CASES.map(formatFindings).join("\n")}\n`;
     if (process.env[ACCEPT_VARIABLE] !== undefined) {
       writeFileSync(BASELINE, output);
     }
--- a/src/diagnostics/types.ts
+++ b/src/diagnostics/types.ts
@@ -1,5 +1,5 @@
 /**
- * Findings in what a person wrote, with their place.
+ * Findings in documents that operators write, with their position.
  *
  * @module
  */
--- a/src/events/event_log.ts
+++ b/src/events/event_log.ts
@@ -1,5 +1,5 @@
 /**
- * Writes numbered events to the log, one JSON object a line on standard output.
+ * Writes numbered events to the log, one JSON object per line on standard output.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 import { type EventName, getEvent } from "./catalogue.ts";
 import { LogStream } from "./log_stream.ts";
 
-/** Values that go with an event. */
+/** Values that are logged with an event. */
 export type EventDetails = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Who logs. */
+/** Options of an {@link EventLog}. */
 export interface EventLogOptions {
   readonly role: string;
   readonly processName: string;
@@ -22,21 +22,20 @@
 
 const STANDARD_OUTPUT = 1;
 /**
- * Lines a second that one process writes, and lines that may come at once. A
- * line costs about 20 µs of processor time, so a flood of requests spends at
- * most 0.6% of a core on telling of itself.
+ * Limits how many lines a process writes. A line costs about 20 µs of processor time,
+ * so that logging takes at most 0.6% of a core during a flood of requests.
  */
-const LINES = { perSecond: 300, burst: 600 } as const;
+const LINE_RATE = { perSecond: 300, burst: 600 } as const;
 
 /** Writes numbered events to the log. */
 export class EventLog {
   readonly #logger: bunyan;
   readonly #stream = new LogStream(STANDARD_OUTPUT);
-  readonly #lines = new TokenBucket(LINES, performance.now());
+  readonly #lineBudget = new TokenBucket(LINE_RATE, performance.now());
   readonly #counts = new Map<EventName, number>();
-  #leftOut = 0;
+  #omittedLines = 0;
 
-  /** Logs to standard output. */
+  /** Creates a log that writes to standard output. */
   constructor(options: EventLogOptions) {
     this.#logger = bunyan.createLogger({
       name: "lagoonwharf",
@@ -46,14 +45,14 @@
     });
   }
 
-  /** How often each event was to be written, those that were left out too. */
+  /** How often each event occurred, including those whose lines were omitted. */
   get counts(): ReadonlyMap<EventName, number> {
     return this.#counts;
   }
 
   /**
-   * Writes one event. Errors are always written; of the others so many a
-   * second, and how many were left out is written in their place.
+   * Writes one event. Errors are always written. Other events are omitted above the
+   * rate limit; the number of omitted lines is written before the next line.
    *
    * @example
    * ```ts
@@ -63,26 +62,26 @@
   write(name: EventName, details: EventDetails = {}): void {
     const event = getEvent(name);
     this.#counts.set(name, (this.#counts.get(name) ?? 0) + 1);
-    const isLeftOut = !this.#lines.tryTake(performance.now()) &&
+    const isOmitted = !this.#lineBudget.tryTake(performance.now()) &&
       event.level !== "error";
-    if (isLeftOut) {
-      this.#leftOut++;
+    if (isOmitted) {
+      this.#omittedLines++;
       return;
     }
-    this.#writeLeftOut();
+    this.#writeOmittedLines();
     this.#writeLine(name, details);
   }
 
-  /** Writes what still waits; for the end of the process. */
+  /** Writes all pending lines synchronously; used when the process ends. */
   flush(): void {
-    this.#writeLeftOut();
+    this.#writeOmittedLines();
     this.#stream.flush();
   }
 
-  #writeLeftOut(): void {
-    const lines = this.#leftOut + this.#stream.takeDropped();
+  #writeOmittedLines(): void {
+    const lines = this.#omittedLines + this.#stream.takeDroppedLines();
     if (lines === 0) return;
-    this.#leftOut = 0;
+    this.#omittedLines = 0;
     this.#writeLine("LINES_LEFT_OUT", { lines });
   }
 
--- a/src/events/events_page.ts
+++ b/src/events/events_page.ts
@@ -1,5 +1,6 @@
 /**
- * The operators' page of numbered events, refusals and connection faults.
+ * Generates docs/EVENTS.md, the reference of numbered events, refusals and connection
+ * faults.
  *
  * @module
  */
@@ -9,12 +10,12 @@
 
 const HEAD = `# Events, refusals and connection faults
 
-Made from the catalogues in the sources by \`npm run docs\`; a test fails when
-the two differ. Numbers are never used again for something else.
+Generated from the catalogues in the sources by \`npm run docs\`; a test fails when
+the two differ. Numbers are never reused.
 
 ## Logged events
 
-Each is one JSON object a line on standard output, with its number in \`event\`.
+Each is one JSON object per line on standard output, with its number in \`event\`.
 
 | Number | Name | Level | Text | What to do |
 | --- | --- | --- | --- | --- |
@@ -23,8 +24,8 @@
 const REFUSALS = `
 ## Refusals
 
-Callers see them as problem details (RFC 9457) with \`code\` and \`reason\`; the
-counter \`lagoonwharf_refusals_total\` has them by reason. \`Retry-After\` is in
+Callers receive them as problem details (RFC 9457) with \`code\` and \`reason\`; the
+counter \`lagoonwharf_refusals_total\` counts them by reason. \`Retry-After\` is in
 seconds.
 
 | Number | Reason | HTTP status | Retry-After | Text |
@@ -34,14 +35,14 @@
 const FAULTS = `
 ## Connection faults
 
-The close code of a connection between our processes; the counter
-\`lagoonwharf_link_faults_total\` has them by reason.
+Close codes of connections between lagoonwharf processes; the counter
+\`lagoonwharf_link_faults_total\` counts them by reason.
 
 | Number | Reason |
 | --- | --- |
 `;
 
-/** The whole page. */
+/** Generates the text of the page. */
 export function createEventsPage(): string {
   const events = EVENT_NAMES.map((name) => {
     const { code, level, text, action } = getEvent(name);
--- a/src/events/log_stream.ts
+++ b/src/events/log_stream.ts
@@ -1,75 +1,75 @@
 /**
- * Writes log lines to a file descriptor without ever waiting for its reader.
+ * Writes log lines to a file descriptor without blocking on its reader.
  *
  * @module
  */
 import { Buffer } from "node:buffer";
 import { write, writeSync } from "node:fs";
 
-/** Bytes that may wait for the reader; more are dropped. */
-const MAX_WAITING_BYTES = 262_144;
+/** Bytes that may be pending; further lines are dropped. */
+const MAX_PENDING_BYTES = 262_144;
 
-/** Milliseconds for which lines are gathered into one write. */
-const GATHER_MS = 100;
+/** Milliseconds for which lines are collected into one write. */
+const FLUSH_INTERVAL_MS = 100;
 
-/** Writes log lines without waiting for their reader. */
+/** Writes log lines without blocking on their reader. */
 export class LogStream {
   readonly #descriptor: number;
-  #waiting: string[] = [];
-  #waitingBytes = 0;
+  #pending: string[] = [];
+  #pendingBytes = 0;
   #isWriting = false;
-  #dropped = 0;
+  #droppedLines = 0;
 
-  /** Writes to an open file descriptor, such as 1 for standard output. */
+  /** Creates a stream to an open file descriptor, such as 1 for standard output. */
   constructor(descriptor: number) {
     this.#descriptor = descriptor;
   }
 
-  /** Takes the number of lines that were dropped since it was last taken. */
-  takeDropped(): number {
-    const dropped = this.#dropped;
-    this.#dropped = 0;
+  /** Returns and resets the number of dropped lines. */
+  takeDroppedLines(): number {
+    const dropped = this.#droppedLines;
+    this.#droppedLines = 0;
     return dropped;
   }
 
-  /** Takes a line, or drops it when too many wait already. */
+  /** Queues a line, or drops it if too many bytes are pending. */
   write(line: string): void {
-    if (this.#waitingBytes + line.length > MAX_WAITING_BYTES) {
-      this.#dropped++;
+    if (this.#pendingBytes + line.length > MAX_PENDING_BYTES) {
+      this.#droppedLines++;
       return;
     }
-    this.#waiting.push(line);
-    this.#waitingBytes += line.length;
+    this.#pending.push(line);
+    this.#pendingBytes += line.length;
     if (this.#isWriting) return;
     this.#isWriting = true;
-    setTimeout(() => this.#writeWaiting(), GATHER_MS).unref();
+    setTimeout(() => this.#writePending(), FLUSH_INTERVAL_MS).unref();
   }
 
-  /** Writes what waits at once; for the end of the process only. */
+  /** Writes all pending lines synchronously; used only when the process ends. */
   flush(): void {
-    const text = this.#waiting.join("");
-    this.#waiting = [];
-    this.#waitingBytes = 0;
+    const text = this.#pending.join("");
+    this.#pending = [];
+    this.#pendingBytes = 0;
     try {
       writeSync(this.#descriptor, text);
     } catch {
-      // The reader is gone or full, and a process that ends does not wait.
+      // The reader is gone or does not read; the process ends without waiting for it.
     }
   }
 
-  #writeWaiting(): void {
-    const bytes = Buffer.from(this.#waiting.join(""));
-    this.#waiting = [];
-    this.#waitingBytes = 0;
+  #writePending(): void {
+    const bytes = Buffer.from(this.#pending.join(""));
+    this.#pending = [];
+    this.#pendingBytes = 0;
     this.#writeFrom(bytes, 0);
   }
 
   #writeFrom(bytes: Buffer, start: number): void {
     write(this.#descriptor, bytes, start, (error, written) => {
-      // Without a reader there is nobody left to tell.
+      // On an error, such as a closed pipe, the remaining bytes are discarded.
       const end = error === null ? start + written : bytes.length;
       if (end < bytes.length) return this.#writeFrom(bytes, end);
-      if (this.#waiting.length > 0) return this.#writeWaiting();
+      if (this.#pending.length > 0) return this.#writePending();
       this.#isWriting = false;
     });
   }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,10 +1,11 @@
 /**
- * The one binary: `lagoonwharf entry`, `target`, `settings`, `status`.
+ * Command line of the program: `lagoonwharf entry`, `target`, `platform`, `settings`
+ * and `status`.
  *
  * @module
  */
-// Before all others: see there.
-import { leaveReloadSignal } from "./process/reload_signal.ts";
+// Must be imported first, so that a SIGHUP during start-up does not end the process.
+import { releaseReloadSignal } from "./process/reload_signal.ts";
 import process from "node:process";
 import meow from "meow";
 import { runEntry } from "./commands/entry_command.ts";
@@ -20,22 +21,22 @@
     $ lagoonwharf entry FILE              run the process of an entry VM
     $ lagoonwharf target FILE             run the process of a target VM
     $ lagoonwharf platform entry FILE     run an entry that calls back ends itself
-    $ lagoonwharf platform rank FILE      run the process beside a rank's engine
-    $ lagoonwharf settings check FILE     look for findings
+    $ lagoonwharf platform rank FILE      run the sidecar of a rank's engine
+    $ lagoonwharf settings check FILE     check a document and print findings
     $ lagoonwharf settings apply FILE     change a path
     $ lagoonwharf settings remove PATH    remove a path
-    $ lagoonwharf settings show PATH      print a path, ready to edit and apply
-    $ lagoonwharf settings diff FILE      compare a file with what is in force
+    $ lagoonwharf settings show PATH      print a path's document, to edit and apply
+    $ lagoonwharf settings diff FILE      compare a file with the settings in force
     $ lagoonwharf settings history PATH   print the changes of a path
     $ lagoonwharf settings list           print all paths
-    $ lagoonwharf settings wait REVISION  wait until it is in force everywhere
+    $ lagoonwharf settings wait REVISION  wait until a revision is in force everywhere
     $ lagoonwharf status                  print the state of every process
 
   Options
     --entry ADDRESS    administration address of an entry [127.0.0.1:8081]
     --path PATH        settings path of FILE, if it has no line "# path: PATH"
-    --base RECORD      record that FILE was made from
-    --change-id ID     ask again for a change whose outcome is not known
+    --base RECORD      record that FILE is based on
+    --change-id ID     retry a change whose outcome is unknown
     --limit MS         how long "wait" waits [14000]
 
   The token is read from the variable LAGOONWHARF_TOKEN, the processes' secret
@@ -58,7 +59,7 @@
       limit: { type: "number", default: DEFAULT_WAIT_MS },
     },
   });
-  const [command, ...words] = cli.input;
+  const [command, ...commandArguments] = cli.input;
   const options = {
     entry: cli.flags.entry,
     token: process.env["LAGOONWHARF_TOKEN"] ?? "",
@@ -67,18 +68,20 @@
     changeId: cli.flags.changeId,
     limitMs: cli.flags.limit,
   };
-  if (command === "settings" || command === "status") leaveReloadSignal();
-  if (command === "settings") return await runSettings(words, options);
+  if (command === "settings" || command === "status") releaseReloadSignal();
+  if (command === "settings") {
+    return await runSettings(commandArguments, options);
+  }
   if (command === "status") return await runStatus(options);
-  const [file] = words;
+  const [file] = commandArguments;
   if (command === "entry" && file !== undefined) return await runEntry(file);
-  if (command === "platform") return await runPlatform(words);
+  if (command === "platform") return await runPlatform(commandArguments);
   if (command === "target" && file !== undefined) return await runTarget(file);
   process.stderr.write(`${cli.help}\n`);
   return EXIT_CODES.USAGE;
 }
 
-// Not a top-level await: the binary is one CommonJS file.
+// Top-level await is not available, as the binary is one CommonJS file.
 void run().then((code) => {
   if (code !== undefined) process.exit(code);
 });
--- a/src/process/reload.ts
+++ b/src/process/reload.ts
@@ -6,7 +6,7 @@
 import type { Result } from "ts-results-es";
 import type { EventLog } from "../events/event_log.ts";
 import type { ProcessSettingsFinding } from "./process_settings.ts";
-import { takeReloadSignal } from "./reload_signal.ts";
+import { handleReloadSignal } from "./reload_signal.ts";
 
 /** Options of {@link reloadOnSignal}. */
 export interface ReloadOptions<T> {
@@ -28,7 +28,7 @@
  */
 export function reloadOnSignal<T>(options: ReloadOptions<T>): void {
   const { read, apply, log } = options;
-  takeReloadSignal(() => {
+  handleReloadSignal(() => {
     const settings = read();
     if (settings.isErr()) {
       const findings = settings.error
--- a/src/process/reload_signal.ts
+++ b/src/process/reload_signal.ts
@@ -10,13 +10,13 @@
  */
 import process from "node:process";
 
-let wasSignalled = false;
+let wasReceived = false;
 
-function remember(): void {
-  wasSignalled = true;
+function recordSignal(): void {
+  wasReceived = true;
 }
 
-process.on("SIGHUP", remember);
+process.on("SIGHUP", recordSignal);
 
 /**
  * Calls `onSignal` for each SIGHUP from now on, and once for those that came
@@ -27,13 +27,13 @@
  * takeReloadSignal(() => reload());
  * ```
  */
-export function takeReloadSignal(onSignal: () => void): void {
-  process.off("SIGHUP", remember);
+export function handleReloadSignal(onSignal: () => void): void {
+  process.off("SIGHUP", recordSignal);
   process.on("SIGHUP", onSignal);
-  if (wasSignalled) onSignal();
+  if (wasReceived) onSignal();
 }
 
 /** Lets SIGHUP end the process again, as a command at a terminal should. */
-export function leaveReloadSignal(): void {
-  process.off("SIGHUP", remember);
+export function releaseReloadSignal(): void {
+  process.off("SIGHUP", recordSignal);
 }
