--- a/src/external/back_end.ts
+++ b/src/external/back_end.ts
@@ -13,28 +13,31 @@
   readonly path: string;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
-  /** Milliseconds in which the whole answer must have come. */
+  /** Milliseconds within which the answer must be complete. */
   readonly limitMs: number;
-  /** Organisation whose request it is; undefined: the back end is not told. */
+  /** Organisation that sent the request; undefined: it is not sent to the back end. */
   readonly organisation?: string;
-  /** How urgent it is among others that wait there, 0 first; undefined: as usual. */
+  /**
+   * Priority among the requests that wait at the back end, 0 first; undefined: the
+   * default.
+   */
   readonly priority?: Priority;
-  /** Incarnation that alone may run it; undefined: whichever answers. */
+  /** Incarnation that may run the request; undefined: any. */
   readonly instance?: string;
   /**
-   * Whether it may still be sent. Asked once its connection is ready, before the first byte;
-   * undefined: it may.
+   * Returns whether the request may still be sent. Called once its connection is ready,
+   * before the first byte is sent; undefined: it may.
    */
   readonly mayBegin?: () => boolean;
 }
 
 /**
- * Why a call gave no whole answer: `not_begun` only if no byte of the request
- * can have reached the back end, `withheld` if it was not to be sent any more once its
- * connection was ready, `full` if the back end said that it did not run
- * the request, `group_lost` if it did not since another rank of its group is gone,
- * `wrong_instance` if another incarnation has its address, `late`
- * if the limit passed, `broken` otherwise.
+ * Why a call failed to produce a complete answer: `not_begun` if no byte of the request
+ * can have reached the back end; `withheld` if the request was no longer to be sent
+ * once its connection was ready; `full` if the back end replied that it did not run the
+ * request; `group_lost` if it did not run it because another rank of its group is gone;
+ * `wrong_instance` if another incarnation has its address; `late` if the time limit
+ * passed; `broken` otherwise.
  */
 export type BackEndFailure =
   | "not_begun"
@@ -45,29 +48,29 @@
   | "late"
   | "broken";
 
-/** Whether a failure means that the back end did not run the request. */
+/** Returns whether a failure implies that the back end did not run the request. */
 export function isNotRun(failure: BackEndFailure): boolean {
   return failure === "not_begun" || failure === "withheld" ||
     failure === "full" || failure === "group_lost" ||
     failure === "wrong_instance";
 }
 
-/** Load of a back end, as it told with an answer. */
+/** Load of a back end, as reported with an answer. */
 export interface BackEndLoad {
   readonly running: number;
   readonly queued: number;
 }
 
-/** How the end of an answer is known. */
+/** How the end of an answer is determined. */
 export interface AnswerFraming {
   /**
-   * The answer says neither length nor chunks: it ends with its connection, and
-   * nobody can tell a whole one from one whose sender has crashed.
+   * The answer has neither a length nor chunks, so it ends when its connection closes.
+   * A complete answer can't be distinguished from one whose sender has crashed.
    */
   readonly endsWithConnection: boolean;
 }
 
-/** Hears of one call, in order; the last is `onEnd` or `onFailed`. */
+/** Receives the events of one call in order; the last is `onEnd` or `onFailed`. */
 export interface BackEndListener {
   onHead(
     status: number,
@@ -77,37 +80,41 @@
   onData(bytes: Uint8Array): void;
   onEnd(): void;
   onFailed(failure: BackEndFailure): void;
-  /** Comes before `onHead` or `onFailed` when the back end told its load. */
+  /** Called before `onHead` or `onFailed` if the back end reported its load. */
   onLoad?(load: BackEndLoad): void;
-  /** Comes before `onFailed`: the back end whose loss kept this one from its work, by id. */
+  /**
+   * Called before `onFailed` with the id of the lost rank because of which the request
+   * did not run.
+   */
   onLostPeer?(id: string): void;
-  /** Comes before `onHead` or `onFailed` when the back end itself answered. */
+  /** Called before `onHead` or `onFailed` if the back end itself answered. */
   onNotice?(notice: BackEndNotice): void;
   /**
-   * Comes before `onHead`: milliseconds for which the connection can carry another call
-   * once this one has ended; 0 if it ends with it.
+   * Called before `onHead` with the milliseconds for which the connection can be reused
+   * after this call; 0 if it closes with the call.
    */
   onKept?(milliseconds: number): void;
 }
 
-/** A call under way. */
+/** A call in progress. */
 export interface BackEndCall {
-  /** Breaks the call off; `onFailed` follows unless it had ended. */
+  /** Cancels the call; `onFailed` follows unless the call has ended. */
   cancel(): void;
   /**
-   * Reads no more of the answer until {@link BackEndCall.resume}. Some pieces may still
-   * come. The end is not lost, a reset fails the call, and its limit keeps running.
+   * Stops reading the answer until {@link BackEndCall.resume}. Data that was read
+   * already may still be delivered. While the call is paused, the end of the answer is
+   * not lost, a reset fails the call, and its time limit continues to run.
    */
   pause(): void;
-  /** Reads on. */
+  /** Continues to read the answer. */
   resume(): void;
-  /** Bytes of the answer that the process holds unread while the call is paused. */
+  /** Bytes of the answer that are received but unread while the call is paused. */
   readonly unreadBytes: number;
 }
 
 /** The model engine or plain service behind a target. */
 export abstract class BackEnd {
-  /** Calls the back end. */
+  /** Starts a call. */
   abstract start(
     request: BackEndRequest,
     listener: BackEndListener,
--- a/src/external/back_end_failures.ts
+++ b/src/external/back_end_failures.ts
@@ -1,5 +1,5 @@
 /**
- * What a caller is told when a back end gave no whole answer.
+ * Maps failures of calls to back ends to the refusals that callers receive.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 };
 
 /**
- * The refusal reason of a failed call.
+ * Returns the refusal for a failed call.
  *
  * @example
  * ```ts
--- a/src/external/contracts_test.ts
+++ b/src/external/contracts_test.ts
@@ -15,8 +15,8 @@
 import { HttpVirtualMachineList } from "./http_virtual_machine_list.ts";
 
 /**
- * Each contract runs against our stand-in, or against another implementation
- * at the address that its variable names.
+ * Variables with the addresses of the implementations under test. Without its variable,
+ * a contract is tested against its stand-in.
  */
 const VARIABLES = {
   keyValue: "LAGOONWHARF_CONTRACT_KEY_VALUE",
@@ -30,13 +30,13 @@
   close(): void;
 }
 
-/** The address to test, with the stand-in running unless another is named. */
-async function addressOf(
+/** Returns the configured address, or starts the stand-in and returns its address. */
+async function startOrGetAddress(
   variable: keyof typeof VARIABLES,
   standIn: StandIn,
 ): Promise<string> {
-  const named = process.env[VARIABLES[variable]];
-  if (named !== undefined) return named;
+  const configuredAddress = process.env[VARIABLES[variable]];
+  if (configuredAddress !== undefined) return configuredAddress;
   const address = await findFreeAddress();
   await standIn.listen(address);
   return address;
@@ -47,11 +47,13 @@
   let service: HttpKeyValueService;
 
   before(async () => {
-    service = new HttpKeyValueService(await addressOf("keyValue", standIn));
+    service = new HttpKeyValueService(
+      await startOrGetAddress("keyValue", standIn),
+    );
   });
   after(() => standIn.close());
 
-  it("reads nothing where nothing was written", async () => {
+  it("returns undefined for a key that was never written", async () => {
     assert.equal(await service.tryRead(randomUUID()), undefined);
   });
 
@@ -77,7 +79,7 @@
     assert.deepEqual(entry, { value: "two", revision: second.revision });
   });
 
-  it("lets one of many racing writers win", async () => {
+  it("accepts one of several concurrent writes", async () => {
     const key = `contract/${randomUUID()}`;
     const outcomes = await Promise.all(
       Array.from({ length: 10 }, (_, index) =>
@@ -86,11 +88,11 @@
           expectedRevision: 0,
         })),
     );
-    const won = outcomes.filter((outcome) => outcome.kind === "swapped");
-    assert.equal(won.length, 1);
+    const winners = outcomes.filter((outcome) => outcome.kind === "swapped");
+    assert.equal(winners.length, 1);
   });
 
-  it("keeps values of many kinds, up to a quarter of a megabyte", async () => {
+  it("stores any string, up to 256 KiB", async () => {
     for (const value of ["", '\u0000\n"', "äß€😀", "x".repeat(262_144)]) {
       const key = `contract/${randomUUID()} /?#%`;
       await service.compareAndSwap(key, { value, expectedRevision: 0 });
@@ -98,7 +100,7 @@
     }
   });
 
-  it("wakes a watch when the key changes, and at once if it has", async () => {
+  it("answers a watch when the key changes, immediately if it already has", async () => {
     const key = `contract/${randomUUID()}`;
     const { signal } = new AbortController();
     const watch = service.watch(key, { knownRevision: 0, signal });
@@ -109,12 +111,12 @@
   });
 });
 
-describe("contract of the machine list", () => {
+describe("contract of the list of VMs", () => {
   const standIn = new MachineListStandIn();
 
   after(() => standIn.close());
 
-  it("names machines, each once", async () => {
+  it("lists VMs with unique names", async () => {
     standIn.setMachines([{
       name: "plan-1",
       address: "127.0.0.1:7001",
@@ -124,12 +126,12 @@
       state: "live",
     }]);
     const list = new HttpVirtualMachineList(
-      await addressOf("machineList", standIn),
+      await startOrGetAddress("machineList", standIn),
     );
-    const machines = await list.read();
-    const names = new Set(machines.map((machine) => machine.name));
-    assert.equal(names.size, machines.length);
-    assert.ok(machines.length > 0);
+    const virtualMachines = await list.read();
+    const names = new Set(virtualMachines.map((machine) => machine.name));
+    assert.equal(names.size, virtualMachines.length);
+    assert.ok(virtualMachines.length > 0);
   });
 });
 
@@ -138,18 +140,18 @@
   let address: string;
 
   before(async () => {
-    address = await addressOf("backEnd", standIn);
+    address = await startOrGetAddress("backEnd", standIn);
   });
   after(() => standIn.close());
 
-  it("answers a request whole", async () => {
+  it("answers a request completely", async () => {
     const answer = await callBackEnd(address);
     assert.equal(answer.failure, undefined);
     assert.equal(answer.status, 200);
     assert.ok(answer.text.length > 0);
   });
 
-  it("cannot have begun where nobody listens", async () => {
+  it("fails as not begun if no process listens at its address", async () => {
     const answer = await callBackEnd(await findFreeAddress());
     assert.equal(answer.failure, "not_begun");
   });
@@ -173,7 +175,7 @@
       body: Buffer.from("body"),
       limitMs: 10_000,
     }, {
-      onHead: (seen) => status = seen,
+      onHead: (headStatus) => status = headStatus,
       onData: (bytes) => text += Buffer.from(bytes).toString(),
       onEnd: () => resolve(undefined),
       onFailed: resolve,
@@ -193,7 +195,7 @@
 
   before(async () => {
     engine = new HttpRankEngine(
-      await addressOf("rankEngine", {
+      await startOrGetAddress("rankEngine", {
         listen: (address) => standIn.listen(0, address),
         close: () => standIn.close(),
       }),
@@ -201,7 +203,7 @@
   });
   after(() => standIn.close());
 
-  it("carries out a switch order by order, each as often as asked", async () => {
+  it("executes the orders of a switch idempotently", async () => {
     const map = { layers: [{ experts: [[0, 1]] }] };
     const before = await engine.readState();
     const incarnation = before.incarnation + 1;
--- a/src/external/formed_engine.ts
+++ b/src/external/formed_engine.ts
@@ -19,26 +19,26 @@
 /** The engine of one rank of a group that the platform forms. */
 export abstract class FormedEngine {
   /**
-   * How the engine stands now; undefined when it belongs to no group.
+   * Reads the state of the engine; undefined if it belongs to no group.
    *
    * @throws {FormedEngineUnavailableError} when it does not answer
    */
   abstract tryReadState(): Promise<RankState | undefined>;
 
   /**
-   * How often each expert was chosen since the engine started.
+   * Reads how often each expert was chosen since the engine started.
    *
    * @throws {FormedEngineUnavailableError} when it does not answer
    */
   abstract readCounts(): Promise<ExpertCounts>;
 
   /**
-   * The experts of the active map that this rank holds.
+   * Reads the experts of the active map that this rank holds.
    *
    * @throws {FormedEngineUnavailableError} when it does not answer
    */
   abstract readExperts(): Promise<RankExperts>;
 
-  /** Gives an order. Never throws; an unanswered order may still take effect. */
+  /** Sends an order. Never throws; an unanswered order may still take effect. */
   abstract give(order: EngineOrder): Promise<OrderOutcome>;
 }
--- a/src/external/http_back_end.ts
+++ b/src/external/http_back_end.ts
@@ -1,5 +1,5 @@
 /**
- * A back end that is called by HTTP.
+ * A back end that is called over HTTP.
  *
  * @module
  */
@@ -18,46 +18,47 @@
 import { resetWhenClosed } from "../core/socket_reset.ts";
 import {
   type AnswerHeaders,
-  getUsableMs,
+  getReusableMs,
   type HttpConnection,
   HttpConnections,
 } from "./http_connections.ts";
 import { isReset } from "./pausable_reading.ts";
 
-const CONNECT_LIMIT_MS = 2000;
+const CONNECT_TIMEOUT_MS = 2000;
 /**
- * Milliseconds within which a forgotten connection is reset: a way there and back, and
- * time until it is read. A server that crashes while it works mostly does so later.
+ * Milliseconds within which the server resets a reused connection that it had closed
+ * before: a round trip and the time until the reset is read. The crash of a server that
+ * processes the request mostly resets the connection later.
  */
-const FORGOTTEN_WITHIN_MS = 100;
+const STALE_RESET_LIMIT_MS = 100;
 
 /** Options of an {@link HttpBackEnd}. */
 export interface HttpBackEndOptions {
   /** Host and port. */
   readonly address: string;
-  /** Connections that are kept to it, at most. */
+  /** Maximum number of connections to the back end. */
   readonly connections: number;
-  /** Milliseconds in which a connection must be made. */
+  /** Milliseconds within which a connection must be established. */
   readonly connectLimitMs?: number;
-  /** For how long connections rest, as learnt with all servers of a pool. */
+  /** How long connections may be idle, as observed at all servers of a pool. */
   readonly lifetime?: IdleLifetime;
 }
 
-/** A back end that is called by HTTP. */
+/** A back end that is called over HTTP. */
 export class HttpBackEnd extends BackEnd {
   readonly #connections: HttpConnections;
   readonly #lifetime: IdleLifetime;
   readonly #connectLimitMs: number;
   readonly #resets = new ResetDetector();
 
-  /** Connects on the first call. */
+  /** Creates a back end that connects on the first call. */
   constructor(options: HttpBackEndOptions) {
     super();
-    this.#connectLimitMs = options.connectLimitMs ?? CONNECT_LIMIT_MS;
+    this.#connectLimitMs = options.connectLimitMs ?? CONNECT_TIMEOUT_MS;
     this.#lifetime = options.lifetime ?? new IdleLifetime();
     this.#connections = new HttpConnections({
       address: options.address,
-      most: options.connections,
+      maxConnections: options.connections,
       connect: this.#resets.createConnector(this.#connectLimitMs),
       lifetime: this.#lifetime,
     });
@@ -67,11 +68,11 @@
     request: BackEndRequest,
     listener: BackEndListener,
   ): BackEndCall {
-    const connection = this.#connections.take(performance.now());
+    const connection = this.#connections.acquire(performance.now());
     const call = new HttpBackEndCall(listener, {
       limitMs: request.limitMs,
       mayBegin: request.mayBegin,
-      beginLimitMs: this.#connectLimitMs,
+      connectLimitMs: this.#connectLimitMs,
       connection,
       connections: this.#connections,
       lifetime: this.#lifetime,
@@ -92,74 +93,80 @@
 }
 
 /**
- * Tells when a connection is being reset. The client library takes an answer
- * without a length for whole when its connection is reset, and says so while it
- * hears of the reset; only an orderly end makes such an answer whole.
+ * Detects that a connection is being reset. The client library treats an answer without
+ * a length as complete when its connection is reset, and reports its end while it
+ * handles the reset; only an orderly close makes such an answer complete.
  */
 class ResetDetector {
   #isResetting = false;
 
-  /** Whether this turn of the event loop handles a reset connection. */
+  /** Whether the current event loop callback handles the reset of a connection. */
   get isResetting(): boolean {
     return this.#isResetting;
   }
 
-  /** Makes connections whose errors are seen here before the library. */
+  /**
+   * Creates connections whose errors are handled here before the library handles them.
+   */
   createConnector(limitMs: number): buildConnector.connector {
     const connect = buildConnector({ timeout: limitMs });
     return (options, callback) =>
       connect(options, (...result) => {
         const [, socket] = result;
         if (socket) {
-          socket.on("error", () => this.#noteError());
-          this.#watchEnd(socket);
-          resetWhenBrokenOff(socket);
+          socket.on("error", () => this.#onError());
+          this.#detectResetAtEnd(socket);
+          resetWhenAborted(socket);
         }
         callback(...result);
       });
   }
 
   /**
-   * A reset that is found together with unread bytes is told as an orderly end
-   * (libuv, on `POLLHUP` after a partial read).
+   * Detects a reset that libuv reports as an orderly end, as it does if the reset
+   * arrives together with unread bytes (`POLLHUP` after a partial read).
    */
-  #watchEnd(socket: Socket): void {
+  #detectResetAtEnd(socket: Socket): void {
     socket.prependListener("end", () => {
-      if (isReset(socket)) this.#noteError();
+      if (isReset(socket)) this.#onError();
     });
   }
 
-  #noteError(): void {
+  #onError(): void {
     this.#isResetting = true;
     queueMicrotask(() => this.#isResetting = false);
   }
 }
 
-/** Code of the error with which the client library ends a call's connection. */
-const BROKEN_OFF_CODE = "UND_ERR_INFO";
+/**
+ * Code of the error with which the client library destroys the connection of an aborted
+ * call.
+ */
+const ABORTED_CODE = "UND_ERR_INFO";
 
 /**
- * A call that is broken off resets its connection. After an orderly close its request
- * stays on the way, and a back end that stood still, or was cut off, begins it seconds
- * after its caller has left; a reset takes it back.
- * `resetAndDestroy` would close the socket a turn later, in which the library would put
- * the next request on it.
+ * Makes an aborted call reset its connection. After an orderly close, the request would
+ * still be delivered, and a back end that was frozen or cut off would start it seconds
+ * after its caller has disconnected; a reset discards it.
+ *
+ * `resetAndDestroy` would close the socket in a later iteration of the event loop,
+ * before which the library would send the next request on it.
  */
-function resetWhenBrokenOff(socket: Socket): void {
+function resetWhenAborted(socket: Socket): void {
   const destroy = socket.destroy.bind(socket);
   socket.destroy = (error?: Error & { readonly code?: string }) => {
-    const isBrokenOff = error?.code === BROKEN_OFF_CODE;
-    if (isBrokenOff) resetWhenClosed(socket);
+    const isAborted = error?.code === ABORTED_CODE;
+    if (isAborted) resetWhenClosed(socket);
     return destroy(error);
   };
 }
 
 interface HttpBackEndCallOptions {
   readonly limitMs: number;
-  /** Whether its request may still be sent; undefined: it may. */
+  /** Whether the request may still be sent; undefined: it may. */
   readonly mayBegin: (() => boolean) | undefined;
-  /** Milliseconds in which its request must be on its way. */
-  readonly beginLimitMs: number;
+  /** Milliseconds within which the connection must be established. */
+  readonly connectLimitMs: number;
   readonly connection: HttpConnection;
   readonly connections: HttpConnections;
   readonly lifetime: IdleLifetime;
@@ -169,27 +176,27 @@
 class HttpBackEndCall implements Dispatcher.DispatchHandler, BackEndCall {
   readonly #listener: BackEndListener;
   readonly #options: HttpBackEndCallOptions;
-  readonly #limit: NodeJS.Timeout;
+  readonly #timeout: NodeJS.Timeout;
   readonly #startedAt = performance.now();
-  /** How long its connection had rested; undefined: it is a new one. */
-  readonly #restedMs: number | undefined;
+  /** How long the connection was idle before the call; undefined if it is new. */
+  readonly #idleMs: number | undefined;
   #controller: Dispatcher.DispatchController | undefined;
-  #usableMs = 0;
+  #reusableMs = 0;
   #hasHead = false;
   #isCancelled = false;
   #isWithheld = false;
   #isLate = false;
   #isPaused = false;
-  #isOver = false;
+  #isFinished = false;
 
   constructor(listener: BackEndListener, options: HttpBackEndCallOptions) {
     const { connection, limitMs } = options;
     this.#listener = listener;
     this.#options = options;
-    this.#restedMs = connection.wasUsed
-      ? connection.getRestedMs(this.#startedAt)
+    this.#idleMs = connection.hasAnswered
+      ? connection.getIdleMs(this.#startedAt)
       : undefined;
-    this.#limit = setTimeout(() => this.#endLate(), limitMs);
+    this.#timeout = setTimeout(() => this.#onTimeout(), limitMs);
   }
 
   cancel(): void {
@@ -199,30 +206,31 @@
 
   pause(): void {
     this.#isPaused = true;
-    if (this.#isAnswering) this.#options.connection.reading?.pause();
+    if (this.#isReceivingAnswer) this.#options.connection.reading?.pause();
   }
 
   resume(): void {
     this.#isPaused = false;
-    if (this.#isAnswering) this.#options.connection.reading?.resume();
+    if (this.#isReceivingAnswer) this.#options.connection.reading?.resume();
   }
 
   get unreadBytes(): number {
-    if (!this.#isPaused || !this.#isAnswering) return 0;
+    if (!this.#isPaused || !this.#isReceivingAnswer) return 0;
     return this.#options.connection.reading?.unreadBytes ?? 0;
   }
 
-  /** Whether what the connection receives is this call's answer. */
-  get #isAnswering(): boolean {
-    return this.#hasHead && !this.#isOver;
+  /** Whether the connection receives the answer of this call. */
+  get #isReceivingAnswer(): boolean {
+    return this.#hasHead && !this.#isFinished;
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    // A connection that took longer was made while the process stood still, and whoever
-    // asked may have left meanwhile: the timers that say so fire after this.
-    const isOverdue = performance.now() - this.#startedAt >= this.#beginLimitMs;
+    // If connecting took longer, this process was stalled. The caller may have
+    // disconnected meanwhile, and the timers that would report it fire only after this.
+    const isTooLate =
+      performance.now() - this.#startedAt >= this.#startTimeoutMs;
     this.#isWithheld = this.#options.mayBegin?.() === false;
-    if (this.#isCancelled || isOverdue || this.#isWithheld) {
+    if (this.#isCancelled || isTooLate || this.#isWithheld) {
       return controller.abort(new Error("The call is not begun any more"));
     }
     this.#controller = controller;
@@ -233,12 +241,12 @@
     status: number,
     headers: AnswerHeaders,
   ): void {
-    // Informational answers come before the real one.
-    if (status < 200 || this.#isOver) return;
+    // Informational (1xx) responses precede the final one.
+    if (status < 200 || this.#isFinished) return;
     this.#hasHead = true;
     if (this.#isPaused) this.pause();
-    this.#usableMs = this.#getUsableMs(headers);
-    this.#listener.onKept?.(this.#usableMs);
+    this.#reusableMs = this.#getReusableMs(headers);
+    this.#listener.onKept?.(this.#reusableMs);
     const endsWithConnection = headers["content-length"] === undefined &&
       headers["transfer-encoding"] === undefined;
     this.#listener.onHead(status, endToEndHeadersOf(headers), {
@@ -250,15 +258,16 @@
     _controller: Dispatcher.DispatchController,
     chunk: Uint8Array,
   ): void {
-    if (!this.#isOver) this.#listener.onData(chunk);
+    if (!this.#isFinished) this.#listener.onData(chunk);
   }
 
   onResponseEnd(): void {
     if (!this.#finish()) return;
     const { connection, connections, resets } = this.#options;
-    const isKept = this.#usableMs > 0 && !resets.isResetting;
-    if (isKept) connections.keep(connection, this.#usableMs, performance.now());
-    else connections.drop(connection);
+    const isReusable = this.#reusableMs > 0 && !resets.isResetting;
+    if (isReusable) {
+      connections.release(connection, this.#reusableMs, performance.now());
+    } else connections.discard(connection);
     if (resets.isResetting) this.#listener.onFailed("broken");
     else this.#listener.onEnd();
   }
@@ -269,32 +278,35 @@
   ): void {
     if (!this.#finish()) return;
     const { connection, connections } = this.#options;
-    this.#noteIfDead();
-    connections.drop(connection);
+    this.#recordIfStale();
+    connections.discard(connection);
     this.#listener.onFailed(this.#getFailure());
   }
 
-  get #beginLimitMs(): number {
-    return Math.min(this.#options.limitMs, this.#options.beginLimitMs);
+  get #startTimeoutMs(): number {
+    return Math.min(this.#options.limitMs, this.#options.connectLimitMs);
   }
 
-  #getUsableMs(headers: AnswerHeaders): number {
+  #getReusableMs(headers: AnswerHeaders): number {
     const limitMs = this.#options.lifetime.getLimitMs(performance.now());
-    return Math.min(limitMs, getUsableMs(headers));
+    return Math.min(limitMs, getReusableMs(headers));
   }
 
-  /** Whether no byte of the request can have been sent. */
+  /** Whether it is certain that no byte of the request was sent. */
   get #isNotBegun(): boolean {
     return this.#controller === undefined;
   }
 
-  /** A server that ends a connection at once when it is used again has forgotten it. */
-  #noteIfDead(): void {
-    const isOurs = this.#isCancelled || this.#isNotBegun || this.#hasHead;
+  /**
+   * Records the idle time of a reused connection that the server had already closed, as
+   * a reset right after its reuse shows.
+   */
+  #recordIfStale(): void {
+    const isExpected = this.#isCancelled || this.#isNotBegun || this.#hasHead;
     const now = performance.now();
-    const isLater = now - this.#startedAt > FORGOTTEN_WITHIN_MS;
-    if (isOurs || isLater || this.#restedMs === undefined) return;
-    this.#options.lifetime.noteDead(this.#restedMs, now);
+    const isTooLate = now - this.#startedAt > STALE_RESET_LIMIT_MS;
+    if (isExpected || isTooLate || this.#idleMs === undefined) return;
+    this.#options.lifetime.noteDead(this.#idleMs, now);
   }
 
   #getFailure(): BackEndFailure {
@@ -303,17 +315,17 @@
     return this.#isLate ? "late" : "broken";
   }
 
-  #endLate(): void {
+  #onTimeout(): void {
     this.#isLate = true;
     this.cancel();
   }
 
   #finish(): boolean {
-    if (this.#isOver) return false;
-    // The connection may serve another call.
+    if (this.#isFinished) return false;
+    // The connection may be reused for another call.
     if (this.#isPaused) this.resume();
-    this.#isOver = true;
-    clearTimeout(this.#limit);
+    this.#isFinished = true;
+    clearTimeout(this.#timeout);
     return true;
   }
 }
--- a/src/external/http_back_end_test.ts
+++ b/src/external/http_back_end_test.ts
@@ -20,7 +20,7 @@
   readonly body: string;
 }
 
-/** A server on raw sockets, and the way to it. */
+/** Starts a server on raw sockets and a client for it. */
 async function startServer(
   onConnection: (socket: Socket) => void,
   connectLimitMs?: number,
@@ -37,10 +37,10 @@
   return { server, backEnd };
 }
 
-/** Calls a server that answers on a raw socket. */
+/** Calls a server that answers on a raw socket, and returns the outcome. */
 async function callServer(answer: Answer): Promise<CallResult> {
   const { server, backEnd } = await startServer((socket) => {
-    socket.on("error", () => {/* Resets are what these tests are about. */});
+    socket.on("error", () => {/* Resets are expected. */});
     socket.once("data", () => answer(socket));
   });
   let body = "";
@@ -60,12 +60,12 @@
 const UNFRAMED = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
 describe("answers of a back end", () => {
-  it("without a length are whole when the connection ends", async () => {
+  it("without a length are complete when the connection is closed", async () => {
     const result = await callServer((socket) => socket.end(`${UNFRAMED}whole`));
     assert.deepEqual(result, { outcome: "whole", body: "whole" });
   });
 
-  it("without a length are broken when the connection is reset", async () => {
+  it("without a length fail when the connection is reset", async () => {
     const result = await callServer((socket) => {
       socket.write(`${UNFRAMED}par`);
       setTimeout(() => socket.resetAndDestroy(), 50);
@@ -74,13 +74,13 @@
   });
 
   const length = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n";
-  it("shorter than their length are broken", async () => {
+  it("shorter than their length fail", async () => {
     const result = await callServer((socket) => socket.end(`${length}short`));
     assert.equal(result.outcome, "broken");
   });
 
   const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  it("in chunks without the last one are broken", async () => {
+  it("in chunks without the last chunk fail", async () => {
     const result = await callServer((socket) =>
       socket.end(`${chunked}3\r\nabc\r\n`)
     );
@@ -88,29 +88,29 @@
   });
 
   const closing = "HTTP/1.1 200 OK\r\nConnection: close\r\n";
-  it("shorter than their length are broken on a closing connection", async () => {
+  it("shorter than their length fail on a closing connection", async () => {
     const head = `${closing}Content-Length: 9\r\n\r\n`;
     const result = await callServer((socket) => socket.end(`${head}short`));
     assert.equal(result.outcome, "broken");
   });
 
-  for (const piece of ["3\r\nabc\r\n", "3\r\nab", ""]) {
-    const name = JSON.stringify(piece);
-    it(`in chunks that end after ${name} are broken on a closing connection`, async () => {
+  for (const chunk of ["3\r\nabc\r\n", "3\r\nab", ""]) {
+    const name = JSON.stringify(chunk);
+    it(`in chunks that end after ${name} fail on a closing connection`, async () => {
       const head = `${closing}Transfer-Encoding: chunked\r\n\r\n`;
-      const result = await callServer((socket) => socket.end(head + piece));
+      const result = await callServer((socket) => socket.end(head + chunk));
       assert.equal(result.outcome, "broken");
     });
   }
 
-  it("that are no HTTP are broken", async () => {
+  it("that are not HTTP fail", async () => {
     const result = await callServer((socket) => socket.end("nonsense\r\n\r\n"));
     assert.equal(result.outcome, "broken");
   });
 });
 
-/** How a server sees its connection end when the call is broken off. */
-async function breakOff(): Promise<string> {
+/** Returns how the server's side of the connection ends when the call is cancelled. */
+async function cancelCall(): Promise<string> {
   const { server, backEnd } = await startServer(() => undefined);
   const call = backEnd.start(REQUEST, {
     onHead: () => undefined,
@@ -128,31 +128,34 @@
     );
   });
   call.cancel();
-  const seen = await ended;
+  const outcome = await ended;
   socket.destroy();
   await backEnd.close();
   server.close();
-  return seen;
+  return outcome;
 }
 
-describe("a call that is broken off", () => {
-  it("resets its connection, so that what is on its way is taken back", async () => {
-    assert.equal(await breakOff(), "ECONNRESET");
+describe("a cancelled call", () => {
+  it("resets its connection, which discards the request in transit", async () => {
+    assert.equal(await cancelCall(), "ECONNRESET");
   });
 });
 
-/** Stands still as a process without a processor does. */
-function standStill(milliseconds: number): void {
+/** Blocks the event loop, as if the process had no processor time. */
+function blockEventLoop(milliseconds: number): void {
   const end = performance.now() + milliseconds;
-  while (performance.now() < end) { /* Nothing else runs. */ }
+  while (performance.now() < end) { /* Busy wait. */ }
 }
 
-describe("a call that is not to be sent any more once its connection is ready", () => {
-  // Guards against a request that reaches a back end after that has asked for none.
-  it("sends nothing, and says so", async () => {
+describe("a call that may no longer be sent once its connection is ready", () => {
+  // A request must not reach a back end that has asked for a backoff meanwhile.
+  it("sends nothing and fails as withheld", async () => {
     let received = 0;
     const { server, backEnd } = await startServer((socket) => {
-      socket.on("error", () => {/* It is reset, as nothing was sent. */});
+      socket.on(
+        "error",
+        () => {/* The connection is reset, as nothing was sent. */},
+      );
       socket.on("data", (bytes) => received += bytes.length);
     });
     const failure = await new Promise<string>((resolve) => {
@@ -170,13 +173,16 @@
   });
 });
 
-describe("a call whose connection was made while the process stood still", () => {
-  it("sends nothing, and says so", async () => {
+describe("a call whose connection was established while the process was stalled", () => {
+  it("sends nothing and fails as not begun", async () => {
     const connectLimitMs = 30;
     let received = 0;
     const { server, backEnd } = await startServer(
       (socket) => {
-        socket.on("error", () => {/* It is reset, as nothing was sent. */});
+        socket.on(
+          "error",
+          () => {/* The connection is reset, as nothing was sent. */},
+        );
         socket.on("data", (bytes) => received += bytes.length);
       },
       connectLimitMs,
@@ -189,7 +195,7 @@
         onFailed: resolve,
       });
     });
-    standStill(2 * connectLimitMs);
+    blockEventLoop(2 * connectLimitMs);
     assert.equal(await failure, "not_begun");
     await backEnd.close();
     server.close();
--- a/src/external/http_connections.ts
+++ b/src/external/http_connections.ts
@@ -1,10 +1,10 @@
 /**
  * The connections to one back end, each used by one call at a time.
  *
- * The client library's own pool takes the first connection that is free, also one that
- * is closed and has to be made anew, while others rest; and it trusts a server's promise
- * of how long they last. Here the one that rested least is taken, and none that rested
- * for longer than is known to be safe.
+ * The client library's own pool picks the first free connection, even one that is
+ * closed and must be established again while others are idle, and it trusts the
+ * keep-alive time that a server announces. This pool picks the connection that was idle
+ * for the shortest time, and none that was idle for longer than is known to be safe.
  *
  * @module
  */
@@ -18,39 +18,42 @@
 export interface HttpConnectionsOptions {
   /** Host and port. */
   readonly address: string;
-  /** Connections that are kept, at most. */
-  readonly most: number;
+  /** Maximum number of connections. */
+  readonly maxConnections: number;
   readonly connect: buildConnector.connector;
   readonly lifetime: IdleLifetime;
 }
 
 /**
- * Milliseconds before the promised end from which a connection is not used: a request is
- * on its way for a few of them, and timers fire late.
+ * Milliseconds before the end of the announced keep-alive time from which a connection
+ * is not reused: a request is in transit for a few of them, and timers fire late.
  */
-const PROMISE_MARGIN_MS = 250;
-/** Milliseconds for which connections of servers that promise nothing are kept. */
-const UNPROMISED_MS = 4000;
-/** The promise in the header of that name, in seconds. */
-const PROMISED_SECONDS = /timeout=(\d+)/i;
+const KEEP_ALIVE_MARGIN_MS = 250;
+/**
+ * Milliseconds for which an idle connection is reusable if the server announces no
+ * time.
+ */
+const DEFAULT_REUSABLE_MS = 4000;
+/** The time in a `Keep-Alive` header, in seconds. */
+const KEEP_ALIVE_SECONDS = /timeout=(\d+)/i;
 
-/** Headers of an answer, as the client library gives them. */
+/** Headers of an answer in the format of the client library. */
 export type AnswerHeaders = Readonly<
   Record<string, string | string[] | undefined>
 >;
 
-/** One connection, as a call uses it. */
+/** One connection with its state. */
 export class HttpConnection {
   readonly client: Client;
-  /** Calls that use it or wait for it. */
+  /** Calls that use the connection or wait for it. */
   #calls = 0;
   #answers = 0;
-  #restsSince = 0;
-  #usableMs = 0;
-  #isLost = false;
+  #idleSince = 0;
+  #reusableMs = 0;
+  #isDisconnected = false;
   #reading: PausableReading | undefined;
 
-  /** Nothing was sent on it. */
+  /** Creates the state of a connection that was not used yet. */
   constructor(client: Client) {
     this.client = client;
   }
@@ -59,23 +62,26 @@
     return this.#calls === 0;
   }
 
-  /** Reading from its socket; undefined before it is connected. */
+  /** Controls reading from the socket; undefined before it is connected. */
   get reading(): PausableReading | undefined {
     return this.#reading;
   }
 
-  /** It is connected by a socket that nobody has read from. */
-  noteConnected(socket: Socket): void {
+  /** Called with the connected socket, from which nothing was read yet. */
+  onConnected(socket: Socket): void {
     this.#reading = new PausableReading(socket);
   }
 
-  /** Whether the server closed it while a call was under way. */
-  get isLost(): boolean {
-    return this.#isLost;
+  /** Whether the server closed the connection during a call. */
+  get isDisconnected(): boolean {
+    return this.#isDisconnected;
   }
 
-  /** Whether a call was answered on it before, so that it may have died since. */
-  get wasUsed(): boolean {
+  /**
+   * Whether a call was answered on the connection, so that the server may have closed
+   * it since.
+   */
+  get hasAnswered(): boolean {
     return this.#answers > 0;
   }
 
@@ -83,87 +89,92 @@
     return this.#calls;
   }
 
-  /** Milliseconds since its last answer. */
-  getRestedMs(now: number): number {
-    return now - this.#restsSince;
+  /** Returns the milliseconds since the last answer. */
+  getIdleMs(now: number): number {
+    return now - this.#idleSince;
   }
 
-  /** The server closed it. */
-  noteLost(): void {
-    this.#isLost = true;
+  /** Called when the server closes the connection during a call. */
+  onDisconnected(): void {
+    this.#isDisconnected = true;
   }
 
-  /** A call uses it from now on. */
-  begin(): void {
+  /** Adds a call. */
+  startCall(): void {
     this.#calls++;
   }
 
-  /** A call ended well; the connection can rest for so long. */
-  rest(usableMs: number, now: number): void {
+  /** Removes a call that was answered; the connection is reusable for `reusableMs`. */
+  endCall(reusableMs: number, now: number): void {
     this.#calls--;
     this.#answers++;
-    this.#usableMs = usableMs;
-    this.#restsSince = now;
+    this.#reusableMs = reusableMs;
+    this.#idleSince = now;
   }
 
-  /** Whether it has rested for longer than the server promised, or than the limit. */
-  isOld(limitMs: number, now: number): boolean {
+  /**
+   * Returns whether the connection was idle for longer than the server announced, or
+   * than the limit.
+   */
+  isExpired(limitMs: number, now: number): boolean {
     return this.isIdle &&
-      this.getRestedMs(now) >= Math.min(this.#usableMs, limitMs);
+      this.getIdleMs(now) >= Math.min(this.#reusableMs, limitMs);
   }
 }
 
 /** The connections to one back end. */
 export class HttpConnections {
   readonly #options: HttpConnectionsOptions;
-  /** All of them, the one that was used last at the end. */
+  /** All connections; the most recently used is last. */
   readonly #connections: HttpConnection[] = [];
 
-  /** Connects when something is taken. */
+  /** Creates a pool that connects on demand. */
   constructor(options: HttpConnectionsOptions) {
     this.#options = options;
   }
 
-  /** The connection for the next call. */
-  take(now: number): HttpConnection {
-    this.#closeOld(now);
+  /** Returns the connection for the next call. */
+  acquire(now: number): HttpConnection {
+    this.#discardExpired(now);
     const idle = this.#connections.findLast(({ isIdle }) => isIdle);
-    const connection = idle ?? this.#addOrShare();
-    connection.begin();
+    const connection = idle ?? this.#addOrPickLeastUsed();
+    connection.startCall();
     return connection;
   }
 
-  /** A call ended well, and its connection may rest for so long. */
-  keep(connection: HttpConnection, usableMs: number, now: number): void {
-    if (connection.isLost) return this.drop(connection);
-    connection.rest(usableMs, now);
+  /** Returns the connection of an answered call, which is reusable for `reusableMs`. */
+  release(connection: HttpConnection, reusableMs: number, now: number): void {
+    if (connection.isDisconnected) return this.discard(connection);
+    connection.endCall(reusableMs, now);
     if (!this.#remove(connection)) return;
     this.#connections.push(connection);
   }
 
-  /** A call ended, and with it its connection. */
-  drop(connection: HttpConnection): void {
+  /** Closes the connection of a call that has ended. */
+  discard(connection: HttpConnection): void {
     this.#remove(connection);
-    // The library still has to end the call's connection by itself.
+    // The library first completes its own handling of the call.
     queueMicrotask(() => void connection.client.destroy().catch(ignore));
   }
 
-  /** Closes all of them; calls under way fail. */
+  /** Closes all connections; calls in progress fail. */
   async close(): Promise<void> {
     const open = this.#connections.splice(0);
     await Promise.all(open.map(({ client }) => client.destroy()));
   }
 
-  #closeOld(now: number): void {
+  #discardExpired(now: number): void {
     const limitMs = this.#options.lifetime.getLimitMs(now);
-    const old = this.#connections.filter((connection) =>
-      connection.isOld(limitMs, now)
+    const expired = this.#connections.filter((connection) =>
+      connection.isExpired(limitMs, now)
     );
-    for (const connection of old) this.drop(connection);
+    for (const connection of expired) this.discard(connection);
   }
 
-  #addOrShare(): HttpConnection {
-    if (this.#connections.length < this.#options.most) return this.#add();
+  #addOrPickLeastUsed(): HttpConnection {
+    if (this.#connections.length < this.#options.maxConnections) {
+      return this.#add();
+    }
     return this.#connections.reduce((least, one) =>
       one.calls < least.calls ? one : least
     );
@@ -176,25 +187,25 @@
       connect: (options, callback) =>
         connect(options, (...result) => {
           const [, socket] = result;
-          if (socket) connection.noteConnected(socket);
+          if (socket) connection.onConnected(socket);
           callback(...result);
         }),
-      keepAliveTimeout: UNPROMISED_MS,
-      keepAliveTimeoutThreshold: PROMISE_MARGIN_MS,
-      // Deadlines are ours, not the client's.
+      keepAliveTimeout: DEFAULT_REUSABLE_MS,
+      keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
+      // Deadlines are enforced by the callers of this module.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
     const connection = new HttpConnection(client);
     client.on("disconnect", () => {
-      if (connection.isIdle) this.drop(connection);
-      else connection.noteLost();
+      if (connection.isIdle) this.discard(connection);
+      else connection.onDisconnected();
     });
     this.#connections.push(connection);
     return connection;
   }
 
-  /** Whether it was still among those that are kept. */
+  /** Removes a connection; returns whether it was in the pool. */
   #remove(connection: HttpConnection): boolean {
     const index = this.#connections.indexOf(connection);
     if (index >= 0) this.#connections.splice(index, 1);
@@ -203,7 +214,8 @@
 }
 
 /**
- * Milliseconds for which a connection can rest after an answer with these headers.
+ * Returns the milliseconds for which a connection is reusable after an answer with
+ * these headers.
  *
  * @example
  * ```ts
@@ -211,12 +223,14 @@
  * getUsableMs({ "connection": "close" }); // 0
  * ```
  */
-export function getUsableMs(headers: AnswerHeaders): number {
+export function getReusableMs(headers: AnswerHeaders): number {
   if (/\bclose\b/i.test(String(headers["connection"] ?? ""))) return 0;
-  const promise = PROMISED_SECONDS.exec(String(headers["keep-alive"] ?? ""));
-  if (promise === null) return UNPROMISED_MS;
-  return Math.max(0, Number(promise[1]) * 1000 - PROMISE_MARGIN_MS);
+  const keepAlive = KEEP_ALIVE_SECONDS.exec(
+    String(headers["keep-alive"] ?? ""),
+  );
+  if (keepAlive === null) return DEFAULT_REUSABLE_MS;
+  return Math.max(0, Number(keepAlive[1]) * 1000 - KEEP_ALIVE_MARGIN_MS);
 }
 
-/** A connection that is closed twice is closed. */
+/** Ignores the error of a connection that is closed twice. */
 function ignore(): void {}
--- a/src/external/http_connections_test.ts
+++ b/src/external/http_connections_test.ts
@@ -1,9 +1,10 @@
 /**
- * Servers that forgot connections after 0.3 s of rest, though they promised ten seconds,
- * cost two new connections a request and the requests that met a dead one. Cause: the
- * client library's pool trusted the promise, closed none of the others after it had met
- * one that was dead, and made a new connection while another one rested; and it used none
- * a second time whose server promised less than two seconds.
+ * Guards the reuse of connections to servers that close idle connections earlier than
+ * they announce. The client library's pool trusts the announced time: it closed none of
+ * the other connections after one was found closed, and established a new connection
+ * while another was idle. Servers that closed after 0.3 s but announced 10 s cost two
+ * connections per request, and the requests that met a closed connection. The library
+ * also never reused a connection whose server announced less than two seconds.
  */
 import assert from "node:assert/strict";
 import { once } from "node:events";
@@ -14,44 +15,50 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { IdleLifetime } from "../policy/idle_lifetime.ts";
 import { HttpBackEnd } from "./http_back_end.ts";
-import { getUsableMs } from "./http_connections.ts";
-
-interface ForgettingServerOptions {
-  /** Milliseconds of rest after which it resets what is sent on a connection. */
-  readonly forgetsAfterMs?: number;
-  /** Seconds that it promises; undefined: nothing is promised. */
-  readonly promises?: number;
-  readonly closesEach?: boolean;
-  /** Milliseconds after which it resets what it works at, from the second call on. */
+import { getReusableMs } from "./http_connections.ts";
+
+interface StaleConnectionServerOptions {
+  /**
+   * Milliseconds of idle time after which the server resets a connection that is used
+   * again.
+   */
+  readonly resetsAfterIdleMs?: number;
+  /** Keep-alive time that the server announces, in seconds; undefined: none. */
+  readonly keepAliveSeconds?: number;
+  readonly closesAfterAnswer?: boolean;
+  /**
+   * Milliseconds after which the server resets a request in progress, from the second
+   * call of a connection.
+   */
   readonly crashesAfterMs?: number;
 }
 
-/** A server that counts its connections, and the way to it. */
-class ForgettingServer {
+/** A server that counts its connections, with a client for it. */
+class StaleConnectionServer {
   connections = 0;
-  readonly #options: ForgettingServerOptions;
-  readonly #restsSince = new WeakMap<Socket, number>();
+  readonly #options: StaleConnectionServerOptions;
+  readonly #idleSince = new WeakMap<Socket, number>();
   readonly #server = createServer((request, response) => {
-    const { promises, closesEach } = this.#options;
-    if (promises !== undefined) {
-      response.setHeader("keep-alive", `timeout=${promises}`);
+    const { keepAliveSeconds, closesAfterAnswer } = this.#options;
+    if (keepAliveSeconds !== undefined) {
+      response.setHeader("keep-alive", `timeout=${keepAliveSeconds}`);
     }
-    if (closesEach) response.setHeader("connection", "close");
+    if (closesAfterAnswer) response.setHeader("connection", "close");
     request.resume();
     const { crashesAfterMs } = this.#options;
-    if (crashesAfterMs !== undefined && this.#restsSince.has(request.socket)) {
+    if (crashesAfterMs !== undefined && this.#idleSince.has(request.socket)) {
       setTimeout(() => request.socket.resetAndDestroy(), crashesAfterMs);
       return;
     }
     response.once(
       "finish",
-      () => this.#restsSince.set(request.socket, performance.now()),
+      () => this.#idleSince.set(request.socket, performance.now()),
     );
     response.end("answer");
   });
   #backEnd: HttpBackEnd | undefined;
 
-  constructor(options: ForgettingServerOptions) {
+  constructor(options: StaleConnectionServerOptions) {
     this.#options = options;
     this.#server.keepAliveTimeout = 10_000;
     this.#server.on("connection", (socket) => this.#onConnection(socket));
@@ -68,7 +75,7 @@
     });
   }
 
-  /** Calls it so often at once; returns how the calls ended. */
+  /** Makes concurrent calls and returns their outcomes. */
   async call(count = 1): Promise<readonly string[]> {
     return await Promise.all(
       Array.from({ length: count }, () => this.#callOnce()),
@@ -100,20 +107,20 @@
 
   #onConnection(socket: Socket): void {
     this.connections++;
-    socket.on("error", () => {/* Resets are what this server is about. */});
+    socket.on("error", () => {/* Resets are expected. */});
     socket.prependListener("data", () => {
-      const since = this.#restsSince.get(socket);
+      const since = this.#idleSince.get(socket);
       if (since === undefined) return;
-      const rested = performance.now() - since;
-      const { forgetsAfterMs = Infinity } = this.#options;
-      if (rested >= forgetsAfterMs) socket.resetAndDestroy();
+      const idleMs = performance.now() - since;
+      const { resetsAfterIdleMs = Infinity } = this.#options;
+      if (idleMs >= resetsAfterIdleMs) socket.resetAndDestroy();
     });
   }
 }
 
-/** How calls ended that were made one after the other, so far apart. */
-async function callInTurn(
-  server: ForgettingServer,
+/** Makes calls one after the other, `gapMs` apart, and returns their outcomes. */
+async function callInSequence(
+  server: StaleConnectionServer,
   calls: number,
   gapMs: number,
 ): Promise<readonly string[]> {
@@ -127,21 +134,28 @@
 
 describe("connections to a server", () => {
   it("that forgets them cost one request, and one connection a request", async () => {
-    const server = new ForgettingServer({ forgetsAfterMs: 100, promises: 10 });
+    const server = new StaleConnectionServer({
+      resetsAfterIdleMs: 100,
+      keepAliveSeconds: 10,
+    });
     await server.start();
     await server.call(3);
     await sleep(150);
-    const outcomes = await callInTurn(server, 8, 150);
+    const outcomes = await callInSequence(server, 8, 150);
     await server.stop();
     assert.equal(outcomes.filter((one) => one !== "whole").length, 1);
     assert.ok(server.connections <= 3 + 7, `${server.connections} made`);
   });
 
-  it("are given up at all servers of the pool once one was dead", async () => {
+  it("are closed at all servers of the pool once one was found closed", async () => {
     const lifetime = new IdleLifetime();
     const servers = Array.from(
       { length: 4 },
-      () => new ForgettingServer({ forgetsAfterMs: 100, promises: 10 }),
+      () =>
+        new StaleConnectionServer({
+          resetsAfterIdleMs: 100,
+          keepAliveSeconds: 10,
+        }),
     );
     for (const server of servers) await server.start(lifetime);
     for (const server of servers) await server.call();
@@ -152,51 +166,54 @@
     assert.deepEqual(outcomes, ["broken", "whole", "whole", "whole"]);
   });
 
-  it("that closes after each answer are one a request", async () => {
-    const server = new ForgettingServer({ closesEach: true });
+  it("that closes after each answer are established once per request", async () => {
+    const server = new StaleConnectionServer({ closesAfterAnswer: true });
     await server.start();
-    const outcomes = await callInTurn(server, 6, 10);
+    const outcomes = await callInSequence(server, 6, 10);
     await server.stop();
     assert.ok(outcomes.every((one) => one === "whole"));
     assert.equal(server.connections, 6);
   });
 
-  it("that promises one second are used again within it", async () => {
-    const server = new ForgettingServer({ promises: 1 });
+  it("that announces one second are reused within it", async () => {
+    const server = new StaleConnectionServer({ keepAliveSeconds: 1 });
     await server.start();
-    const outcomes = await callInTurn(server, 6, 20);
+    const outcomes = await callInSequence(server, 6, 20);
     await server.stop();
     assert.ok(outcomes.every((one) => one === "whole"));
     assert.equal(server.connections, 1);
   });
 
-  it("last as long as before when the server crashes at its work", async () => {
+  it("keep their idle limit when the server crashes during a request", async () => {
     const lifetime = new IdleLifetime();
     const before = lifetime.getLimitMs(performance.now());
-    const server = new ForgettingServer({ promises: 10, crashesAfterMs: 200 });
+    const server = new StaleConnectionServer({
+      keepAliveSeconds: 10,
+      crashesAfterMs: 200,
+    });
     await server.start(lifetime);
-    const outcomes = await callInTurn(server, 2, 10);
+    const outcomes = await callInSequence(server, 2, 10);
     await server.stop();
     assert.deepEqual(outcomes, ["whole", "broken"]);
     assert.equal(lifetime.getLimitMs(performance.now()), before);
   });
 
-  it("are taken from those that rest before a new one is made", async () => {
-    const server = new ForgettingServer({ promises: 10 });
+  it("are reused if one is idle, before a new one is established", async () => {
+    const server = new StaleConnectionServer({ keepAliveSeconds: 10 });
     await server.start();
     await server.call(3);
-    await callInTurn(server, 6, 10);
+    await callInSequence(server, 6, 10);
     await server.call(3);
     await server.stop();
     assert.equal(server.connections, 3);
   });
 });
 
-describe("a connection's rest", () => {
-  it("is as long as the server says, less a margin", () => {
-    assert.equal(getUsableMs({ "keep-alive": "timeout=10" }), 9750);
-    assert.equal(getUsableMs({ "keep-alive": "timeout=0" }), 0);
-    assert.equal(getUsableMs({ connection: "close" }), 0);
-    assert.ok(getUsableMs({}) > 0);
+describe("reusable time of a connection", () => {
+  it("is the time that the server announces, less a margin", () => {
+    assert.equal(getReusableMs({ "keep-alive": "timeout=10" }), 9750);
+    assert.equal(getReusableMs({ "keep-alive": "timeout=0" }), 0);
+    assert.equal(getReusableMs({ connection: "close" }), 0);
+    assert.ok(getReusableMs({}) > 0);
   });
 });
--- a/src/external/http_key_value_service.ts
+++ b/src/external/http_key_value_service.ts
@@ -1,5 +1,5 @@
 /**
- * A key-value service that is spoken to by HTTP with JSON.
+ * A key-value service that is accessed with JSON over HTTP.
  *
  * @module
  */
@@ -14,25 +14,25 @@
   type WatchOptions,
 } from "./key_value_service.ts";
 
-const CALL_LIMIT_MS = 3000;
-/** Time that a watch may wait at the service. */
+const CALL_TIMEOUT_MS = 3000;
+/** Milliseconds for which a watch may wait at the service. */
 const WATCH_WAIT_MS = 20_000;
 
 const ENTRY_SCHEMA = z.object({ value: z.string(), revision: z.number() });
 const REVISION_SCHEMA = z.object({ revision: z.number() });
 
-/** A key-value service that is spoken to by HTTP with JSON. */
+/** A key-value service that is accessed with JSON over HTTP. */
 export class HttpKeyValueService extends KeyValueService {
   readonly #address: string;
 
-  /** Takes the host and port of the service. */
+  /** Creates a client for the service at `address`, a host and port. */
   constructor(address: string) {
     super();
     this.#address = address;
   }
 
   override async tryRead(key: string): Promise<KeyValueEntry | undefined> {
-    const signal = AbortSignal.timeout(CALL_LIMIT_MS);
+    const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
     return await this.#read(this.#url(key), signal);
   }
 
@@ -41,7 +41,7 @@
     options: WatchOptions,
   ): Promise<KeyValueEntry | undefined> {
     const query = `?after=${options.knownRevision}&waitMs=${WATCH_WAIT_MS}`;
-    const limit = AbortSignal.timeout(WATCH_WAIT_MS + CALL_LIMIT_MS);
+    const limit = AbortSignal.timeout(WATCH_WAIT_MS + CALL_TIMEOUT_MS);
     const signal = AbortSignal.any([options.signal, limit]);
     return await this.#read(this.#url(key) + query, signal);
   }
@@ -62,7 +62,7 @@
       method: "PUT",
       headers: { "content-type": "application/json" },
       body: JSON.stringify(options),
-      signal: AbortSignal.timeout(CALL_LIMIT_MS),
+      signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
     });
     const body = await response.body.text();
     if (response.statusCode === 200) {
--- a/src/external/http_rank_engine.ts
+++ b/src/external/http_rank_engine.ts
@@ -1,5 +1,5 @@
 /**
- * A rank's engine that is spoken to by HTTP with JSON.
+ * A rank's engine that is accessed with JSON over HTTP.
  *
  * @module
  */
@@ -13,20 +13,20 @@
 } from "../messages/group_types.ts";
 import { EngineUnavailableError, RankEngine } from "./rank_engine.ts";
 
-const CALL_LIMIT_MS = 2000;
-/** Loading a map takes as long as the weight store takes. */
-const ORDER_LIMIT_MS = 120_000;
+const CALL_TIMEOUT_MS = 2000;
+/** Includes the time to load the weights of a map from the weight store. */
+const ORDER_TIMEOUT_MS = 120_000;
 
 const LOAD_SCHEMA: z.ZodType<RankLoad> = z.object({
   tokens: z.array(z.array(z.number())),
   slowdown: z.number(),
 });
 
-/** A rank's engine that is spoken to by HTTP with JSON. */
+/** A rank's engine that is accessed with JSON over HTTP. */
 export class HttpRankEngine extends RankEngine {
   readonly #address: string;
 
-  /** Takes the host and port of the engine. */
+  /** Creates a client for the engine at `address`, a host and port. */
   constructor(address: string) {
     super();
     this.#address = address;
@@ -47,13 +47,13 @@
     const answer = await this.#call("/group/orders", {
       method: "POST",
       body: JSON.stringify({ order, fencingNumber }),
-      signal: AbortSignal.timeout(ORDER_LIMIT_MS),
+      signal: AbortSignal.timeout(ORDER_TIMEOUT_MS),
     });
     return ENGINE_STATE_SCHEMA.parse(answer);
   }
 
   async #get(path: string): Promise<unknown> {
-    const signal = AbortSignal.timeout(CALL_LIMIT_MS);
+    const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
     return await this.#call(path, { method: "GET", signal });
   }
 
--- a/src/external/http_virtual_machine_list.ts
+++ b/src/external/http_virtual_machine_list.ts
@@ -1,5 +1,5 @@
 /**
- * A list of virtual machines that is read by HTTP with JSON.
+ * A list of virtual machines that is read as JSON over HTTP.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   VirtualMachineList,
 } from "./virtual_machine_list.ts";
 
-const CALL_LIMIT_MS = 3000;
+const CALL_TIMEOUT_MS = 3000;
 
 const LIST_SCHEMA: z.ZodType<readonly VirtualMachine[]> = z.array(z.object({
   name: z.string(),
@@ -22,11 +22,11 @@
   state: z.enum(["live", "leaving", "gone"]),
 }));
 
-/** A list of virtual machines that is read by HTTP with JSON. */
+/** A list of virtual machines that is read as JSON over HTTP. */
 export class HttpVirtualMachineList extends VirtualMachineList {
   readonly #address: string;
 
-  /** Takes the host and port of the list. */
+  /** Creates a client for the list at `address`, a host and port. */
   constructor(address: string) {
     super();
     this.#address = address;
@@ -35,7 +35,7 @@
   override async read(): Promise<readonly VirtualMachine[]> {
     try {
       const response = await request(`http://${this.#address}/v1/machines`, {
-        signal: AbortSignal.timeout(CALL_LIMIT_MS),
+        signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
       });
       return LIST_SCHEMA.parse(JSON.parse(await response.body.text()));
     } catch (error) {
--- a/src/external/key_value_service.ts
+++ b/src/external/key_value_service.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's key-value service, as the system sees it.
+ * Interface of the platform's key-value service.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 /** A value and the revision at which it was written. */
 export interface KeyValueEntry {
   readonly value: string;
-  /** Grows with each write of the key; 0 means that there is none. */
+  /** Increases with each write of the key; 0 means that the key does not exist. */
   readonly revision: number;
 }
 
@@ -29,24 +29,24 @@
   readonly cause: string;
 }
 
-/** What became of a compare-and-swap. */
+/** Outcome of a compare-and-swap. */
 export type SwapOutcome = Swapped | SwapConflict | SwapUnknown;
 
 /** Options of a compare-and-swap. */
 export interface SwapOptions {
   readonly value: string;
-  /** Revision that the key must have; 0 when it must not exist. */
+  /** Revision that the key must have; 0 if it must not exist. */
   readonly expectedRevision: number;
 }
 
 /** Options of a watch. */
 export interface WatchOptions {
-  /** Answers once the key's revision differs from this one. */
+  /** The watch returns once the key's revision differs from this one. */
   readonly knownRevision: number;
   readonly signal: AbortSignal;
 }
 
-/** Thrown when the service did not answer; a read has no other effect. */
+/** Thrown when the service does not answer a read or a watch. */
 export class KeyValueUnavailableError extends Error {
   override readonly name = "KeyValueUnavailableError";
 }
@@ -54,7 +54,7 @@
 /** The platform's key-value service. */
 export abstract class KeyValueService {
   /**
-   * Reads a key; undefined when there is none.
+   * Reads a key; undefined if it does not exist.
    *
    * @throws {KeyValueUnavailableError} when the service does not answer
    */
@@ -67,8 +67,8 @@
   ): Promise<SwapOutcome>;
 
   /**
-   * Waits until the key changes, or for as long as the service lets a watch
-   * wait; returns what the key then holds.
+   * Waits until the key changes, or until the service ends the watch; returns the
+   * current value.
    *
    * @throws {KeyValueUnavailableError} when the service does not answer
    */
--- a/src/external/machine_list_reader.ts
+++ b/src/external/machine_list_reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the platform's list of machines again and again, through outages.
+ * Reads the platform's list of VMs at an interval, also during outages.
  *
  * @module
  */
@@ -13,41 +13,44 @@
 /** Options of a {@link MachineListReader}. */
 export interface MachineListReaderOptions {
   readonly list: VirtualMachineList;
-  readonly onList: (machines: readonly VirtualMachine[]) => void;
-  /** Called when the list answers, or has stopped answering. */
+  readonly onList: (virtualMachines: readonly VirtualMachine[]) => void;
+  /** Called when the list becomes reachable or unreachable. */
   readonly onReachable: (isReachable: boolean) => void;
 }
 
-/** Reads the platform's list of machines again and again. */
+/** Reads the platform's list of VMs at an interval. */
 export class MachineListReader {
   readonly #options: MachineListReaderOptions;
   #isReachable: boolean | undefined;
   #isStopped = false;
   #timer: NodeJS.Timeout | undefined;
 
-  /** Reads at once. */
+  /** Starts reading immediately. */
   constructor(options: MachineListReaderOptions) {
     this.#options = options;
-    void this.#readAndPlan();
+    void this.#readRepeatedly();
   }
 
-  /** Reads no more. */
+  /** Stops reading. */
   stop(): void {
     this.#isStopped = true;
     clearTimeout(this.#timer);
   }
 
-  async #readAndPlan(): Promise<void> {
+  async #readRepeatedly(): Promise<void> {
     await this.#read();
     if (this.#isStopped) return;
-    this.#timer = setTimeout(() => void this.#readAndPlan(), READ_INTERVAL_MS);
+    this.#timer = setTimeout(
+      () => void this.#readRepeatedly(),
+      READ_INTERVAL_MS,
+    );
   }
 
   async #read(): Promise<void> {
     try {
-      const machines = await this.#options.list.read();
+      const virtualMachines = await this.#options.list.read();
       this.#setReachable(true);
-      if (!this.#isStopped) this.#options.onList(machines);
+      if (!this.#isStopped) this.#options.onList(virtualMachines);
     } catch {
       this.#setReachable(false);
     }
--- a/src/external/operator_settings.ts
+++ b/src/external/operator_settings.ts
@@ -1,5 +1,6 @@
 /**
- * Settings that operators write where this system only reads them.
+ * Settings that operators write into the platform's store, which lagoonwharf only
+ * reads.
  *
  * @module
  */
@@ -11,9 +12,9 @@
   ColdnessWord,
 } from "../messages/back_end_instance.ts";
 
-/** Settings as operators wrote them, in this system's own documents. */
+/** Operators' settings, converted to lagoonwharf's settings documents. */
 export interface OperatorSettings {
-  /** The operators' own number; higher is newer. */
+  /** Version number that operators assign; higher is newer. */
   readonly version: number;
   readonly documents: ReadonlyMap<string, SettingsDocument>;
   /** Milliseconds for which callers may keep a connection idle. */
@@ -22,84 +23,87 @@
   readonly pools: ReadonlySet<string>;
   /** Rank groups by the pool that they serve. */
   readonly groups: ReadonlyMap<string, GroupSettings>;
-  /** Pools whose back ends can be cold; none unless given. */
+  /** Pools whose back ends can be cold; none if undefined. */
   readonly coldPools?: ColdPools;
-  /** Fields whose value is wrong; their previous values stay in force. */
+  /** Fields whose value is not valid; their previous values stay in force. */
   readonly findings?: readonly string[];
 }
 
-/** What the settings say of the rank groups of a pool. */
+/** Settings of the rank groups of a pool. */
 export interface GroupSettings {
-  /** Sets of layers that are placed each by itself. */
+  /** Number of sets of layers; each set has its own expert placement. */
   readonly layers: number;
-  /** Experts of each set. */
+  /** Number of experts in each set. */
   readonly experts: number;
   readonly slotsPerRank: number;
-  /** Experts of a set that a rank may load for one switch. */
+  /** Maximum number of experts of a set that a rank may load for one switch. */
   readonly mostNewExperts: number;
   /** Milliseconds to load one expert. */
   readonly loadMs: number;
-  /** Shortest pause between two pieces of an answer that callers bear, if said. */
+  /**
+   * Longest acceptable pause between two chunks of an answer, in milliseconds, if
+   * configured.
+   */
   readonly pauseObjectiveMs?: number;
   /** Milliseconds of one step of an idle rank. */
   readonly stepMs: number;
-  /** Steps of one pass; 1 unless given. */
+  /** Steps of one pass; 1 if undefined. */
   readonly stride?: number;
 }
 
-/** The key asks to drain a failure domain. */
+/** The key requests the drain of a failure domain. */
 export interface DrainKey {
   readonly kind: "drain";
   readonly failureDomain: string;
 }
 
-/** The key is below that of the drains, and names no failure domain. */
+/** The key has the prefix of drains but does not name a failure domain. */
 export interface UnreadableDrainKey {
   readonly kind: "unreadable";
 }
 
-/** The key is about something else. */
+/** The key does not belong to a drain. */
 export interface OtherKey {
   readonly kind: "other";
 }
 
-/** What a key that operators write says of drains. */
+/** Meaning of an operator's key with regard to drains. */
 export type OperatorKey = DrainKey | UnreadableDrainKey | OtherKey;
 
-/** How settings and back ends are written in the platform's store. */
+/** Format of the settings and registrations in the platform's store. */
 export abstract class StoreFormat {
   /** Key of the settings. */
   abstract readonly settingsKey: string;
-  /** Prefix of the back ends' entries. */
+  /** Prefix of the keys of back ends' registrations. */
   abstract readonly backEndPrefix: string;
 
-  /** Reads settings; all findings come together. */
+  /** Parses settings; an error contains all findings. */
   abstract readSettings(
     text: string,
   ): Result<OperatorSettings, readonly string[]>;
 
-  /** Reads the entry of one back end; undefined when it cannot be read. */
+  /** Parses the registration of a back end; undefined if it cannot be read. */
   abstract tryReadBackEnd(
     key: string,
     text: string,
   ): BackEndInstance | undefined;
 
-  /** Prefix of all keys that operators write; the settings' own key without drains. */
+  /** Prefix of all keys that operators write; by default the key of the settings. */
   get operatorPrefix(): string {
     return this.settingsKey;
   }
 
-  /** Reads which failure domain a key asks to drain; none by default. */
+  /** Returns which failure domain a key requests to drain; none by default. */
   readDrainKey(_key: string): OperatorKey {
     return { kind: "other" };
   }
 
-  /** Whether the value under such a key asks for the drain. */
+  /** Returns whether the value of a drain's key requests the drain. */
   isDrainValue(_text: string): boolean {
     return false;
   }
 
-  /** What the entry of a back end says of how long it warms up; nothing unless overridden. */
+  /** Reads the remaining warm-up time in a back end's registration; none by default. */
   readColdness(_text: string): ColdnessWord {
     return { kind: "untold" };
   }
--- a/src/external/pausable_reading.ts
+++ b/src/external/pausable_reading.ts
@@ -1,78 +1,84 @@
 /**
- * Stops and continues reading from the connection of a call.
+ * Pauses and resumes reading from the connection of a call.
  *
- * The client library's own `pause` stops its parser. An answer that ends with its
- * connection, and ends or is reset while the parser is paused, then fails an assertion in
- * the library and with it the process; a whole answer of known length counts as broken
- * when its server closes (undici 7.30.2). Here the parser is never paused: the library
- * pulls bytes by `read`, which gives nothing while reading is paused, so that bytes and
- * the end stay in the socket, in their order, and back pressure reaches the server.
+ * The client library's own `pause` stops its parser. If an answer that ends with its
+ * connection is closed or reset while the parser is paused, an assertion in the library
+ * fails and ends the process; a complete answer of known length counts as broken when
+ * its server closes (undici 7.30.2). Here the parser is never paused. The library reads
+ * with `read`, which returns nothing while reading is paused, so that data and the end
+ * stay in the socket in their order, and back pressure reaches the server.
  *
  * @module
  */
 import { Buffer } from "node:buffer";
 import type { Socket } from "node:net";
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY = Buffer.alloc(0);
 /**
- * Milliseconds between two checks for a reset. Node.js does not hear of one while its
- * buffer is full, as it does not read then.
+ * Milliseconds between two checks for a reset. Node.js does not detect a reset while
+ * its buffer is full, as it does not read then.
  */
-const CHECK_INTERVAL_MS = 500;
+const RESET_CHECK_INTERVAL_MS = 500;
 
-/** Reading from one socket. */
+/** Controls reading from one socket. */
 export class PausableReading {
   readonly #socket: Socket;
   #isPaused = false;
-  #check: NodeJS.Timeout | undefined;
+  #resetCheck: NodeJS.Timeout | undefined;
 
-  /** Takes over a socket that the client library has not seen. */
+  /** Takes over a socket that was not yet passed to the client library. */
   constructor(socket: Socket) {
     this.#socket = socket;
     const read = socket.read.bind(socket);
     socket.read = (size?: number) => this.#isPaused ? null : read(size);
-    socket.once("close", () => this.#stopCheck());
+    socket.once("close", () => this.#stopResetCheck());
   }
 
-  /** Bytes that were received and not read. */
+  /** Bytes that were received but not read. */
   get unreadBytes(): number {
     return this.#socket.readableLength;
   }
 
-  /** Gives nothing more to the client library. */
+  /** Stops passing data to the client library. */
   pause(): void {
     if (this.#isPaused || this.#socket.destroyed) return;
     this.#isPaused = true;
-    this.#check = setInterval(() => this.#findReset(), CHECK_INTERVAL_MS);
-    this.#check.unref();
+    this.#resetCheck = setInterval(
+      () => this.#detectReset(),
+      RESET_CHECK_INTERVAL_MS,
+    );
+    this.#resetCheck.unref();
   }
 
-  /** Goes on, not within the caller's turn: the parser may be at work there. */
+  /**
+   * Continues reading in a later iteration of the event loop, as the parser may be
+   * running during the current call.
+   */
   resume(): void {
     if (!this.#isPaused) return;
     this.#isPaused = false;
-    this.#stopCheck();
+    this.#stopResetCheck();
     setImmediate(() => {
-      const isWanted = !this.#isPaused && !this.#socket.destroyed;
-      if (isWanted) this.#socket.emit("readable");
+      const shouldRead = !this.#isPaused && !this.#socket.destroyed;
+      if (shouldRead) this.#socket.emit("readable");
     });
   }
 
-  #findReset(): void {
+  #detectReset(): void {
     if (this.#socket.writable && this.#socket.writableLength === 0) {
       isReset(this.#socket);
     }
   }
 
-  #stopCheck(): void {
-    clearInterval(this.#check);
-    this.#check = undefined;
+  #stopResetCheck(): void {
+    clearInterval(this.#resetCheck);
+    this.#resetCheck = undefined;
   }
 }
 
 /**
- * Whether a socket is known to be reset. A write of no bytes sends nothing and fails on a
- * socket that is; the socket's `error` event follows then.
+ * Returns whether a socket was reset. A write of zero bytes sends nothing, but fails on
+ * a socket that was reset; the socket's `error` event follows.
  *
  * @example
  * ```ts
@@ -80,6 +86,6 @@
  * ```
  */
 export function isReset(socket: Socket): boolean {
-  if (socket.writable) socket.write(NOTHING);
+  if (socket.writable) socket.write(EMPTY);
   return socket.errored !== null;
 }
--- a/src/external/paused_call_test.ts
+++ b/src/external/paused_call_test.ts
@@ -6,14 +6,23 @@
 import type { BackEndCall } from "./back_end.ts";
 import { HttpBackEnd } from "./http_back_end.ts";
 
-/** Fits in the socket's buffer, and does not: Node.js stops reading then. */
-const SMALL = 20_000;
-const LARGE = 3_000_000;
-/** What a paused call may still deliver: what was read before it was paused. */
-const MOST_DELIVERED = 65_536;
-
-/** Before a paused call looks for a reset by itself, and after the server has ended. */
-const CHANGE_AFTER_MS = 300;
+/**
+ * Sizes of answers that fit into the socket's buffer and that do not; Node.js stops
+ * reading in the second case.
+ */
+const BUFFERED_BYTES = 20_000;
+const UNBUFFERED_BYTES = 3_000_000;
+/**
+ * Bytes that a paused call may still deliver because they were read before it was
+ * paused.
+ */
+const MAX_DELIVERED_BYTES = 65_536;
+
+/**
+ * Later than the end of the server's answer, and earlier than a paused call checks for
+ * a reset.
+ */
+const ACT_AFTER_MS = 300;
 
 const CLOSING = "HTTP/1.1 200 OK\r\nConnection: close\r\n";
 const FRAMINGS = {
@@ -30,24 +39,26 @@
 
 type FramingName = keyof typeof FRAMINGS;
 
-const NAMES = Object.keys(FRAMINGS) as readonly FramingName[];
+const FRAMING_NAMES = Object.keys(FRAMINGS) as readonly FramingName[];
 
 interface PausedFixture {
   readonly size: number;
   readonly framing: FramingName;
-  /** What the server does once the call is paused. */
+  /** What the server does after it has written the answer. */
   readonly end: (socket: Socket) => void;
   readonly limitMs?: number;
 }
 
-/** A call that is paused with its first piece, and then what `act` does with it. */
-async function playPaused(
+/**
+ * Pauses a call with the first chunk, then runs `act` on it and returns the outcome.
+ */
+async function runPausedCall(
   { size, framing, end, limitMs = 5000 }: PausedFixture,
   act: (call: BackEndCall) => Promise<void>,
 ) {
   const result = { outcome: "", whilePaused: "", bytes: 0, bytesPaused: 0 };
   const server = createServer((socket) => {
-    socket.on("error", () => {/* Resets are what these tests are about. */});
+    socket.on("error", () => {/* Resets are expected. */});
     socket.once("data", async () => {
       socket.write(FRAMINGS[framing](size));
       socket.write(Buffer.alloc(1000));
@@ -64,20 +75,20 @@
   const backEnd = new HttpBackEnd({ address, connections: 1 });
   const request = { method: "GET", path: "/", headers: [], limitMs };
   await new Promise<void>((resolve) => {
-    const over = (outcome: string) => {
+    const finish = (outcome: string) => {
       result.outcome = outcome;
       resolve();
     };
     const call = backEnd.start({ ...request, body: new Uint8Array() }, {
       onHead: () => undefined,
-      onData: (piece) => {
+      onData: (chunk) => {
         if (result.bytes === 0) call.pause();
-        result.bytes += piece.length;
+        result.bytes += chunk.length;
       },
-      onEnd: () => over("whole"),
-      onFailed: over,
+      onEnd: () => finish("whole"),
+      onFailed: finish,
     });
-    void delay(CHANGE_AFTER_MS).then(async () => {
+    void delay(ACT_AFTER_MS).then(async () => {
       Object.assign(result, {
         whilePaused: result.outcome,
         bytesPaused: result.bytes,
@@ -90,62 +101,63 @@
   return result;
 }
 
-async function goOn(call: BackEndCall): Promise<void> {
+async function resumeCall(call: BackEndCall): Promise<void> {
   await Promise.resolve();
   call.resume();
 }
 
-async function stayPaused(): Promise<void> {}
+async function keepPaused(): Promise<void> {}
 
-function resetNow(socket: Socket): void {
+function resetConnection(socket: Socket): void {
   setTimeout(() => {
     Object.assign(socket, { resetAndClosing: true });
     socket.destroy();
   }, 100);
 }
 
-// The library's own pause ends the process with an assertion in some of these cases.
+// With the library's own pause, an assertion fails and ends the process in some of
+// these cases.
 describe("a paused answer", () => {
-  for (const framing of NAMES) {
-    for (const size of [SMALL, LARGE]) {
-      it(`${framing} of ${size} bytes is whole though its server ends first`, async () => {
+  for (const framing of FRAMING_NAMES) {
+    for (const size of [BUFFERED_BYTES, UNBUFFERED_BYTES]) {
+      it(`${framing} of ${size} bytes is complete although its server closes first`, async () => {
         const end = (socket: Socket) => void socket.end();
-        const result = await playPaused({ framing, size, end }, goOn);
+        const result = await runPausedCall({ framing, size, end }, resumeCall);
         assert.equal(result.whilePaused, "");
-        assert.ok(result.bytesPaused <= MOST_DELIVERED);
+        assert.ok(result.bytesPaused <= MAX_DELIVERED_BYTES);
         assert.equal(result.outcome, "whole");
         assert.equal(result.bytes, size);
       });
     }
 
-    it(`${framing} is broken when it is reset, though nobody resumes it`, async () => {
-      const fixture = { framing, size: LARGE, end: resetNow };
-      const result = await playPaused(fixture, stayPaused);
+    it(`${framing} fails when it is reset, even if it is never resumed`, async () => {
+      const fixture = { framing, size: UNBUFFERED_BYTES, end: resetConnection };
+      const result = await runPausedCall(fixture, keepPaused);
       assert.equal(result.outcome, "broken");
-      assert.ok(result.bytes <= MOST_DELIVERED);
+      assert.ok(result.bytes <= MAX_DELIVERED_BYTES);
     });
 
-    it(`${framing} is broken when it is reset and resumed before that is found`, async () => {
-      const fixture = { framing, size: LARGE, end: resetNow };
-      const result = await playPaused(fixture, goOn);
+    it(`${framing} fails when it is reset and resumed before the reset is detected`, async () => {
+      const fixture = { framing, size: UNBUFFERED_BYTES, end: resetConnection };
+      const result = await runPausedCall(fixture, resumeCall);
       assert.equal(result.outcome, "broken");
     });
   }
 
-  it("ends late when its limit passes", async () => {
-    const result = await playPaused({
+  it("fails as late when its time limit passes", async () => {
+    const result = await runPausedCall({
       framing: "of known length",
-      size: LARGE,
+      size: UNBUFFERED_BYTES,
       end: () => undefined,
       limitMs: 400,
-    }, stayPaused);
+    }, keepPaused);
     assert.equal(result.outcome, "late");
   });
 
-  it("is broken off at once when it is cancelled", async () => {
-    const result = await playPaused({
+  it("fails immediately when it is cancelled", async () => {
+    const result = await runPausedCall({
       framing: "that ends with its connection",
-      size: LARGE,
+      size: UNBUFFERED_BYTES,
       end: () => undefined,
     }, async (call) => {
       await Promise.resolve();
@@ -155,7 +167,7 @@
   });
 });
 
-describe("a connection whose call was paused with its last piece", () => {
+describe("a connection whose call was paused with its last chunk", () => {
   it("serves the next call", async () => {
     const server = createServer((socket) =>
       socket.on(
--- a/src/external/rank_engine.ts
+++ b/src/external/rank_engine.ts
@@ -17,15 +17,15 @@
 /** The engine of one rank of a lock-step group. */
 export abstract class RankEngine {
   /**
-   * How the engine stands.
+   * Reads the state of the engine.
    *
    * @throws {EngineUnavailableError} when it does not answer
    */
   abstract readState(): Promise<EngineState>;
 
   /**
-   * Gives an order and returns how the engine stands after it. Orders are
-   * idempotent, so one whose reply was lost is given again.
+   * Sends an order and returns the state of the engine after it. Orders are idempotent,
+   * so an order whose reply was lost is sent again.
    *
    * @throws {EngineUnavailableError} when it does not answer
    */
@@ -35,7 +35,7 @@
   ): Promise<EngineState>;
 
   /**
-   * What was counted.
+   * Reads the tokens counted for each expert and the slowdown of the engine.
    *
    * @throws {EngineUnavailableError} when it does not answer
    */
--- a/src/external/store_revision.ts
+++ b/src/external/store_revision.ts
@@ -1,25 +1,25 @@
 /**
- * Revisions of a store that may come back from an older copy. It gives out revisions again
- * then, so two of them compare only within one era; a revision here is one number that also
- * holds the era, and a later era goes first.
+ * Revisions of a store that may be restored from an older copy. The store then assigns
+ * revisions again, so two of its revisions are comparable only within one era. A
+ * revision in this module is one number that includes the era; a later era is higher.
  *
  * @module
  */
 
-/** Revisions that fit into an era; 8,191 eras fit into a number then. */
-const REVISIONS_IN_ERA = 2 ** 40;
-/** The last era that fits. */
+/** Revisions per era; 2^13 eras fit into a safe integer. */
+const REVISIONS_PER_ERA = 2 ** 40;
+/** Highest era that can be represented. */
 export const LAST_ERA = 2 ** 13 - 1;
 
-/** A revision in the store's own words. */
+/** A revision of the store and its era. */
 export interface RevisionInEra {
-  /** How often the store has come back from an older copy. */
+  /** How often the store was restored from an older copy. */
   readonly era: number;
   readonly revision: number;
 }
 
 /**
- * One number for a revision of an era.
+ * Combines a revision and its era into one number.
  *
  * @example
  * ```ts
@@ -27,11 +27,11 @@
  * ```
  */
 export function joinRevision({ era, revision }: RevisionInEra): number {
-  return era * REVISIONS_IN_ERA + revision;
+  return era * REVISIONS_PER_ERA + revision;
 }
 
 /**
- * The era and the store's own revision of a number that {@link joinRevision} made.
+ * Splits a number of {@link joinRevision} into the era and the store's revision.
  *
  * @example
  * ```ts
@@ -39,6 +39,6 @@
  * ```
  */
 export function splitRevision(joined: number): RevisionInEra {
-  const revision = joined % REVISIONS_IN_ERA;
-  return { era: (joined - revision) / REVISIONS_IN_ERA, revision };
+  const revision = joined % REVISIONS_PER_ERA;
+  return { era: (joined - revision) / REVISIONS_PER_ERA, revision };
 }
--- a/src/external/virtual_machine_list.ts
+++ b/src/external/virtual_machine_list.ts
@@ -1,22 +1,22 @@
 /**
- * The platform's list of virtual machines, which lags.
+ * The platform's list of virtual machines, which is updated with a delay.
  *
  * @module
  */
 
-/** One machine of the list. */
+/** A virtual machine in the list. */
 export interface VirtualMachine {
   readonly name: string;
   /** Host and port of the lagoonwharf process on it. */
   readonly address: string;
   readonly role: "entry" | "target";
   readonly failureDomain: string;
-  /** The platform's label for machines of one kind; empty for entries. */
+  /** The platform's label for VMs of one kind; empty for entries. */
   readonly pool: string;
   readonly state: "live" | "leaving" | "gone";
 }
 
-/** Thrown when the list did not answer. */
+/** Thrown when the list does not answer. */
 export class MachineListUnavailableError extends Error {
   override readonly name = "MachineListUnavailableError";
 }
--- a/src/external/whole_call.ts
+++ b/src/external/whole_call.ts
@@ -1,5 +1,5 @@
 /**
- * A call whose answer is awaited whole.
+ * Calls a back end and returns its complete answer.
  *
  * @module
  */
@@ -11,68 +11,70 @@
 } from "./back_end.ts";
 import type { Header } from "../messages/types.ts";
 
-/** A whole answer. */
+/** A complete answer. */
 export interface WholeAnswer {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly text: string;
 }
 
-/** A call gave no whole answer. */
+/** Thrown when a call fails to produce a complete answer. */
 export class CallFailedError extends Error {
-  /** Why. */
+  /** The reason. */
   readonly failure: BackEndFailure;
 
-  /** Names the failure. */
+  /** Creates an error with the reason in its message. */
   constructor(failure: BackEndFailure) {
-    super(`No whole answer: ${failure}`);
+    super(`No complete answer: ${failure}`);
     this.failure = failure;
   }
 }
 
-/** What breaks a call off, beside its limit. */
-export interface WholeCallOptions {
+/** Options of a call. */
+export interface FetchAnswerOptions {
   readonly signal?: AbortSignal;
 }
 
 /**
- * Calls a back end and awaits its whole answer. Cheaper than the client library's own
- * promises, whose streams and signals take as much processor time as the call itself.
+ * Calls a back end and awaits its complete answer. The client library's own promises
+ * are not used, as their streams and signals take as much processor time as the call
+ * itself.
  *
  * @example
  * ```ts
  * const { status, text } = await callWhole(backEnd, request);
  * ```
  *
- * @throws {CallFailedError} when there is no whole answer
+ * @throws {CallFailedError} when the call fails
  */
 export function callWhole(
   backEnd: BackEnd,
   request: BackEndRequest,
-  { signal }: WholeCallOptions = {},
+  { signal }: FetchAnswerOptions = {},
 ): Promise<WholeAnswer> {
   return new Promise((resolve, reject) => {
     const decoder = new TextDecoder();
     let status = 0;
     let headers: readonly Header[] = [];
     let text = "";
-    // A call may fail before it is returned.
+    // The call may fail before `start` returns.
     let call: BackEndCall | undefined = undefined;
     const onAbort = () => call?.cancel();
-    const end = () => signal?.removeEventListener("abort", onAbort);
+    const removeAbortListener = () =>
+      signal?.removeEventListener("abort", onAbort);
     signal?.addEventListener("abort", onAbort, { once: true });
     call = backEnd.start(request, {
-      onHead: (answered, answeredHeaders) => {
-        status = answered;
+      onHead: (answeredStatus, answeredHeaders) => {
+        status = answeredStatus;
         headers = answeredHeaders;
       },
       onData: (bytes) => text += decoder.decode(bytes, { stream: true }),
       onEnd: () => {
-        end();
+        removeAbortListener();
         resolve({ status, headers, text: text + decoder.decode() });
       },
       onFailed: (failure) => {
-        end();
+        removeAbortListener();
         reject(new CallFailedError(failure));
       },
     });
--- a/src/external/whole_call_test.ts
+++ b/src/external/whole_call_test.ts
@@ -16,7 +16,7 @@
   limitMs: 100,
 };
 
-/** A back end that does the same with each call. */
+/** A back end that handles every call in the same way. */
 class FixedBackEnd extends BackEnd {
   readonly #answer: (listener: BackEndListener) => void;
   isCancelled = false;
@@ -42,8 +42,8 @@
   override async close(): Promise<void> {}
 }
 
-describe("a call whose answer is awaited whole", () => {
-  it("joins the pieces, also where one ends within a character", async () => {
+describe("a call whose complete answer is awaited", () => {
+  it("joins chunks, even if one ends within a character", async () => {
     const bytes = new TextEncoder().encode("né");
     const backEnd = new FixedBackEnd((listener) => {
       listener.onHead(200, [["content-language", "fr"]]);
@@ -58,7 +58,7 @@
     });
   });
 
-  it("says why it failed, also when it does so at once", async () => {
+  it("rejects with the reason, even if the call fails synchronously", async () => {
     const backEnd = new FixedBackEnd((listener) =>
       listener.onFailed("not_begun")
     );
@@ -71,7 +71,7 @@
     );
   });
 
-  it("is broken off by its signal", async () => {
+  it("is cancelled by its signal", async () => {
     const backEnd = new FixedBackEnd(() => undefined);
     const controller = new AbortController();
     const { signal } = controller;
