--- a/src/process/address.ts
+++ b/src/process/address.ts
@@ -5,14 +5,14 @@
  */
 import type { Server } from "node:net";
 
-/** Host and port, apart. */
+/** A host and a port. */
 export interface ListenAddress {
   readonly hostname: string;
   readonly port: number;
 }
 
 /**
- * Splits `HOST:PORT`; an IPv6 host stands in brackets.
+ * Splits `HOST:PORT`; an IPv6 host is in brackets.
  *
  * @example
  * ```ts
@@ -26,9 +26,9 @@
 }
 
 /**
- * Lets a server listen on `HOST:PORT`.
+ * Makes a server listen on `HOST:PORT`.
  *
- * @throws when the address cannot be had
+ * @throws when the address is not available
  */
 export async function listenOn(
   server: Server,
--- a/src/process/cut_process_test.ts
+++ b/src/process/cut_process_test.ts
@@ -13,7 +13,7 @@
 const KEYS = Array.from({ length: 16 }, (_, index) => `key-${index}`);
 const SERVICE = "kind: service\npathPrefix: /confirm\npool: confirm\n";
 
-/** One failure domain: an entry, a target, and the ways into it. */
+/** One failure domain with an entry and a target. */
 interface Domain {
   readonly entry: RunningProcess;
   readonly service: PlainServiceStandIn;
@@ -45,8 +45,8 @@
 
 describe("failure domains cut off from each other and the platform", () => {
   let cluster: ProcessCluster;
-  let here: Domain;
-  let there: Domain;
+  let reachableDomain: Domain;
+  let isolatedDomain: Domain;
   const relays: TcpRelay[] = [];
   let serviceRevision = 0;
 
@@ -60,7 +60,8 @@
     name: string,
     changes: Readonly<Record<string, unknown>>,
   ): Promise<RunningProcess> {
-    // Without the list only the named targets are dialled, by the named ways.
+    // Without the list of VMs, only the configured addresses are dialled, which include
+    // relays.
     return await cluster.startEntry(name, {
       ...changes,
       machineListAddress: undefined,
@@ -90,12 +91,12 @@
     });
     const toB = await createRelay(addressB);
     const toA = await createRelay(addressA);
-    here = {
+    reachableDomain = {
       entry: await startEntry("entry-a", { targets: [addressA, toB.address] }),
       service: serviceA,
       targetName: "confirm-a",
     };
-    there = {
+    isolatedDomain = {
       entry: await startEntry("entry-b", {
         ...farSettings,
         targets: [addressB, toA.address],
@@ -103,21 +104,27 @@
       service: serviceB,
       targetName: "confirm-b",
     };
-    for (const { entry } of [here, there]) {
+    for (const { entry } of [reachableDomain, isolatedDomain]) {
       await cluster.waitForTargets(entry, ["confirm-a", "confirm-b"]);
     }
-    await cluster.apply(here.entry, "/organisations/a", "kind: organisation\n");
+    await cluster.apply(
+      reachableDomain.entry,
+      "/organisations/a",
+      "kind: organisation\n",
+    );
     serviceRevision = await cluster.apply(
-      here.entry,
+      reachableDomain.entry,
       "/organisations/a/services/confirm",
       SERVICE,
     );
-    for (const { entry } of [here, there]) {
+    for (const { entry } of [reachableDomain, isolatedDomain]) {
       await cluster.waitForRevision(entry, serviceRevision);
     }
     await waitUntil("every key has an owner", async () => {
       const outcomes = await Promise.all(
-        KEYS.map((key) => call(there, { "idempotency-key": `warm-${key}` })),
+        KEYS.map((key) =>
+          call(isolatedDomain, { "idempotency-key": `warm-${key}` })
+        ),
       );
       return outcomes.every((one) => one.status === 200);
     });
@@ -128,24 +135,26 @@
     await cluster.close();
   });
 
-  it("each goes on serving what it can", async () => {
+  it("each serves the requests that its own targets can run", async () => {
     for (const relay of relays) relay.cut();
     await waitUntil("both sides notice", async () => {
       const statuses = await Promise.all(
-        [here, there].map(({ entry }) => cluster.readStatus(entry)),
+        [reachableDomain, isolatedDomain].map(({ entry }) =>
+          cluster.readStatus(entry)
+        ),
       );
       return statuses.every((status) =>
         status.targets.filter((target) => target.kind === "answered")
           .length === 1
       );
     });
-    for (const domain of [here, there]) {
+    for (const domain of [reachableDomain, isolatedDomain]) {
       assert.equal((await call(domain)).status, 200);
       const keyed = await Promise.all(
         KEYS.map((key) => call(domain, { "idempotency-key": key })),
       );
       const answered = keyed.filter((one) => one.status === 200).length;
-      assert.ok(answered > 0, "Keys of the own domain run");
+      assert.ok(answered > 0, "Expected keys that the domain owns to run");
       for (const one of keyed) {
         if (one.status === 200) continue;
         assert.equal(one.reason, "NO_KEY_OWNER");
@@ -153,47 +162,53 @@
       }
     }
     for (const key of KEYS) {
-      const runs = here.service.runsOf(key) + there.service.runsOf(key);
+      const runs = reachableDomain.service.runsOf(key) +
+        isolatedDomain.service.runsOf(key);
       assert.equal(runs, 1, `${key} ran ${runs} times`);
     }
   });
 
-  it("takes changes on the side that reaches the platform", async () => {
+  it("accept changes on the side that reaches the platform", async () => {
     const revision = await cluster.apply(
-      here.entry,
+      reachableDomain.entry,
       "/organisations/a",
       "kind: organisation\nweight: 5\n",
     );
     await assert.rejects(
-      cluster.apply(there.entry, "/organisations/b", "kind: organisation\n"),
+      cluster.apply(
+        isolatedDomain.entry,
+        "/organisations/b",
+        "kind: organisation\n",
+      ),
       /unavailable/,
     );
     assert.equal(
-      (await cluster.readStatus(there.entry)).revision,
+      (await cluster.readStatus(isolatedDomain.entry)).revision,
       serviceRevision,
     );
     assert.ok(revision > serviceRevision);
   });
 
-  it("rejoins cleanly: settings catch up, keys are not run again", async () => {
+  it("receive newer settings and run no key twice after the connections are restored", async () => {
     for (const relay of relays) relay.join();
-    for (const { entry } of [here, there]) {
+    for (const { entry } of [reachableDomain, isolatedDomain]) {
       await cluster.waitForTargets(entry, ["confirm-a", "confirm-b"]);
       await cluster.waitForRevision(entry, serviceRevision + 1);
     }
     for (const key of KEYS) {
-      const outcome = await call(there, { "idempotency-key": key });
+      const outcome = await call(isolatedDomain, { "idempotency-key": key });
       assert.equal(outcome.status, 200);
-      const runs = here.service.runsOf(key) + there.service.runsOf(key);
+      const runs = reachableDomain.service.runsOf(key) +
+        isolatedDomain.service.runsOf(key);
       assert.equal(runs, 1, `${key} ran ${runs} times`);
     }
   });
 
-  it("answers by the deadline when a connection is frozen", async () => {
+  it("answer by the deadline when connections are frozen", async () => {
     for (const relay of relays) relay.freeze();
     const outcomes = await Promise.all(
       KEYS.map((key) =>
-        call(here, {
+        call(reachableDomain, {
           "idempotency-key": `frozen-${key}`,
           "lagoonwharf-deadline-ms": "300",
         })
@@ -201,7 +216,7 @@
     );
     const answered = outcomes.filter((one) => one.status === 200).length;
     const late = outcomes.filter((one) => one.status === 504).length;
-    assert.ok(answered > 0, "Keys of the own domain run");
+    assert.ok(answered > 0, "Expected keys that the domain owns to run");
     assert.equal(answered + late, KEYS.length);
     for (const relay of relays) relay.join();
   });
--- a/src/process/hono_listener.ts
+++ b/src/process/hono_listener.ts
@@ -9,7 +9,7 @@
 import { HttpListener } from "./http_listener.ts";
 
 /**
- * A listener for the application; it does not listen yet.
+ * Creates a listener for the application, without listening yet.
  *
  * @example
  * ```ts
--- a/src/process/http_listener.ts
+++ b/src/process/http_listener.ts
@@ -6,46 +6,49 @@
 import { createServer, type RequestListener, type Server } from "node:http";
 import { listenOn } from "./address.ts";
 
-/** Largest headers of one request, in bytes. */
+/** Maximum size of the headers of one request, in bytes. */
 const MAX_HEADER_BYTES = 16_384;
 
 /** An HTTP server on one address. */
 export class HttpListener {
   readonly #server: Server;
 
-  /** Does not listen yet; without `handle` it serves upgrades alone. */
+  /**
+   * Creates a server without listening yet. Without `handle` it only serves upgrades.
+   */
   constructor(handle: RequestListener = answerNotFound) {
     this.#server = createServer({ maxHeaderSize: MAX_HEADER_BYTES }, handle);
-    // A stream of tokens may take long; deadlines are kept elsewhere.
+    // A request may take long while its tokens are streamed; deadlines are enforced
+    // elsewhere.
     this.#server.requestTimeout = 0;
   }
 
-  /** The server, for upgrades. */
+  /** The server, for handling upgrades. */
   get server(): Server {
     return this.#server;
   }
 
   /**
-   * Listens.
+   * Starts to listen.
    *
-   * @throws when the address cannot be had
+   * @throws when the address is not available
    */
   async listen(address: string): Promise<void> {
     await listenOn(this.#server, address);
   }
 
-  /** Milliseconds for which an idle connection is kept. */
+  /** Sets the milliseconds for which an idle connection is kept. */
   setIdleLimit(limitMs: number): void {
     this.#server.keepAliveTimeout = limitMs;
   }
 
-  /** Takes no new connections and closes the idle ones. */
+  /** Accepts no new connections and closes the idle ones. */
   stopListening(): void {
     this.#server.close();
     this.#server.closeIdleConnections();
   }
 
-  /** Closes whatever is still open. */
+  /** Closes the server and all open connections. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
--- a/src/process/measured_timer.ts
+++ b/src/process/measured_timer.ts
@@ -1,23 +1,23 @@
 /**
- * How late timers fire: it tells a process that has no processor from a network that is
- * slow.
+ * Measures how late timers fire, which distinguishes a process without processor time
+ * from a slow network.
  *
  * @module
  */
 import type { Milliseconds } from "./metrics_page.ts";
 
-/** Plans timers, and records how late each of them fired. */
+/** Schedules timers and records how late each of them fires. */
 export class MeasuredTimer {
   readonly #delays: Milliseconds;
   #timer: NodeJS.Timeout | undefined;
 
-  /** Records delays there. */
+  /** Creates a timer that records its delays in `delays`. */
   constructor(delays: Milliseconds) {
     this.#delays = delays;
   }
 
   /**
-   * Calls back once; a call that was planned before is given up.
+   * Schedules a call; replaces one that is still pending.
    *
    * @example
    * ```ts
@@ -33,7 +33,7 @@
     }, milliseconds);
   }
 
-  /** Calls back no more. */
+  /** Cancels the pending call. */
   stop(): void {
     clearTimeout(this.#timer);
   }
--- a/src/process/measured_timer_test.ts
+++ b/src/process/measured_timer_test.ts
@@ -4,13 +4,13 @@
 import { MetricsPage } from "./metrics_page.ts";
 
 describe("a timer whose delay is recorded", () => {
-  it("shows how long the process stood still", async () => {
+  it("shows how long the process was stalled", async () => {
     const page = new MetricsPage();
     const delays = page.quantiles("loop_delay_milliseconds", "Delay");
     const timer = new MeasuredTimer(delays);
     const fired = new Promise<void>((resolve) => timer.plan(resolve, 5));
     const end = performance.now() + 60;
-    while (performance.now() < end) { /* Nothing else runs. */ }
+    while (performance.now() < end) { /* Busy wait. */ }
     await fired;
     assert.ok(delays.quantile(50) >= 50);
     assert.match(
@@ -19,7 +19,7 @@
     );
   });
 
-  it("calls back no more once it is stopped", async () => {
+  it("does not call back after it is stopped", async () => {
     const delays = new MetricsPage().quantiles("delay", "Delay");
     const timer = new MeasuredTimer(delays);
     let calls = 0;
--- a/src/process/metrics.ts
+++ b/src/process/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Counters and quantiles of a process that serves callers.
+ * Metrics of a process that serves callers.
  *
  * @module
  */
@@ -11,29 +11,29 @@
 import type { RefusalName } from "../refusals/catalogue.ts";
 import { ProcessMetrics } from "./process_metrics.ts";
 
-/** What the gauges of a process show when the page is read. */
+/** Values of the gauges of a process at the time of a scrape. */
 export interface MetricsSource {
   readonly inFlight: number;
   readonly queued: number;
   readonly settingsRevision: number;
   readonly olderOffers: number;
-  /** Targets that warm up, as far as this process knows. */
+  /** Targets known to be warming up. */
   readonly coldTargets?: number;
-  /** Requests sent to targets that warmed up, by pool. */
+  /** Requests sent to targets while these warmed up, by pool. */
   readonly coldRequests?: ReadonlyMap<string, number>;
-  /** Targets that asked this process to send them nothing now. */
+  /** Targets that have asked this process for a backoff that is not over. */
   readonly backingOffTargets?: number;
-  /** Targets that are listed though they have said that they leave. */
+  /** Targets that are still listed after they announced that they leave. */
   readonly leavingTargets?: number;
-  /** Backoffs that targets asked for, over the life of the process. */
+  /** Backoffs requested by targets since the process started. */
   readonly backoffs?: number;
-  /** What targets said of themselves that could not be understood, by the word. */
+  /** Notices of targets that could not be read, by the kind of the notice. */
   readonly unreadableNotices?: ReadonlyMap<string, number>;
   /** Load and capacity of rank groups, in requests, by name. */
   readonly utilizations?: ReadonlyMap<string, GroupUtilization>;
 }
 
-/** What the process holds for its callers. */
+/** Bytes that the process holds for its callers. */
 export interface HeldBytesSource {
   readonly answerBytes: number;
   readonly bodyBytes: number;
@@ -41,19 +41,19 @@
   readonly pausedCallers: number;
 }
 
-/** Counters and quantiles of a process that serves callers. */
+/** Metrics of a process that serves callers. */
 export class Metrics extends ProcessMetrics {
   readonly #requests = this.metricsPage.counter(
     "requests_total",
-    "Requests taken in",
+    "Requests received",
   );
   readonly #answers = this.metricsPage.counter(
     "answers_total",
-    "Whole answers given",
+    "Complete answers",
   );
-  readonly #stale = this.metricsPage.counter(
+  readonly #staleMessages = this.metricsPage.counter(
     "stale_messages_total",
-    "Messages of attempts that were over",
+    "Messages of attempts that had ended",
   );
   readonly #refusals = this.metricsPage.counter(
     "refusals_total",
@@ -65,34 +65,34 @@
     "Retries by reason",
     "reason",
   );
-  readonly #faults = this.metricsPage.counter(
+  readonly #linkFaults = this.metricsPage.counter(
     "link_faults_total",
-    "Links closed",
+    "Connections between processes that were closed for a fault",
     "reason",
   );
-  readonly #returns = this.metricsPage.counter(
+  readonly #callerRetries = this.metricsPage.counter(
     "returns_total",
-    "Callers told when to return, and what became of those who did",
+    "Callers that received a retry delay, and outcomes of their retries",
     "outcome",
   );
-  readonly #wrongFields = this.metricsPage.counter(
+  readonly #invalidFields = this.metricsPage.counter(
     "settings_fields_wrong_total",
-    "Fields of settings that had a wrong value",
+    "Fields of settings whose value was not valid",
   );
-  readonly #heldBack = this.metricsPage.counter(
+  readonly #deferred = this.metricsPage.counter(
     "held_back_total",
-    "Requests held back from rank groups near their capacity, by priority",
+    "Requests deferred because their rank group is near its capacity, by priority",
     "priority",
   );
-  readonly #milliseconds = this.metricsPage.quantiles(
+  readonly #answerTimes = this.metricsPage.quantiles(
     "answer_milliseconds",
-    "Time to the whole answer",
+    "Time to the complete answer",
   );
-  readonly #pauses = this.metricsPage.quantiles(
+  readonly #longestPauses = this.metricsPage.quantiles(
     "longest_pause_milliseconds",
-    "Longest pause between two pieces of each answer",
+    "Longest pause between two chunks of each answer",
   );
-  readonly #firstByte = this.metricsPage.quantiles(
+  readonly #firstByteTimes = this.metricsPage.quantiles(
     "first_byte_milliseconds",
     "Time to the first byte of streamed answers",
   );
@@ -100,18 +100,18 @@
   #drainedDomains = 0;
   readonly #pausedAnswers = this.metricsPage.counter(
     "paused_answers_total",
-    "Times that a back end was paused for a caller that reads slowly",
+    "Answers that were paused for a caller that reads slowly",
   );
   readonly #slowCallersCut = this.metricsPage.counter(
     "slow_callers_cut_total",
     "Callers whose connection was closed because held bytes exceeded the limit",
   );
-  readonly #answerPauses = this.metricsPage.quantiles(
+  readonly #pausedTimes = this.metricsPage.quantiles(
     "paused_answer_milliseconds",
-    "How long back ends were paused for callers that read slowly",
+    "How long answers were paused for callers that read slowly",
   );
 
-  /** Reads the gauges from `source` when the page is asked for. */
+  /** Creates the metrics; the gauges are read from `source` at each scrape. */
   constructor(source: () => MetricsSource, log: EventLog) {
     super(log);
     this.metricsPage.gauge(
@@ -121,49 +121,48 @@
     );
     this.metricsPage.gauge(
       "queued",
-      "Requests that wait",
+      "Requests that wait for a target",
       () => source().queued,
     );
     this.metricsPage.gauge(
       "settings_revision",
-      "Settings in force",
+      "Revision of the settings in force",
       () => source().settingsRevision,
     );
     this.metricsPage.gauge(
       "settings_older_offers",
-      "Settings that were older and ignored",
+      "Offered settings that were ignored because they were older",
       () => source().olderOffers,
     );
     this.metricsPage.gauge(
       "drained_failure_domains",
-      "Failure domains that operators drain",
+      "Drained failure domains",
       () => this.#drainedDomains,
     );
     this.metricsPage.gauge(
       "cold_targets",
-      "Targets that warm up",
+      "Targets that are warming up",
       () => source().coldTargets ?? 0,
     );
-    this.metricsPage.counts({
+    this.metricsPage.labelledCounter({
       name: "cold_requests_total",
-      help: "Requests sent to targets that warmed up",
+      help: "Requests sent to targets while these warmed up",
       label: "pool",
       read: () => source().coldRequests ?? new Map(),
     });
     this.metricsPage.gauge(
       "backing_off_targets",
-      "Targets that asked this entry to send them nothing now",
+      "Targets that are backing off from this entry",
       () => source().backingOffTargets ?? 0,
     );
     this.metricsPage.gauge(
       "leaving_targets",
-      "Targets that are listed though they have said that they leave",
+      "Targets that are still listed after they announced that they leave",
       () => source().leavingTargets ?? 0,
     );
-    this.metricsPage.counts({
+    this.metricsPage.labelledCounter({
       name: "notices_total",
-      help:
-        "What targets said of themselves: backoffs, and what could not be read",
+      help: "Notices of targets: backoffs, and notices that could not be read",
       label: "word",
       read: () => readNotices(source()),
     });
@@ -174,13 +173,13 @@
             [group, utilization],
           ) => [group, read(utilization)]),
         );
-    this.metricsPage.gauges({
+    this.metricsPage.labelledGauge({
       name: "group_load",
-      help: "Requests that run and wait in rank groups, by the last report",
+      help: "Running and queued requests of rank groups, by the last report",
       label: "group",
       read: readUtilizations(({ load }) => load),
     });
-    this.metricsPage.gauges({
+    this.metricsPage.labelledGauge({
       name: "group_capacity",
       help: "Requests that rank groups can process in time",
       label: "group",
@@ -193,48 +192,50 @@
     this.#drainedDomains = count;
   }
 
-  /** A request was taken in. */
+  /** Counts an accepted request. */
   countRequest(): void {
     this.#requests.inc();
   }
 
-  /** A whole answer was given after so many milliseconds. */
+  /** Counts a complete answer and records its duration. */
   countAnswer(milliseconds: number): void {
     this.#answers.inc();
-    this.#milliseconds.record(milliseconds);
+    this.#answerTimes.record(milliseconds);
   }
 
-  /** A streamed answer began after so many milliseconds. */
+  /** Records the time to the first byte of a streamed answer. */
   countFirstByte(milliseconds: number): void {
-    this.#firstByte.record(milliseconds);
+    this.#firstByteTimes.record(milliseconds);
   }
 
-  /** A caller was told when to return, or one that returned was served or refused. */
+  /**
+   * Counts a caller that received a retry delay, or the outcome of a caller's retry.
+   */
   countReturn(outcome: ReturnOutcome): void {
-    this.#returns.inc({ outcome });
+    this.#callerRetries.inc({ outcome });
   }
 
-  /** The longest pause between two pieces of an answer took so long. */
+  /** Records the longest pause between two chunks of an answer. */
   countPause(milliseconds: number): void {
-    this.#pauses.record(milliseconds);
+    this.#longestPauses.record(milliseconds);
   }
 
-  /** Fields of settings had a wrong value. */
+  /** Counts fields of settings whose value is not valid. */
   countWrongFields(count: number): void {
-    this.#wrongFields.inc(count);
+    this.#invalidFields.inc(count);
   }
 
-  /** A request was held back from a rank group that is near its capacity. */
+  /** Counts a request that was deferred because its rank group is near its capacity. */
   countHeldBack(priority: Priority): void {
-    this.#heldBack.inc({ priority: String(priority) });
+    this.#deferred.inc({ priority: String(priority) });
   }
 
-  /** Shows the bytes held for callers when the page is asked for. */
+  /** Adds gauges for the bytes that are held for callers. */
   watchHeldBytes(held: HeldBytesSource): void {
     const { metricsPage } = this;
     metricsPage.gauge(
       "held_answer_bytes",
-      "Bytes of answers that callers have not taken",
+      "Bytes of answers that callers have not read",
       () => held.answerBytes,
     );
     metricsPage.gauge(
@@ -249,44 +250,46 @@
     );
     metricsPage.gauge(
       "paused_callers",
-      "Callers that read slowly, whose answers are read no further",
+      "Callers that read slowly and whose answers are paused",
       () => held.pausedCallers,
     );
   }
 
-  /** A back end was paused for its caller. */
+  /** Counts an answer that was paused for its caller. */
   countPausedAnswer(): void {
     this.#pausedAnswers.inc();
   }
 
-  /** A back end was resumed after so many milliseconds. */
+  /** Records how long an answer was paused. */
   countAnswerPause(milliseconds: number): void {
-    this.#answerPauses.record(milliseconds);
+    this.#pausedTimes.record(milliseconds);
   }
 
-  /** A caller's connection was closed because held bytes exceeded the limit. */
+  /**
+   * Counts a caller whose connection was closed because held bytes exceeded the limit.
+   */
   countSlowCallerCut(): void {
     this.#slowCallersCut.inc();
   }
 
-  /** A message belonged to no attempt under way. */
+  /** Counts a message that belongs to no current attempt. */
   countStale(): void {
-    this.#stale.inc();
+    this.#staleMessages.inc();
   }
 
-  /** A request was refused or cut. */
+  /** Counts a request that was refused or whose answer was cut off. */
   countRefusal(reason: RefusalName): void {
     this.#refusals.inc({ reason });
   }
 
-  /** A request was sent again. */
+  /** Counts a retry of a request. */
   countRetry(reason: RefusalName): void {
     this.#retries.inc({ reason });
   }
 
-  /** A connection was closed for a fault. */
+  /** Counts a connection between processes that was closed because of a fault. */
   countLinkFault(reason: LinkFault): void {
-    this.#faults.inc({ reason });
+    this.#linkFaults.inc({ reason });
   }
 }
 
--- a/src/process/metrics_page.ts
+++ b/src/process/metrics_page.ts
@@ -9,30 +9,33 @@
 
 const PREFIX = "lagoonwharf_";
 const QUANTILES = [50, 95, 99] as const;
-const LONGEST_MS = 3_600_000;
+const MAX_MS = 3_600_000;
 
-/** Numbers that are told apart by one label. */
-export interface CountsByLabel {
+/** A metric with one label and a value for each label value. */
+export interface LabelledNumbers {
   readonly name: string;
   readonly help: string;
   readonly label: string;
   readonly read: () => ReadonlyMap<string, number>;
 }
 
-/** Milliseconds, of which the page shows quantiles since the process started. */
+/**
+ * Histogram of durations in milliseconds; the page shows quantiles since the process
+ * started.
+ */
 export class Milliseconds {
   readonly #histogram: Histogram = build({
-    highestTrackableValue: LONGEST_MS,
+    highestTrackableValue: MAX_MS,
     numberOfSignificantValueDigits: 2,
   });
 
-  /** Takes in one more. */
+  /** Records a duration. */
   record(milliseconds: number): void {
-    const bounded = Math.min(LONGEST_MS, Math.max(0, milliseconds));
+    const bounded = Math.min(MAX_MS, Math.max(0, milliseconds));
     this.#histogram.recordValue(bounded);
   }
 
-  /** The value below which so many of a hundred lie. */
+  /** Returns the value at a percentile. */
   quantile(percentile: number): number {
     return this.#histogram.getValueAtPercentile(percentile);
   }
@@ -42,7 +45,7 @@
 export class MetricsPage {
   readonly #registry = new Registry();
 
-  /** A counter, told apart by one label if it is named. */
+  /** Adds a counter with the given labels. */
   counter(name: string, help: string, ...labelNames: string[]): Counter {
     return new Counter({
       name: PREFIX + name,
@@ -52,7 +55,7 @@
     });
   }
 
-  /** A gauge that is read when the page is asked for. */
+  /** Adds a gauge that is read at each scrape. */
   gauge(name: string, help: string, read: () => number): void {
     new Gauge({
       name: PREFIX + name,
@@ -64,8 +67,8 @@
     });
   }
 
-  /** Gauges told apart by one label, read when the page is asked for. */
-  gauges({ name, help, label, read }: CountsByLabel): void {
+  /** Adds a gauge with one label that is read at each scrape. */
+  labelledGauge({ name, help, label, read }: LabelledNumbers): void {
     new Gauge({
       name: PREFIX + name,
       help,
@@ -80,7 +83,7 @@
     });
   }
 
-  /** Quantiles since the process started. */
+  /** Adds quantiles of a duration since the process started. */
   quantiles(name: string, help: string): Milliseconds {
     const milliseconds = new Milliseconds();
     new Gauge({
@@ -98,8 +101,8 @@
     return milliseconds;
   }
 
-  /** Counts that are kept elsewhere, and read when the page is asked for. */
-  counts({ name, help, label, read }: CountsByLabel): void {
+  /** Adds a counter with one label that is read at each scrape. */
+  labelledCounter({ name, help, label, read }: LabelledNumbers): void {
     new Counter({
       name: PREFIX + name,
       help,
@@ -114,17 +117,17 @@
     });
   }
 
-  /** How often each event was logged or left out of the log. */
-  events(log: EventLog): void {
-    this.counts({
+  /** Adds a counter of log events, including those whose lines were omitted. */
+  countEvents(log: EventLog): void {
+    this.labelledCounter({
       name: "events_total",
-      help: "Events of the log by name, those that were left out too",
+      help: "Log events by name, including those whose lines were omitted",
       label: "event",
       read: () => log.counts,
     });
   }
 
-  /** The page, in the Prometheus text format. */
+  /** Returns the page in the Prometheus text format. */
   async text(): Promise<string> {
     return await this.#registry.metrics();
   }
--- a/src/process/platform_faults_test.ts
+++ b/src/process/platform_faults_test.ts
@@ -14,7 +14,7 @@
 const SERVICE =
   "# path: /organisations/a/services/confirm\nkind: service\npathPrefix: /confirm\npool: confirm\n";
 
-describe("faults of the platform, with processes", () => {
+describe("processes under faults of the platform", () => {
   let cluster: ProcessCluster;
   let entry: RunningProcess;
   let target: RunningProcess;
@@ -52,7 +52,7 @@
 
   after(async () => await cluster.close());
 
-  it("says accepted although the swap's reply was lost", async () => {
+  it("report a change as accepted if only the swap's reply was lost", async () => {
     const file = cluster.writeFile("service.yaml", SERVICE);
     cluster.keyValue.faults.lostReplies = 1;
     const result = await settings(["apply", file]);
@@ -63,7 +63,7 @@
     assert.equal(await statusOfCall(entry), 200);
   });
 
-  it("shows every finding with its place and accepts nothing", async () => {
+  it("show every finding with its position and accept nothing", async () => {
     const file = cluster.writeFile(
       "bad.yaml",
       "# path: /organisations/a/services/bad\nkind: service\npathPrefix: bad\nretryShare: 2\ncolour: red\n",
@@ -76,7 +76,7 @@
     assert.match(result.errors, /LW1012: The property 'pool' is missing/);
   });
 
-  it("shows both sides of a conflict", async () => {
+  it("show both sides of a conflict", async () => {
     const shown = await settings(["show", "/organisations/a"]);
     const mine = cluster.writeFile("mine.yaml", `${shown.output}weight: 2\n`);
     await cluster.apply(
@@ -92,7 +92,7 @@
     );
   });
 
-  it("goes on serving through an outage, and starts new processes", async () => {
+  it("serve during an outage, and new processes can start", async () => {
     cluster.keyValue.faults.isDown = true;
     cluster.machineList.isDown = true;
     assert.equal(await statusOfCall(entry), 200);
@@ -115,7 +115,7 @@
     assert.equal(accepted.code, 0, accepted.errors);
   });
 
-  it("puts accepted settings back into a restored service", async () => {
+  it("write accepted settings back into a restored service", async () => {
     const old = cluster.keyValue.backUp();
     const revision = await cluster.apply(
       entry,
@@ -124,8 +124,8 @@
     );
     await cluster.waitForRevision(entry, revision);
     cluster.keyValue.restore(old);
-    // Any entry may be the one that does it.
-    await waitUntil("the settings are put back", () => {
+    // Any entry may write them back.
+    await waitUntil("the settings are written back", () => {
       const head = cluster.keyValue.tryPeek(HEAD_KEY)?.value ?? "";
       return tryParseHead(head)?.revision === revision;
     });
@@ -139,7 +139,7 @@
     assert.equal(next, revision + 1);
   });
 
-  it("catches up after it stood still", async () => {
+  it("receive newer settings after they were frozen", async () => {
     const second = await cluster.startEntry("entry-3");
     await cluster.waitForTargets(second, ["confirm-1"]);
     await waitUntil(
@@ -159,7 +159,7 @@
     );
   });
 
-  it("puts each accepted change in force everywhere", async (context) => {
+  it("put each accepted change in force everywhere", async (context) => {
     const times: number[] = [];
     for (let weight = 1; weight <= 5; weight++) {
       const revision = await cluster.apply(
@@ -176,7 +176,7 @@
     );
   });
 
-  it("writes only with a token, and only below its path", async () => {
+  it("accept writes only with a token and below its path", async () => {
     const address = entry.administrationAddress;
     const rows = [
       { token: "nobody", status: 403 },
@@ -207,7 +207,7 @@
     }
   });
 
-  it("moves a service from the scripts and back by one change", async () => {
+  it("move a service to the scripts and back with one change each", async () => {
     const scripts = new PlainServiceStandIn("scripts");
     const scriptsAddress = await cluster.listen(scripts);
     const path = "/organisations/a/services/confirm";
@@ -230,7 +230,7 @@
     }
   });
 
-  it("starts nothing with bad process settings, and says all", async () => {
+  it("do not start with invalid process settings, and report all findings", async () => {
     const file = cluster.writeFile("entry.yaml", "name: UPPER\ncolour: red\n");
     const result = await cluster.run(["entry", file]);
     assert.equal(result.code, 2);
@@ -239,7 +239,7 @@
     assert.match(result.errors, /colour/);
   });
 
-  it("says plainly that a port is in use", async () => {
+  it("log that a port is in use", async () => {
     const taken = await cluster.startEntry("entry-4", {
       callerAddress: entry.address,
     });
--- a/src/process/process_metrics.ts
+++ b/src/process/process_metrics.ts
@@ -1,5 +1,5 @@
 /**
- * What every process of the system counts.
+ * Metrics that every process has.
  *
  * @module
  */
@@ -8,11 +8,11 @@
 import { MetricsPage, type Milliseconds } from "./metrics_page.ts";
 import type { TextPages } from "./text_pages.ts";
 
-/** What every process of the system counts; each role adds its own. */
+/** Metrics that every process has; each role adds its own. */
 export abstract class ProcessMetrics {
-  /** Where a role adds its own counters. */
+  /** The page to which a role adds its own metrics. */
   protected readonly metricsPage = new MetricsPage();
-  /** How late timers fired. */
+  /** How late timers fire. */
   readonly loopDelays: Milliseconds = this.metricsPage.quantiles(
     "loop_delay_milliseconds",
     "How late timers fired",
@@ -24,22 +24,22 @@
     "outcome",
   );
 
-  /** Counts the events of the log, too. */
+  /** Creates the metrics, which include the events of the log. */
   constructor(log: EventLog) {
-    this.metricsPage.events(log);
+    this.metricsPage.countEvents(log);
   }
 
-  /** A call to the platform's store ended. */
+  /** Counts a completed call to the platform's store. */
   countStoreCall(kind: StoreCallKind, hasFailed: boolean): void {
     this.#storeCalls.inc({ kind, outcome: hasFailed ? "failed" : "answered" });
   }
 
-  /** The page, in the Prometheus text format. */
+  /** Returns the page in the Prometheus text format. */
   async page(): Promise<string> {
     return await this.metricsPage.text();
   }
 
-  /** The page under its usual path. */
+  /** The page at its path. */
   get pages(): TextPages {
     return {
       "/metrics": async () => ({ status: 200, text: await this.page() }),
--- a/src/process/process_settings.ts
+++ b/src/process/process_settings.ts
@@ -1,5 +1,5 @@
 /**
- * What a process is told when it starts: its name, place and addresses.
+ * Settings with which a process starts: its name, failure domain and addresses.
  *
  * @module
  */
@@ -19,11 +19,11 @@
 );
 const SHA_256 = z.string().regex(/^[0-9a-f]{64}$/, "Expected a SHA-256 in hex");
 
-/** Bytes that an entry may hold for all its callers; without it there is no such bound. */
+/** Bytes that an entry may hold for all its callers; unlimited if undefined. */
 const HELD_BYTES_LIMIT = z.number().int().min(1_048_576).max(17_179_869_184)
   .optional();
 
-const COMMON = {
+const COMMON_SETTINGS = {
   name: NAME,
   deployment: NAME,
   failureDomain: NAME,
@@ -35,23 +35,23 @@
   drainLimitMs: z.number().int().min(0).max(86_400_000).default(600_000),
 };
 
-/** Shape of the process settings of an entry. */
+/** Schema of the process settings of an entry. */
 export const ENTRY_PROCESS_SCHEMA = z.strictObject({
-  ...COMMON,
+  ...COMMON_SETTINGS,
   callerAddress: ADDRESS,
   administrationAddress: ADDRESS,
-  /** Targets that are dialled whatever the machine list says. */
+  /** Targets that are dialled in addition to those in the list of VMs. */
   targets: z.array(ADDRESS).default([]),
-  /** Targets of one pool that are connected to; smaller pools are whole. */
+  /** Maximum number of targets of one pool that the entry connects to. */
   targetsInView: z.number().int().min(1).max(10_000).default(200),
-  /** SHA-256 of the token that may write every path. */
+  /** SHA-256 of the token that grants write access to all paths. */
   administratorTokenSha256: SHA_256.optional(),
   heldBytesLimit: HELD_BYTES_LIMIT,
 });
 
-/** Shape of the process settings of a target. */
+/** Schema of the process settings of a target. */
 export const TARGET_PROCESS_SCHEMA = z.strictObject({
-  ...COMMON,
+  ...COMMON_SETTINGS,
   address: ADDRESS,
   pool: NAME,
   backEndAddress: ADDRESS,
@@ -60,17 +60,20 @@
   ledgerLength: z.number().int().min(0).max(10_000_000).default(50_000),
   keptAnswerBytes: z.number().int().min(0).max(1_048_576).default(16_384),
   keptBytes: z.number().int().min(0).max(1_073_741_824).default(8_388_608),
-  /** Milliseconds for which tokens are gathered; 0 sends each at once. */
+  /**
+   * Milliseconds for which tokens are collected into one message; 0 sends each
+   * immediately.
+   */
   gatherMs: z.number().int().min(0).max(1000).default(20),
-  /** The rank of a lock-step group that the engine is. */
+  /** The lock-step group and the rank of the engine. */
   group: z.strictObject({
     name: NAME,
     rank: z.number().int().min(0).max(1023),
-    /** Name of rank 0's target; others may not give orders. */
+    /** Name of rank 0's target; orders of other targets are rejected. */
     coordinatorName: NAME,
-    /** Host and port at which the engine takes orders. */
+    /** Host and port at which the engine accepts orders. */
     engineAddress: ADDRESS,
-    /** At rank 0: the targets before all ranks, in their order. */
+    /** At rank 0: addresses of the targets of all ranks, in order of rank. */
     memberAddresses: z.array(ADDRESS).default([]),
     layers: z.number().int().min(1).max(1000).default(1),
     experts: z.number().int().min(1).max(10_000).default(8),
@@ -79,37 +82,37 @@
   /** Whether the target claims key slots of its pool. */
   ownsKeys: z.boolean().default(true),
   /**
-   * Milliseconds for which the platform must say that a machine is gone before
-   * its key slots are taken.
+   * Milliseconds for which the platform must report a VM as gone before its key slots
+   * are claimed.
    */
   goneGraceMs: z.number().int().min(30_000).max(3_600_000).default(60_000),
 });
 
-/** What the processes that follow a platform's store have in common. */
-const STORE_FOLLOWING = {
+/** Settings of all processes that follow the platform's store. */
+const COMMON_STORE_SETTINGS = {
   name: NAME,
   deployment: NAME,
   /** Shared by all processes of the deployment. */
   secret: z.string().min(16).max(1024),
   failureDomain: NAME,
   storeAddress: ADDRESS,
-  /** Host and port for the other processes of the system. */
+  /** Host and port for other lagoonwharf processes. */
   peerAddress: ADDRESS,
-  /** Processes that are asked when the store cannot be reached. */
+  /** Processes that are queried if the store is unreachable. */
   seedAddresses: z.array(ADDRESS).default([]),
   /** Milliseconds between the first signal and the end, at most. */
   drainLimitMs: z.number().int().min(0).max(86_400_000).default(600_000),
 };
 
-/** Shape of the process settings of an entry that calls back ends itself. */
+/** Schema of the process settings of an entry that calls back ends itself. */
 export const DIRECT_ENTRY_PROCESS_SCHEMA = z.strictObject({
-  ...STORE_FOLLOWING,
+  ...COMMON_STORE_SETTINGS,
   callerAddress: ADDRESS,
   /** Host and port for health checks and metrics. */
   readyAddress: ADDRESS,
-  /** Host and port for metrics alone, where they are wanted at a port that is known. */
+  /** Host and port of a separate listener for metrics, at a fixed port. */
   metricsAddress: ADDRESS.optional(),
-  /** Milliseconds for which a back end that leaves may be sent work. */
+  /** Milliseconds for which requests may still be sent to a back end that leaves. */
   leavingLimitMs: z.number().int().min(100).max(600_000).default(2000),
   heldBytesLimit: HELD_BYTES_LIMIT,
   /** Limits on the retries of all entries together. */
@@ -120,16 +123,19 @@
   }),
 });
 
-/** Shape of the process settings of a process beside a rank's engine. */
+/** Schema of the process settings of the sidecar of a rank's engine. */
 export const RANK_PROCESS_SCHEMA = z.strictObject({
-  ...STORE_FOLLOWING,
-  /** Host and port of the engine on the same machine. */
+  ...COMMON_STORE_SETTINGS,
+  /** Host and port of the engine on the same VM. */
   engineAddress: ADDRESS,
   /** Host and port for metrics. */
   metricsAddress: ADDRESS.optional(),
   /** Pool that the engine serves. */
   pool: NAME,
-  /** What the machine's own link carries, each way: bounds what a decider asks for. */
+  /**
+   * Bandwidth of the VM's network link in each direction; limits the data that a
+   * decider requests.
+   */
   linkMegabitsPerSecond: z.number().positive().max(1_000_000).default(100),
 });
 
@@ -138,7 +144,7 @@
   z.infer<typeof DIRECT_ENTRY_PROCESS_SCHEMA>
 >;
 
-/** Process settings of a process beside a rank's engine. */
+/** Process settings of the sidecar of a rank's engine. */
 export type RankProcessSettings = Readonly<z.infer<typeof RANK_PROCESS_SCHEMA>>;
 
 /** Process settings of an entry. */
@@ -151,18 +157,20 @@
   z.infer<typeof TARGET_PROCESS_SCHEMA>
 >;
 
-/** One finding in the process settings. */
+/** A finding in the process settings. */
 export interface ProcessSettingsFinding {
-  /** Property, or empty for the file as a whole. */
+  /** The property, or empty if the finding concerns the whole file. */
   readonly property: string;
   readonly text: string;
 }
 
-/** Environment variable that holds the secret when the file does not. */
+/**
+ * Environment variable from which the secret is read if the file does not contain it.
+ */
 export const SECRET_VARIABLE = "LAGOONWHARF_SECRET";
 
 /**
- * Reads and checks a file of process settings; all findings come together.
+ * Reads and checks a file of process settings; an error contains all findings.
  *
  * @example
  * ```ts
@@ -184,7 +192,7 @@
       text: error.message.split("\n")[0] ?? error.message,
     })));
   }
-  const value = { ...secretFromEnvironment(), ...document.toJS() };
+  const value = { ...readSecretFromEnvironment(), ...document.toJS() };
   const checked = schema.safeParse(value);
   if (checked.success) return Ok(checked.data);
   return Err(checked.error.issues.map((issue) => ({
@@ -193,7 +201,7 @@
   })));
 }
 
-function secretFromEnvironment(): { readonly secret?: string } {
+function readSecretFromEnvironment(): { readonly secret?: string } {
   const secret = process.env[SECRET_VARIABLE];
   return secret === undefined ? {} : { secret };
 }
--- a/src/process/process_test.ts
+++ b/src/process/process_test.ts
@@ -113,13 +113,13 @@
     assert.equal(body.received, "hello");
   });
 
-  it("streams tokens whole", async () => {
+  it("streams all tokens", async () => {
     const answer = await call(entry, "/plan", { body: '{"max_tokens":4}' });
     assert.match(answer.text, /token 4\n\ndata: \[DONE\]/);
     assert.equal(answer.headers["content-type"], "text/event-stream");
   });
 
-  it("runs a key once and gives its answer again", async () => {
+  it("runs a key once and repeats its answer", async () => {
     const options = { headers: { "idempotency-key": "key-once" } };
     const isAnswered = async () =>
       (await call(entry, "/confirm", options)).status === 200;
@@ -129,7 +129,7 @@
     assert.equal(plain.runsOf("key-once"), 1);
   });
 
-  it("says what is known of a request that gets no answer", async () => {
+  it("reports the outcome of a request that is refused", async () => {
     const answer = await call(entry, "/nowhere");
     assert.equal(answer.status, 404);
     assert.equal(answer.headers["content-type"], "application/problem+json");
@@ -157,7 +157,7 @@
     }
   });
 
-  it("gives a final answer at the deadline, not a stuck connection", async () => {
+  it("answers at the deadline even if the back end is stuck", async () => {
     plain.faults.isStuck = true;
     const answer = await call(entry, "/confirm", {
       headers: { "lagoonwharf-deadline-ms": "100" },
@@ -168,7 +168,7 @@
     await waitUntil("the back end is cancelled", () => plain.broken > 0);
   });
 
-  it("does not run again what may have run", async () => {
+  it("does not retry a request that may have run", async () => {
     const runs = plain.runs;
     plain.faults.lostAnswers = 1;
     const answer = await call(entry, "/confirm");
@@ -177,13 +177,13 @@
     assert.equal(plain.runs, runs + 1);
   });
 
-  it("does not pass a short answer for a whole one", async () => {
+  it("does not treat a truncated answer as complete", async () => {
     plain.faults.lyingLengths = 1;
     const answer = await call(entry, "/confirm");
     assert.equal(answer.status, 502);
   });
 
-  it("cancels down to the engine when the caller goes away", async () => {
+  it("cancels the request at the engine when the caller disconnects", async () => {
     const engine = engines.get("plan-1") as ModelEngineStandIn;
     const abort = new AbortController();
     const response = await request(`http://${entry.address}/plan`, {
@@ -204,8 +204,8 @@
     assert.match(text, /lagoonwharf_refusals_total\{reason="DEADLINE"\} 1/);
   });
 
-  // A drain that only the platform's store could ask for would leave these deployments without.
-  it("refuses at once while settings drain all targets, and serves again", async () => {
+  // Deployments without the platform's store can drain only through settings.
+  it("refuses immediately while settings drain all targets, and serves afterwards", async () => {
     const path = "/failure-domains/a";
     const setDraining = async (draining: boolean) => {
       const text = `kind: failure_domain\ndraining: ${draining}\n`;
@@ -220,18 +220,18 @@
     assert.equal((await call(entry, "/confirm")).status, 200);
   });
 
-  it("cuts a stream whose target is killed, and goes on with others", async () => {
-    const victim = await startPlanTarget("plan-2");
+  it("cuts off a stream whose target is killed, and serves with other targets", async () => {
+    const killed = await startPlanTarget("plan-2");
     await cluster.waitForTargets(entry, ["plan-2"]);
-    // Only the victim serves until the streams are open.
+    // Only the target to be killed serves until the streams are open.
     cluster.setState("plan-1", "leaving");
     const engine = engines.get("plan-2") as ModelEngineStandIn;
-    await waitUntil("new work goes to the victim", async () => {
+    await waitUntil("new requests go to the target to be killed", async () => {
       await call(entry, "/plan");
       return engine.finished > 3;
     });
     const stream = await openStream(entry, 100_000);
-    victim.child.kill("SIGKILL");
+    killed.child.kill("SIGKILL");
     await assert.rejects(stream.readRest());
     cluster.setState("plan-2", "gone");
     cluster.setState("plan-1", "live");
@@ -241,12 +241,12 @@
     });
   });
 
-  it("drains a target without cutting its stream", async () => {
+  it("drains a target without cutting off its stream", async () => {
     const leaving = await startPlanTarget("plan-3");
     await cluster.waitForTargets(entry, ["plan-3"]);
     cluster.setState("plan-1", "leaving");
     const engine = engines.get("plan-3") as ModelEngineStandIn;
-    await waitUntil("new work goes to the leaving target", async () => {
+    await waitUntil("new requests go to the leaving target", async () => {
       await call(entry, "/plan");
       return engine.finished > 3;
     });
@@ -286,13 +286,13 @@
     }
   });
 
-  it("drains an entry without cutting its stream", async () => {
+  it("drains an entry without cutting off its stream", async () => {
     const second = await cluster.startEntry("entry-2");
     await cluster.waitForTargets(second, ["plan-1"]);
     await cluster.waitForRevision(second, 3);
     const stream = await openStream(second, 200);
     second.child.kill("SIGTERM");
-    await waitUntil("no new connections are taken", async () => {
+    await waitUntil("no new connections are accepted", async () => {
       try {
         await call(second, "/plan");
         return false;
@@ -304,7 +304,7 @@
     assert.equal(await exitOf(second.child), 0);
   });
 
-  it("ends at a second signal and says what was cut", async () => {
+  it("ends at a second signal and logs how many requests were cut off", async () => {
     const second = await cluster.startEntry("entry-3");
     await cluster.waitForTargets(second, ["plan-1"]);
     await cluster.waitForRevision(second, 3);
--- a/src/process/reload.ts
+++ b/src/process/reload.ts
@@ -1,5 +1,5 @@
 /**
- * SIGHUP: the file of process settings may have changed.
+ * Reloads the process settings on SIGHUP.
  *
  * @module
  */
@@ -12,14 +12,14 @@
 export interface ReloadOptions<T> {
   /** Reads and checks the file. */
   readonly read: () => Result<T, readonly ProcessSettingsFinding[]>;
-  /** Puts in force what can change while the process runs. */
+  /** Applies the settings that can change while the process runs. */
   readonly apply: (settings: T) => void;
   readonly log: EventLog;
 }
 
 /**
- * Reads the settings anew on each SIGHUP. A file with findings changes nothing,
- * and neither case touches a request in flight.
+ * Reloads the settings on each SIGHUP. A file with findings changes nothing. Requests
+ * in flight are not affected.
  *
  * @example
  * ```ts
--- a/src/process/reload_signal.ts
+++ b/src/process/reload_signal.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps SIGHUP from ending a process that has yet to start: this module is loaded
- * before all others, and the signal is remembered until somebody takes it.
+ * Prevents SIGHUP from ending a process during start-up. This module is loaded before
+ * all others and records the signal until a handler is set.
  *
- * The system ends a process on SIGHUP unless it listens. Loading the program takes
- * some 200 ms on a small machine, in which a change of its settings file may be
- * signalled.
+ * The operating system ends a process on SIGHUP unless it has a handler. Loading the
+ * program takes about 200 ms on a small VM, during which a change of its settings file
+ * may be signalled.
  *
  * @module
  */
@@ -19,8 +19,7 @@
 process.on("SIGHUP", recordSignal);
 
 /**
- * Calls `onSignal` for each SIGHUP from now on, and once for those that came
- * before.
+ * Calls `onSignal` for each SIGHUP from now on, and once if any was received before.
  *
  * @example
  * ```ts
@@ -33,7 +32,10 @@
   if (wasReceived) onSignal();
 }
 
-/** Lets SIGHUP end the process again, as a command at a terminal should. */
+/**
+ * Restores the default action of SIGHUP, which ends the process, for commands at a
+ * terminal.
+ */
 export function releaseReloadSignal(): void {
   process.off("SIGHUP", recordSignal);
 }
--- a/src/process/shutdown.ts
+++ b/src/process/shutdown.ts
@@ -1,18 +1,19 @@
 /**
- * Signals: the first drains, a second one or the limit ends the process.
+ * Handles termination signals: the first drains the process, a second one or the time
+ * limit ends it.
  *
  * @module
  */
 import process from "node:process";
 import type { EventLog } from "../events/event_log.ts";
 
-/** What a process does when it is told to end. */
+/** A process that can be drained and closed. */
 export interface Drainable {
-  /** Starts to drain; `onDrained` is called when nothing is in flight. */
+  /** Starts to drain; calls `onDrained` once no request is in flight. */
   drain(onDrained: () => void): void;
-  /** Requests in flight. */
+  /** Number of requests in flight. */
   readonly inFlight: number;
-  /** Closes everything at once. */
+  /** Closes the process immediately. */
   close(): Promise<void>;
 }
 
--- a/src/process/text_pages.ts
+++ b/src/process/text_pages.ts
@@ -1,15 +1,15 @@
 /**
- * Pages of plain text by path, for balancers and those who read metrics.
+ * Serves pages of plain text by path, for health checks and metrics.
  *
- * Not an application of the HTTP library: processes of which a fleet starts hundreds at
- * once serve nothing else, and what the library brings along (Node.js loads its own
- * `fetch` for it) takes 40 to 60 ms of processor time at each start.
+ * This does not use the HTTP library of the administration API: loading it (Node.js
+ * then loads its own `fetch`) takes 40 to 60 ms of processor time, and a fleet may
+ * start hundreds of processes at the same time that serve only these pages.
  *
  * @module
  */
 import type { IncomingMessage, RequestListener } from "node:http";
 
-/** What is answered. */
+/** Content of a page. */
 export interface TextPage {
   readonly status: number;
   readonly text: string;
@@ -24,7 +24,7 @@
 const FAILED: TextPage = { status: 500, text: "failed\n" };
 
 /**
- * Serves the pages.
+ * Creates a request listener that serves the pages.
  *
  * @example
  * ```ts
@@ -47,12 +47,12 @@
 ): Promise<TextPage> {
   const path = url.split("?", 1)[0] as string;
   const read = Object.hasOwn(pages, path) ? pages[path] : undefined;
-  const isRead = method === "GET" || method === "HEAD";
-  if (read === undefined || !isRead) return NOT_FOUND;
+  const isReadMethod = method === "GET" || method === "HEAD";
+  if (read === undefined || !isReadMethod) return NOT_FOUND;
   try {
     return await read();
   } catch {
-    // Whoever asked sees it; nothing else depends on a page.
+    // The client receives the status 500; nothing else depends on a page.
     return FAILED;
   }
 }
--- a/src/process/text_pages_test.ts
+++ b/src/process/text_pages_test.ts
@@ -26,19 +26,19 @@
     return { status: statusCode, text: await body.text() };
   }
 
-  it("are found by their path, whatever the query", async () => {
+  it("are found by their path for any query", async () => {
     assert.deepEqual(await read("/ready?x=1"), {
       status: 200,
       text: "ready\n",
     });
   });
 
-  it("are not found elsewhere, nor by other methods", async () => {
+  it("are not found at other paths or with other methods", async () => {
     assert.equal((await read("/constructor")).status, 404);
     assert.equal((await read("/ready", "POST")).status, 404);
   });
 
-  it("that cannot be read say so", async () => {
+  it("that cannot be read return a server error", async () => {
     assert.equal((await read("/broken")).status, 500);
   });
 });
