--- a/src/external/operator_settings.ts
+++ b/src/external/operator_settings.ts
@@ -41,8 +41,8 @@
   /** Milliseconds to load one expert. */
   readonly loadMs: number;
   /**
-   * Longest acceptable pause between two chunks of an answer, in milliseconds, if
-   * configured.
+   * Smallest pause objective of the services that use the pool: the longest acceptable
+   * pause between two chunks of an answer; undefined if none has one.
    */
   readonly pauseObjectiveMs?: number;
   /** Milliseconds of one step of an idle rank. */
--- a/src/settings/body_source.ts
+++ b/src/settings/body_source.ts
@@ -1,5 +1,5 @@
 /**
- * Where bodies of the settings tree come from.
+ * Sources of the bodies of the settings tree, and their cache.
  *
  * @module
  */
@@ -7,38 +7,41 @@
 import type { KeyValueService } from "../external/key_value_service.ts";
 import { BODY_KEY_PREFIX, hashOf } from "./tree.ts";
 
-/** Gives bodies by their hash. */
+/** Reads bodies by their hash. */
 export abstract class BodySource {
   /**
-   * Those of many bodies that can be had here in few messages. Sources for
-   * which many cost as much as one by one give none.
+   * Reads those of many bodies that the source can return in few messages. Sources
+   * without bulk reads return none.
    */
   readMany(_hashes: readonly string[]): Promise<readonly string[]> {
     return Promise.resolve([]);
   }
 
-  /** The body with this hash; undefined when it cannot be had here. */
+  /**
+   * Reads the body with this hash; undefined if it is not available from this source.
+   */
   abstract tryRead(hash: string): Promise<string | undefined>;
 }
 
-/** Milliseconds for which a service that failed is not asked again. */
-const FAILURE_PAUSE_MS = 2000;
+/** Milliseconds for which the service is not called again after a failure. */
+const FAILURE_BACKOFF_MS = 2000;
 
 /** Reads bodies from the platform's key-value service. */
 export class KeyValueBodySource extends BodySource {
   readonly #service: KeyValueService;
   #failedAt = Number.NEGATIVE_INFINITY;
 
-  /** Takes the service to read from. */
+  /** Creates a source that reads from `service`. */
   constructor(service: KeyValueService) {
     super();
     this.#service = service;
   }
 
   override async tryRead(hash: string): Promise<string | undefined> {
-    // In a slow outage each body would wait for its time-out: ask peers.
+    // During an outage each read would take until its time-out; bodies are read from
+    // peers then.
     const now = performance.now();
-    if (now - this.#failedAt < FAILURE_PAUSE_MS) return undefined;
+    if (now - this.#failedAt < FAILURE_BACKOFF_MS) return undefined;
     try {
       return (await this.#service.tryRead(BODY_KEY_PREFIX + hash))?.value;
     } catch {
@@ -48,28 +51,28 @@
   }
 }
 
-/** Keeps bodies that were read, and refuses those that do not match. */
+/** Caches bodies that were read, and rejects those that do not match their hash. */
 export class BodyCache extends BodySource {
   readonly #sources: BodySource[] = [];
   readonly #bodies = new Map<string, string>();
   #mismatches = 0;
 
-  /** Bodies that did not match their hash and were refused. */
+  /** Number of bodies that were rejected because they did not match their hash. */
   get mismatches(): number {
     return this.#mismatches;
   }
 
-  /** Asks this source too, after those added before. */
+  /** Adds a source, which is read after those added before. */
   addSource(source: BodySource): void {
     this.#sources.push(source);
   }
 
-  /** A body that is already held. */
+  /** Returns a cached body; undefined if it is not cached. */
   tryHeld(hash: string): string | undefined {
     return this.#bodies.get(hash);
   }
 
-  /** Keeps a body, whoever brought it; false when it is not what it says. */
+  /** Caches a body; false if it does not match its hash. */
   keep(hash: string, body: string): boolean {
     if (hashOf(body) !== hash) {
       this.#mismatches++;
@@ -79,7 +82,7 @@
     return true;
   }
 
-  /** Gets what is missing of many bodies, as far as few messages can. */
+  /** Reads bodies that are not cached from sources with bulk reads. */
   async prefetch(hashes: readonly string[]): Promise<void> {
     for (const source of this.#sources) {
       const missing = hashes.filter((hash) => !this.#bodies.has(hash));
@@ -89,12 +92,12 @@
     }
   }
 
-  /** Drops a body, if it is held. */
+  /** Removes a body from the cache. */
   drop(hash: string | undefined): void {
     if (hash !== undefined) this.#bodies.delete(hash);
   }
 
-  /** Drops all bodies but those named. */
+  /** Removes all bodies except those with the given hashes. */
   retain(hashes: ReadonlySet<string>): void {
     for (const hash of this.#bodies.keys()) {
       if (!hashes.has(hash)) this.#bodies.delete(hash);
--- a/src/settings/body_source_test.ts
+++ b/src/settings/body_source_test.ts
@@ -3,27 +3,27 @@
 import { BodyCache, BodySource } from "./body_source.ts";
 import { hashOf } from "./tree.ts";
 
-/** A source that counts how often it is asked. */
+/** A source that counts its reads. */
 class CountingSource extends BodySource {
-  single = 0;
-  many = 0;
+  singleReads = 0;
+  bulkReads = 0;
   readonly #bodies: ReadonlyMap<string, string>;
-  readonly #answersMany: boolean;
+  readonly #supportsBulkReads: boolean;
 
-  constructor(bodies: readonly string[], answersMany: boolean) {
+  constructor(bodies: readonly string[], supportsBulkReads: boolean) {
     super();
     this.#bodies = new Map(bodies.map((body) => [hashOf(body), body]));
-    this.#answersMany = answersMany;
+    this.#supportsBulkReads = supportsBulkReads;
   }
 
   override tryRead(hash: string): Promise<string | undefined> {
-    this.single++;
+    this.singleReads++;
     return Promise.resolve(this.#bodies.get(hash));
   }
 
   override readMany(hashes: readonly string[]): Promise<readonly string[]> {
-    if (!this.#answersMany) return super.readMany(hashes);
-    this.many++;
+    if (!this.#supportsBulkReads) return super.readMany(hashes);
+    this.bulkReads++;
     const bodies = hashes.flatMap((hash) => this.#bodies.get(hash) ?? []);
     return Promise.resolve(bodies);
   }
@@ -33,7 +33,7 @@
 const HASHES = BODIES.map(hashOf);
 
 describe("body cache", () => {
-  it("asks peers for many at once before anybody for one", async () => {
+  it("reads many bodies from peers before it reads single bodies", async () => {
     const service = new CountingSource(BODIES, false);
     const peers = new CountingSource(BODIES.slice(0, 3), true);
     const cache = new BodyCache();
@@ -42,14 +42,17 @@
     await cache.prefetch(HASHES);
     const read = await Promise.all(HASHES.map((hash) => cache.tryRead(hash)));
     assert.deepEqual(read, BODIES);
-    assert.deepEqual([service.single, peers.many, peers.single], [1, 1, 0]);
+    assert.deepEqual(
+      [service.singleReads, peers.bulkReads, peers.singleReads],
+      [1, 1, 0],
+    );
   });
 
-  it("refuses a body that does not match its hash", async () => {
+  it("rejects a body that does not match its hash", async () => {
     const cache = new BodyCache();
-    const liar = new CountingSource([], false);
-    liar.tryRead = () => Promise.resolve("another body");
-    cache.addSource(liar);
+    const faultySource = new CountingSource([], false);
+    faultySource.tryRead = () => Promise.resolve("another body");
+    cache.addSource(faultySource);
     assert.equal(await cache.tryRead(hashOf("one")), undefined);
     assert.equal(cache.mismatches, 1);
   });
--- a/src/settings/check_document.ts
+++ b/src/settings/check_document.ts
@@ -1,6 +1,6 @@
 /**
- * Checks one settings document: scan, parse, check. All findings are collected
- * with their place.
+ * Parses and checks one settings document, and collects all findings with their
+ * position.
  *
  * @module
  */
@@ -15,11 +15,11 @@
   SettingsDocument,
 } from "../messages/settings_documents.ts";
 
-/** Longest text of one document, in bytes. */
+/** Maximum size of one document, in bytes. */
 export const MAX_DOCUMENT_BYTES = 65_536;
 
-/** Kinds by the shape of their path. */
-const PATH_KINDS: readonly PathKind[] = [
+/** Document kinds by the pattern of their path. */
+const PATH_RULES: readonly PathRule[] = [
   { pattern: /^\/organisations\/[^/]+$/, kind: "organisation" },
   { pattern: /^\/organisations\/[^/]+\/services\/[^/]+$/, kind: "service" },
   { pattern: /^\/teams\/[^/]+$/, kind: "team" },
@@ -29,12 +29,12 @@
 ];
 const PATH_PATTERN = /^(\/[a-z0-9][a-z0-9_-]{0,62})+$/;
 
-interface PathKind {
+interface PathRule {
   readonly pattern: RegExp;
   readonly kind: SettingsDocument["kind"];
 }
 
-/** What a document is checked as. */
+/** A document to check. */
 export interface DocumentSource {
   readonly path: string;
   readonly text: string;
@@ -42,16 +42,19 @@
   readonly file: string;
 }
 
-/** The kind that a path asks for, or undefined when it is no settings path. */
+/**
+ * Returns the document kind that belongs to a path; undefined if it is not a settings
+ * path.
+ */
 export function tryKindOfPath(
   path: string,
 ): SettingsDocument["kind"] | undefined {
   if (!PATH_PATTERN.test(path)) return undefined;
-  return PATH_KINDS.find((row) => row.pattern.test(path))?.kind;
+  return PATH_RULES.find((row) => row.pattern.test(path))?.kind;
 }
 
 /**
- * Checks a document by itself, without the others.
+ * Checks a document without regard to other documents.
  *
  * @example
  * ```ts
@@ -77,13 +80,13 @@
   check(): Result<SettingsDocument, readonly Diagnostic[]> {
     const kind = tryKindOfPath(this.#source.path);
     if (kind === undefined) {
-      this.#add("BAD_PATH", { at: [0, 1] }, this.#source.path);
+      this.#add("BAD_PATH", { range: [0, 1] }, this.#source.path);
     }
     const size = new TextEncoder().encode(this.#source.text).length;
     if (size > MAX_DOCUMENT_BYTES) {
       this.#add(
         "DOCUMENT_TOO_LARGE",
-        { at: [0, 1] },
+        { range: [0, 1] },
         String(size),
         String(MAX_DOCUMENT_BYTES),
       );
@@ -91,12 +94,12 @@
     }
     const root = this.#parse();
     if (root === undefined) return Err(this.#findings);
-    const document = this.#checkShape(root.value, root.node);
+    const document = this.#checkSchema(root.value, root.node);
     if (document === undefined) return Err(this.#findings);
     if (kind !== undefined && document.kind !== kind) {
       this.#add(
         "KIND_DOES_NOT_MATCH_PATH",
-        this.#placeOf(root.node, ["kind"]),
+        this.#getPosition(root.node, ["kind"]),
         this.#source.path,
         kind,
       );
@@ -111,22 +114,22 @@
       const text = error.message.split("\n")[0] ?? error.message;
       this.#add(
         "YAML_SYNTAX",
-        { at: error.pos },
+        { range: error.pos },
         text.replace(/ at line.*$/, ""),
       );
     }
     if (parsed.errors.length > 0) return undefined;
     if (parsed.contents === null) {
-      this.#add("EMPTY_DOCUMENT", { at: [0, 1] });
+      this.#add("EMPTY_DOCUMENT", { range: [0, 1] });
       return undefined;
     }
     return { node: parsed.contents, value: parsed.toJS({ maxAliasCount: 0 }) };
   }
 
-  #checkShape(value: unknown, node: Node): SettingsDocument | undefined {
-    const shape = DOCUMENT_SCHEMA.safeParse(value);
-    if (shape.success) return shape.data as SettingsDocument;
-    for (const issue of shape.error.issues) this.#addIssue(issue, node);
+  #checkSchema(value: unknown, node: Node): SettingsDocument | undefined {
+    const parsed = DOCUMENT_SCHEMA.safeParse(value);
+    if (parsed.success) return parsed.data as SettingsDocument;
+    for (const issue of parsed.error.issues) this.#addIssue(issue, node);
     return undefined;
   }
 
@@ -134,18 +137,18 @@
     const path = issue.path.map(String);
     if (issue.code === "unrecognized_keys") {
       for (const key of issue.keys) {
-        const place = this.#placeOf(node, [...path, key]);
-        this.#add("UNKNOWN_PROPERTY", place, key);
+        const position = this.#getPosition(node, [...path, key]);
+        this.#add("UNKNOWN_PROPERTY", position, key);
       }
       return;
     }
-    const place = this.#placeOf(node, path);
+    const position = this.#getPosition(node, path);
     if (issue.code === "invalid_type" && !isPresent(node, path)) {
-      return this.#add("MISSING_PROPERTY", place, path.join("."));
+      return this.#add("MISSING_PROPERTY", position, path.join("."));
     }
     this.#add(
       "WRONG_VALUE",
-      place,
+      position,
       path.join(".") || "document",
       issue.message,
     );
@@ -155,48 +158,51 @@
     if (
       service.handover === "scripts" && service.scriptsAddress === undefined
     ) {
-      this.#add("SCRIPTS_ADDRESS_MISSING", this.#placeOf(node, ["handover"]));
+      this.#add(
+        "SCRIPTS_ADDRESS_MISSING",
+        this.#getPosition(node, ["handover"]),
+      );
     }
     if (service.defaultDeadlineMs > service.longestDeadlineMs) {
       this.#add(
         "DEADLINES_CROSSED",
-        this.#placeOf(node, ["defaultDeadlineMs"]),
+        this.#getPosition(node, ["defaultDeadlineMs"]),
       );
     }
   }
 
-  /** Place of the deepest node on `path` that is in the text. */
-  #placeOf(node: Node, path: readonly string[]): Place {
+  /** Returns the position of the deepest node on `path` that exists in the text. */
+  #getPosition(node: Node, path: readonly string[]): Position {
     let current: Node = node;
-    let range = rangeOf(node);
+    let range = getRange(node);
     for (const name of path) {
       if (!isMap(current)) break;
       const pair = current.items.find((item) =>
         isPair(item) && String(item.key) === name
       );
       if (pair === undefined) break;
-      const key = rangeOf(pair.key as Node);
+      const key = getRange(pair.key as Node);
       const value = pair.value as Node | null;
-      range = [key[0], value === null ? key[1] : rangeOf(value)[1]];
+      range = [key[0], value === null ? key[1] : getRange(value)[1]];
       if (value === null) break;
       current = value;
     }
-    return { at: range };
+    return { range };
   }
 
-  #add(name: DiagnosticName, place: Place, ...texts: string[]): void {
+  #add(name: DiagnosticName, position: Position, ...texts: string[]): void {
     this.#findings.push({
       name,
       file: this.#source.file,
-      start: place.at[0],
-      length: place.at[1] - place.at[0],
+      start: position.range[0],
+      length: position.range[1] - position.range[0],
       arguments: texts,
     });
   }
 }
 
-interface Place {
-  readonly at: readonly [start: number, end: number];
+interface Position {
+  readonly range: readonly [start: number, end: number];
 }
 
 interface ParsedRoot {
@@ -204,12 +210,12 @@
   readonly value: unknown;
 }
 
-/** Whether the text has something at a path of properties. */
+/** Returns whether the text has a value at a path of properties. */
 function isPresent(node: Node, path: readonly string[]): boolean {
   return isMap(node) ? node.hasIn(path) : path.length === 0;
 }
 
-function rangeOf(node: Node): readonly [number, number] {
+function getRange(node: Node): readonly [number, number] {
   const range = node.range;
   return range ? [range[0], range[1]] : [0, 1];
 }
--- a/src/settings/check_tree.ts
+++ b/src/settings/check_tree.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a document against the others that would be in force beside it.
+ * Checks a document against the other documents in force.
  *
  * @module
  */
@@ -9,7 +9,7 @@
   SettingsDocument,
 } from "../messages/settings_documents.ts";
 
-/** A checked document and its place among the others. */
+/** A valid document with its path and source. */
 export interface TreeCandidate {
   readonly path: string;
   readonly file: string;
@@ -17,18 +17,18 @@
   readonly document: SettingsDocument;
 }
 
-/** The organisation's path that a service's path lies below. */
+/** Returns the path of the organisation that a service belongs to. */
 export function organisationPathOf(servicePath: string): string {
   return servicePath.split("/").slice(0, 3).join("/");
 }
 
-/** The last part of a path. */
+/** Returns the last segment of a path. */
 export function nameOfPath(path: string): string {
   return path.slice(path.lastIndexOf("/") + 1);
 }
 
 /**
- * Findings that only the other documents show.
+ * Returns the findings that depend on other documents.
  *
  * @example
  * ```ts
--- a/src/settings/load_snapshot.ts
+++ b/src/settings/load_snapshot.ts
@@ -1,6 +1,6 @@
 /**
- * Makes a snapshot of the settings from a head and a source of bodies. Nothing
- * is half applied: without every body there is no snapshot.
+ * Loads a snapshot of the settings from a head and a source of bodies. Without every
+ * body there is no snapshot, so settings are never applied partially.
  *
  * @module
  */
@@ -17,21 +17,21 @@
 import type { SettingsDocument } from "../messages/settings_documents.ts";
 import type { SettingsSnapshot } from "./snapshot.ts";
 
-/** Bodies that are asked for one by one at the same time. */
-const PARALLEL_READS = 16;
-/** Bodies that are asked for in one message. */
-const BULK_READS = 256;
+/** Maximum number of concurrent reads of single bodies. */
+const CONCURRENT_READS = 16;
+/** Number of bodies that are requested in one message. */
+const BULK_READ_SIZE = 256;
 
-/** What a snapshot is made from. */
+/** Input of {@link tryLoadSnapshot}. */
 export interface LoadOptions {
   readonly headText: string;
   readonly bodies: BodyCache;
-  /** The snapshot in force, whose documents need not be read again. */
+  /** The snapshot in force, from which unchanged documents are reused. */
   readonly current?: SettingsSnapshot;
 }
 
 /**
- * Makes a snapshot; undefined when the head or a body cannot be had or read.
+ * Loads a snapshot; undefined if the head or a body is unavailable or malformed.
  *
  * @example
  * ```ts
@@ -43,15 +43,16 @@
 ): Promise<SettingsSnapshot | undefined> {
   const head = tryParseHead(options.headText);
   if (head === undefined) return undefined;
-  return await tryFollow(head, options) ?? await tryLoadWhole(head, options);
+  return await tryApplyRecentChanges(head, options) ??
+    await tryLoadTree(head, options);
 }
 
 /**
- * By the newest changes alone, if they reach back to the current snapshot: the
- * work grows with the changes, not with the settings. Pages and root are made
- * here, so that peers can be given them.
+ * Loads only the most recent changes, if they reach back to the current snapshot. The
+ * cost depends on the number of changes, not on the size of the settings. The pages and
+ * the root are created here, so that they can be sent to peers.
  */
-async function tryFollow(
+async function tryApplyRecentChanges(
   head: SettingsHead,
   options: LoadOptions,
 ): Promise<SettingsSnapshot | undefined> {
@@ -70,14 +71,16 @@
   const changed = [...new Set(changes.map((change) => change.path))];
   const records = await tryReadRecords(changed, { tree, bodies });
   if (records === undefined) return undefined;
-  // Nothing has been changed so far; from here on nothing waits or fails.
-  exchangeBodies(current.tree, tree, { changed, bodies });
+  // No state was changed so far. The rest is synchronous and can't fail.
+  replaceCachedBodies(current.tree, tree, { changed, bodies });
   const { documents, unreadable } = createDocuments(records, current);
   return { head, headText, tree, documents, changed, unreadable };
 }
 
-/** Drops the bodies that the changes replaced, and keeps the new ones. */
-function exchangeBodies(
+/**
+ * Removes the bodies that the changes replaced from the cache and adds the new ones.
+ */
+function replaceCachedBodies(
   before: SettingsTree,
   after: SettingsTree,
   options: {
@@ -98,7 +101,7 @@
   for (const { hash, body } of kept) bodies.keep(hash, body);
 }
 
-async function tryLoadWhole(
+async function tryLoadTree(
   head: SettingsHead,
   options: LoadOptions,
 ): Promise<SettingsSnapshot | undefined> {
@@ -110,7 +113,7 @@
   if (records === undefined) return undefined;
   const { documents, unreadable } = createDocuments(records, {
     documents: new Map(),
-    older: current?.documents,
+    fallback: current?.documents,
   });
   const changed = undefined;
   return { head, headText, tree, documents, changed, unreadable };
@@ -135,7 +138,7 @@
   return SettingsTree.fromPages(root, pages);
 }
 
-/** The records of paths, in their order; undefined when one cannot be had. */
+/** Reads the records of paths, in their order; undefined if one is unavailable. */
 async function tryReadRecords(
   paths: readonly string[],
   options: { readonly tree: SettingsTree; readonly bodies: BodyCache },
@@ -151,18 +154,21 @@
   return records;
 }
 
-interface DocumentsBefore {
-  /** Taken over and changed. */
+interface PreviousDocuments {
+  /** Reused and modified. */
   readonly documents: ReadonlyMap<string, SettingsDocument>;
-  /** Where the old document of an unreadable path is, if not there. */
-  readonly older?: ReadonlyMap<string, SettingsDocument>;
+  /** Documents that stay in force for unreadable paths, if not in `documents`. */
+  readonly fallback?: ReadonlyMap<string, SettingsDocument>;
   readonly unreadable?: readonly string[];
 }
 
-/** A document that this version cannot read leaves the old one in force. */
+/**
+ * Applies records to the documents. The previous document stays in force if this
+ * version cannot read the new one.
+ */
 function createDocuments(
   records: readonly SettingsRecord[],
-  before: DocumentsBefore,
+  before: PreviousDocuments,
 ): {
   readonly documents: ReadonlyMap<string, SettingsDocument>;
   readonly unreadable: readonly string[];
@@ -181,8 +187,8 @@
       continue;
     }
     unreadable.add(path);
-    const old = before.older?.get(path);
-    if (old !== undefined) documents.set(path, old);
+    const fallbackDocument = before.fallback?.get(path);
+    if (fallbackDocument !== undefined) documents.set(path, fallbackDocument);
   }
   return { documents, unreadable: [...unreadable] };
 }
@@ -192,10 +198,10 @@
   bodies: BodyCache,
 ): Promise<readonly (string | undefined)[]> {
   const texts: (string | undefined)[] = [];
-  for (let start = 0; start < hashes.length; start += BULK_READS) {
-    await bodies.prefetch(hashes.slice(start, start + BULK_READS));
+  for (let start = 0; start < hashes.length; start += BULK_READ_SIZE) {
+    await bodies.prefetch(hashes.slice(start, start + BULK_READ_SIZE));
     texts.push(
-      ...await readEach(hashes.slice(start, start + BULK_READS), bodies),
+      ...await readEach(hashes.slice(start, start + BULK_READ_SIZE), bodies),
     );
   }
   return texts;
@@ -206,9 +212,9 @@
   bodies: BodySource,
 ): Promise<readonly (string | undefined)[]> {
   const texts: (string | undefined)[] = [];
-  for (let start = 0; start < hashes.length; start += PARALLEL_READS) {
-    const part = hashes.slice(start, start + PARALLEL_READS);
-    texts.push(...await Promise.all(part.map((hash) => bodies.tryRead(hash))));
+  for (let start = 0; start < hashes.length; start += CONCURRENT_READS) {
+    const batch = hashes.slice(start, start + CONCURRENT_READS);
+    texts.push(...await Promise.all(batch.map((hash) => bodies.tryRead(hash))));
   }
   return texts;
 }
--- a/src/settings/peer_body_source.ts
+++ b/src/settings/peer_body_source.ts
@@ -1,6 +1,6 @@
 /**
- * Settings bodies from other lagoonwharf processes: when the key-value service
- * does not answer, and to spare it when a process starts.
+ * Reads settings bodies from other lagoonwharf processes: if the key-value service does
+ * not answer, and to reduce its load when a process starts.
  *
  * @module
  */
@@ -9,35 +9,37 @@
 import type { SettingsBodiesMessage } from "../messages/types.ts";
 import type { Link } from "../links/link.ts";
 
-/** Milliseconds that one peer is given to answer. */
-const ANSWER_LIMIT_MS = 2000;
-/** Peers that are asked for the same bodies, one after the other. */
-const PEERS_ASKED = 2;
+/** Milliseconds within which a peer must answer. */
+const ANSWER_TIMEOUT_MS = 2000;
+/**
+ * Maximum number of peers that are queried for the same bodies, one after the other.
+ */
+const MAX_BULK_PEERS = 2;
 
-interface Question {
+interface PendingQuery {
   readonly hashes: readonly string[];
   readonly resolve: (bodies: readonly string[]) => void;
   readonly timer: NodeJS.Timeout;
 }
 
-/** Asks connected processes for bodies. */
+/** Queries connected processes for bodies. */
 export class PeerBodySource extends BodySource {
   readonly #links = new Set<Link>();
-  readonly #questions = new Map<string, Question>();
+  readonly #pendingQueries = new Map<string, PendingQuery>();
 
-  /** Asks this process too from now on. */
+  /** Adds a connected process to query. */
   addLink(link: Link): void {
     this.#links.add(link);
   }
 
-  /** The connection was lost. */
+  /** Removes a process whose connection was lost. */
   removeLink(link: Link): void {
     this.#links.delete(link);
   }
 
   override async tryRead(hash: string): Promise<string | undefined> {
     for (const link of [...this.#links]) {
-      const bodies = await this.#ask(link, [hash]);
+      const bodies = await this.#query(link, [hash]);
       const body = bodies.find((one) => hashOf(one) === hash);
       if (body !== undefined) return body;
     }
@@ -47,41 +49,48 @@
   override async readMany(
     hashes: readonly string[],
   ): Promise<readonly string[]> {
-    for (const link of [...this.#links].slice(0, PEERS_ASKED)) {
-      const bodies = await this.#ask(link, hashes);
+    for (const link of [...this.#links].slice(0, MAX_BULK_PEERS)) {
+      const bodies = await this.#query(link, hashes);
       if (bodies.length > 0) return bodies;
     }
     return [];
   }
 
-  /** Takes in an answer. */
+  /** Handles the answer to a query. */
   receive(message: SettingsBodiesMessage): void {
-    this.#settle(message.asked, message.bodies);
+    this.#resolveQuery(message.asked, message.bodies);
   }
 
-  #ask(link: Link, hashes: readonly string[]): Promise<readonly string[]> {
+  #query(link: Link, hashes: readonly string[]): Promise<readonly string[]> {
     return new Promise((resolve) => {
       const timer = setTimeout(
-        () => this.#settle(hashes, []),
-        ANSWER_LIMIT_MS,
+        () => this.#resolveQuery(hashes, []),
+        ANSWER_TIMEOUT_MS,
       );
-      // Who asks the same in the meantime takes the place of who asked before.
-      this.#settle(hashes, []);
-      this.#questions.set(keyOf(hashes), { hashes, resolve, timer });
+      // A query for the same hashes replaces one that is still pending.
+      this.#resolveQuery(hashes, []);
+      this.#pendingQueries.set(createQueryKey(hashes), {
+        hashes,
+        resolve,
+        timer,
+      });
       link.send({ kind: "settings_fetch", hashes });
     });
   }
 
-  #settle(hashes: readonly string[], bodies: readonly string[]): void {
-    const question = this.#questions.get(keyOf(hashes));
-    if (question === undefined) return;
-    this.#questions.delete(keyOf(hashes));
-    clearTimeout(question.timer);
-    question.resolve(bodies);
+  #resolveQuery(hashes: readonly string[], bodies: readonly string[]): void {
+    const query = this.#pendingQueries.get(createQueryKey(hashes));
+    if (query === undefined) return;
+    this.#pendingQueries.delete(createQueryKey(hashes));
+    clearTimeout(query.timer);
+    query.resolve(bodies);
   }
 }
 
-/** Hashes say what they stand for, so two of them tell one list from another. */
-function keyOf(hashes: readonly string[]): string {
+/**
+ * Creates a key from the count and the first and last hash, which in practice identify
+ * a list of hashes.
+ */
+function createQueryKey(hashes: readonly string[]): string {
   return `${hashes.length} ${hashes[0]} ${hashes.at(-1)}`;
 }
--- a/src/settings/reachable.ts
+++ b/src/settings/reachable.ts
@@ -1,11 +1,11 @@
 /**
- * Which bodies a snapshot is made of.
+ * Finds the bodies that a snapshot consists of.
  *
  * @module
  */
 import type { SettingsSnapshot } from "./snapshot.ts";
 
-/** Hashes of the root, the pages and the records of a snapshot. */
+/** Returns the hashes of the root, the pages and the records of a snapshot. */
 export function reachableFrom(
   snapshot: SettingsSnapshot,
 ): ReadonlySet<string> {
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -1,5 +1,5 @@
 /**
- * Shapes, bounds and defaults of the settings documents.
+ * Schemas, bounds and defaults of the settings documents.
  *
  * @module
  */
@@ -25,13 +25,13 @@
 );
 
 const SHA_256 = z.string().regex(/^[0-9a-f]{64}$/, "Expected a SHA-256 in hex");
-const MOST_ATTEMPTS = 10;
+const MAX_ATTEMPTS = 10;
 const PRIORITY = z.union([
   z.number().int().min(0).max(LEAST_PRIORITY),
   z.enum(PRIORITY_NAMES).transform((name) => PRIORITIES_BY_NAME[name]),
 ]);
 
-/** Shape of an organisation's document. */
+/** Schema of an organisation's document. */
 export const ORGANISATION_SCHEMA = z.strictObject({
   kind: z.literal("organisation"),
   requestsPerSecond: z.number().positive().max(1_000_000).default(1000),
@@ -47,7 +47,7 @@
   weight: z.number().positive().max(1_000_000),
 });
 
-/** Shape of a service's document. */
+/** Schema of a service's document. */
 export const SERVICE_SCHEMA = z.strictObject({
   kind: z.literal("service"),
   pathPrefix: z.string().regex(/^\/[^?#\s]*$/, "Expected a URL path"),
@@ -55,8 +55,8 @@
   pool: NAME,
   split: z.array(POOL_SHARE_SCHEMA).min(1).optional(),
   callers: z.enum(["anyone", "access_key"]).default("anyone"),
-  mostAttempts: z.number().int().min(1).max(MOST_ATTEMPTS)
-    .default(MOST_ATTEMPTS),
+  mostAttempts: z.number().int().min(1).max(MAX_ATTEMPTS)
+    .default(MAX_ATTEMPTS),
   resumable: z.boolean().default(false),
   objectiveMs: z.number().int().min(1).max(3_600_000).optional(),
   pauseObjectiveMs: z.number().int().min(1).max(3_600_000).optional(),
@@ -73,33 +73,33 @@
     .default(86_400_000),
 });
 
-/** Shape of a team's document. */
+/** Schema of a team's document. */
 export const TEAM_SCHEMA = z.strictObject({
   kind: z.literal("team"),
   subtree: SUBTREE,
   tokenSha256: SHA_256,
 });
 
-/** Shape of a rank group's document. */
+/** Schema of a rank group's document. */
 export const GROUP_SCHEMA = z.strictObject({
   kind: z.literal("group"),
   preset: z.enum(["skew", "cost"]).default("skew"),
   intervalMs: z.number().int().min(1000).max(3_600_000).default(30_000),
 });
 
-/** Shape of what operators say of one target. */
+/** Schema of a target's document. */
 export const TARGET_SCHEMA = z.strictObject({
   kind: z.literal("target"),
   leaving: z.boolean().default(false),
 });
 
-/** Shape of what operators say of one failure domain. */
+/** Schema of a failure domain's document. */
 export const FAILURE_DOMAIN_SCHEMA = z.strictObject({
   kind: z.literal("failure_domain"),
   draining: z.boolean().default(false),
 });
 
-/** Shape of any document. */
+/** Schema of any document. */
 export const DOCUMENT_SCHEMA = z.discriminatedUnion("kind", [
   ORGANISATION_SCHEMA,
   SERVICE_SCHEMA,
--- a/src/settings/settings_exchange.ts
+++ b/src/settings/settings_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * The settings part of a connection between two of our processes: offers what
- * is in force, takes newer offers, and answers questions for bodies.
+ * Exchanges settings between lagoonwharf processes: offers the settings in force,
+ * requests newer ones, and answers queries for bodies.
  *
  * @module
  */
@@ -11,13 +11,19 @@
 import type { BodyCache } from "./body_source.ts";
 import type { SettingsKeeper } from "./settings_keeper.ts";
 
-/** Milliseconds that an offer waits for each connection: 600 in 30 s. */
-const OFFER_PAUSE_MS_PER_LINK = 50;
-/** Characters of bodies in one answer, well below the largest frame. */
-const MAX_ANSWER_LENGTH = 2_000_000;
+/**
+ * Milliseconds by which an offer is delayed for each connection; 600 connections take
+ * 30 s.
+ */
+const OFFER_DELAY_MS_PER_LINK = 50;
+/**
+ * Maximum number of characters of bodies in one message, well below the maximum frame
+ * size.
+ */
+const MAX_BODIES_LENGTH = 2_000_000;
 
-/** The parts that an exchange works with. */
-export interface SettingsExchangeParts {
+/** Options of a {@link SettingsExchange}. */
+export interface SettingsExchangeOptions {
   readonly keeper: SettingsKeeper;
   readonly bodies: BodyCache;
   readonly peers: PeerBodySource;
@@ -25,104 +31,108 @@
 
 /** Exchanges settings over all connections of a process. */
 export class SettingsExchange {
-  readonly #parts: SettingsExchangeParts;
+  readonly #options: SettingsExchangeOptions;
   readonly #links = new Set<Link | undefined>();
-  #isOfferPlanned = false;
-  #askedRevision = 0;
-  #askedLink: Link | undefined;
+  #isOfferScheduled = false;
+  #requestedRevision = 0;
+  #requestedLink: Link | undefined;
 
-  /** Begins without connections. */
-  constructor(parts: SettingsExchangeParts) {
-    this.#parts = parts;
+  /** Creates an exchange without connections. */
+  constructor(options: SettingsExchangeOptions) {
+    this.#options = options;
   }
 
-  /** A connection was opened: offers what is in force. */
+  /** Adds a new connection and offers the settings in force on it. */
   addLink(link: Link): void {
     this.#links.add(link);
-    this.#parts.peers.addLink(link);
+    this.#options.peers.addLink(link);
     this.#offerTo(link);
   }
 
-  /** A connection was lost. */
+  /** Removes a connection that was lost. */
   removeLink(link: Link): void {
     this.#links.delete(link);
-    this.#parts.peers.removeLink(link);
+    this.#options.peers.removeLink(link);
   }
 
   /**
-   * Offers what is in force on every connection, soon. The more connections
-   * there are, the more changes share one offer: peers keep settings for others,
-   * and who needs them now follows the key-value service.
+   * Schedules an offer of the settings in force on every connection. The delay grows
+   * with the number of connections, so that several changes share one offer. The delay
+   * is harmless: peers store settings for other processes, and a process that needs new
+   * settings immediately follows the key-value service.
    */
   offerToAll(): void {
-    if (this.#isOfferPlanned) return;
-    this.#isOfferPlanned = true;
-    const pause = this.#links.size * OFFER_PAUSE_MS_PER_LINK;
+    if (this.#isOfferScheduled) return;
+    this.#isOfferScheduled = true;
+    const delay = this.#links.size * OFFER_DELAY_MS_PER_LINK;
     setTimeout(() => {
-      this.#isOfferPlanned = false;
+      this.#isOfferScheduled = false;
       for (const link of this.#links) this.#offerTo(link);
-    }, pause).unref();
+    }, delay).unref();
   }
 
-  /** Takes in a message about settings. */
+  /** Handles a message about settings. */
   receive(link: Link, message: SettingsMessage): void {
     switch (message.kind) {
       case "settings_offer":
-        return this.#offered(link, message.revision);
+        return this.#onOffer(link, message.revision);
       case "settings_head_request":
         return this.#sendHead(link);
       case "settings_head":
-        return void this.#takeHead(link, message.head);
+        return void this.#onHead(link, message.head);
       case "settings_fetch":
-        return this.#answer(link, message.hashes);
+        return this.#sendBodies(link, message.hashes);
       case "settings_bodies":
-        return this.#parts.peers.receive(message);
+        return this.#options.peers.receive(message);
       default:
         assertNever(message);
     }
   }
 
-  /** Many peers offer the same; one of them is asked. */
-  #offered(link: Link, revision: number): void {
-    if (revision <= this.#parts.keeper.revision) return;
-    if (revision <= this.#askedRevision && this.#links.has(this.#askedLink)) {
+  /** Requests the head from one of the peers that offer the same revision. */
+  #onOffer(link: Link, revision: number): void {
+    if (revision <= this.#options.keeper.revision) return;
+    if (
+      revision <= this.#requestedRevision &&
+      this.#links.has(this.#requestedLink)
+    ) {
       return;
     }
-    this.#askedRevision = revision;
-    this.#askedLink = link;
+    this.#requestedRevision = revision;
+    this.#requestedLink = link;
     link.send({ kind: "settings_head_request" });
   }
 
-  async #takeHead(link: Link, head: string): Promise<void> {
-    const outcome = await this.#parts.keeper.offer(head);
-    // What could not be had from here may be had from the next who offers.
-    if (outcome.kind === "incomplete" && link === this.#askedLink) {
-      this.#askedRevision = 0;
+  async #onHead(link: Link, head: string): Promise<void> {
+    const outcome = await this.#options.keeper.offer(head);
+    // If bodies were unavailable, the next peer that offers the revision is queried.
+    if (outcome.kind === "incomplete" && link === this.#requestedLink) {
+      this.#requestedRevision = 0;
     }
   }
 
   #sendHead(link: Link): void {
-    const snapshot = this.#parts.keeper.snapshot;
+    const snapshot = this.#options.keeper.snapshot;
     if (snapshot === undefined) return;
     link.send({ kind: "settings_head", head: snapshot.headText });
   }
 
-  #answer(link: Link, hashes: readonly string[]): void {
+  #sendBodies(link: Link, hashes: readonly string[]): void {
     const bodies: string[] = [];
     let length = 0;
     for (const hash of hashes) {
-      const body = this.#parts.bodies.tryHeld(hash);
+      const body = this.#options.bodies.tryHeld(hash);
       if (body === undefined) continue;
       length += body.length;
-      // What does not fit is asked for again, one by one.
-      if (length > MAX_ANSWER_LENGTH && bodies.length > 0) break;
+      // The peer queries bodies that do not fit again, one by one.
+      if (length > MAX_BODIES_LENGTH && bodies.length > 0) break;
       bodies.push(body);
     }
     link.send({ kind: "settings_bodies", asked: hashes, bodies });
   }
 
   #offerTo(link: Link | undefined): void {
-    const snapshot = this.#parts.keeper.snapshot;
+    const snapshot = this.#options.keeper.snapshot;
     if (snapshot === undefined || link === undefined) return;
     link.send({
       kind: "settings_offer",
--- a/src/settings/settings_keeper.ts
+++ b/src/settings/settings_keeper.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the settings in force, and never goes back.
+ * Holds the settings in force, which are only replaced by newer ones.
  *
  * @module
  */
@@ -8,71 +8,71 @@
 import { tryParseHead } from "./tree.ts";
 import type { SettingsSnapshot } from "./snapshot.ts";
 
-/** Called when new settings are in force. */
+/** Receives new settings that are in force. */
 export interface SnapshotListener {
   onSnapshot(snapshot: SettingsSnapshot): void;
 }
 
-/** The offer was newer and is in force now. */
+/** The offer was newer and was put in force. */
 export interface OfferTaken {
   readonly kind: "taken";
 }
 
-/** The offer is in force already. */
+/** The offer was already in force. */
 export interface OfferKnown {
   readonly kind: "known";
 }
 
-/** The offer is older than what is in force, and was ignored. */
+/** The offer was older than the settings in force and was ignored. */
 export interface OfferOlder {
   readonly kind: "older";
   readonly revision: number;
 }
 
-/** The offer could not be read, or a body of it could not be had. */
+/** The offer could not be read, or one of its bodies was unavailable. */
 export interface OfferIncomplete {
   readonly kind: "incomplete";
 }
 
-/** What became of an offered head. */
+/** Outcome of an offered head. */
 export type OfferOutcome =
   | OfferTaken
   | OfferKnown
   | OfferOlder
   | OfferIncomplete;
 
-/** Keeps the settings in force. */
+/** Holds the settings in force. */
 export class SettingsKeeper {
   readonly #bodies: BodyCache;
   readonly #listener: SnapshotListener;
   #snapshot: SettingsSnapshot | undefined;
   #olderOffers = 0;
-  #turn: Promise<unknown> = Promise.resolve();
+  #lastOffer: Promise<unknown> = Promise.resolve();
 
-  /** Begins without settings. */
+  /** Creates a keeper without settings. */
   constructor(bodies: BodyCache, listener: SnapshotListener) {
     this.#bodies = bodies;
     this.#listener = listener;
   }
 
-  /** The settings in force; undefined before the first. */
+  /** The settings in force; undefined until the first are loaded. */
   get snapshot(): SettingsSnapshot | undefined {
     return this.#snapshot;
   }
 
-  /** Revision in force; 0 before the first. */
+  /** Revision in force; 0 until the first settings are loaded. */
   get revision(): number {
     return this.#snapshot?.head.revision ?? 0;
   }
 
-  /** Offers that were older than what was in force. */
+  /** Number of offers that were older than the settings in force. */
   get olderOffers(): number {
     return this.#olderOffers;
   }
 
   /**
-   * Puts an offered head in force if it is newer and whole. Offers are taken
-   * in turn.
+   * Puts an offered head in force if it is newer and complete. Offers are processed one
+   * after the other.
    *
    * @example
    * ```ts
@@ -80,12 +80,12 @@
    * ```
    */
   offer(headText: string): Promise<OfferOutcome> {
-    const outcome = this.#turn.then(() => this.#take(headText));
-    this.#turn = outcome.catch(() => undefined);
+    const outcome = this.#lastOffer.then(() => this.#apply(headText));
+    this.#lastOffer = outcome.catch(() => undefined);
     return outcome;
   }
 
-  async #take(headText: string): Promise<OfferOutcome> {
+  async #apply(headText: string): Promise<OfferOutcome> {
     if (headText === this.#snapshot?.headText) return { kind: "known" };
     const head = tryParseHead(headText);
     if (head === undefined) return { kind: "incomplete" };
--- a/src/settings/settings_restorer.ts
+++ b/src/settings/settings_restorer.ts
@@ -1,6 +1,6 @@
 /**
- * Puts accepted settings back into a key-value service that was restored to an
- * older state, so that what was accepted is not lost with it.
+ * Writes accepted settings back into a key-value service that was restored from an
+ * older copy, so that they are not lost.
  *
  * @module
  */
@@ -15,28 +15,31 @@
 import { reachableFrom } from "./reachable.ts";
 import type { SettingsSnapshot } from "./snapshot.ts";
 
-/** The service holds again what is in force here. */
+/** The settings in force were written back. */
 export interface RestoreDone {
   readonly kind: "restored";
 }
 
-/** The service is not behind, or moved meanwhile. */
+/** The service is not behind, or was changed meanwhile. */
 export interface RestoreNotNeeded {
   readonly kind: "not_needed";
 }
 
-/** The service accepted other changes since it went back: an operator decides. */
+/**
+ * The service has accepted other changes since its restore; an operator must resolve
+ * the conflict.
+ */
 export interface RestoreForked {
   readonly kind: "forked";
   readonly revision: number;
 }
 
-/** The service or a body could not be had. */
+/** The service or a body was unavailable. */
 export interface RestoreUnavailable {
   readonly kind: "unavailable";
 }
 
-/** What became of an attempt to put settings back. */
+/** Outcome of an attempt to write settings back. */
 export type RestoreOutcome =
   | RestoreDone
   | RestoreNotNeeded
@@ -45,20 +48,20 @@
 
 const MAX_HISTORY = 1000;
 
-/** Puts accepted settings back into the key-value service. */
+/** Writes accepted settings back into the key-value service. */
 export class SettingsRestorer {
   readonly #service: KeyValueService;
   readonly #bodies: BodyCache;
 
-  /** Writes to `service` what `bodies` holds. */
+  /** Creates a restorer that writes the bodies in `bodies` to `service`. */
   constructor(service: KeyValueService, bodies: BodyCache) {
     this.#service = service;
     this.#bodies = bodies;
   }
 
   /**
-   * Writes the snapshot's bodies and head, if the service's head is an older
-   * one of the same history. Never throws.
+   * Writes the snapshot's bodies and head if the service's head is older and belongs to
+   * the same history. Never throws.
    *
    * @example
    * ```ts
@@ -75,16 +78,22 @@
 
   async #restore(snapshot: SettingsSnapshot): Promise<RestoreOutcome> {
     const entry = await this.#service.tryRead(HEAD_KEY);
-    const theirs = entry === undefined ? undefined : tryParseHead(entry.value);
-    if (entry !== undefined && theirs === undefined) {
+    const storedHead = entry === undefined
+      ? undefined
+      : tryParseHead(entry.value);
+    if (entry !== undefined && storedHead === undefined) {
       return { kind: "unavailable" };
     }
-    if (theirs !== undefined && theirs.revision >= snapshot.head.revision) {
+    if (
+      storedHead !== undefined && storedHead.revision >= snapshot.head.revision
+    ) {
       return { kind: "not_needed" };
     }
-    const last = theirs?.recent[0];
-    if (last !== undefined && !await this.#isInHistory(last, snapshot)) {
-      return { kind: "forked", revision: last.revision };
+    const lastChange = storedHead?.recent[0];
+    if (
+      lastChange !== undefined && !await this.#isInHistory(lastChange, snapshot)
+    ) {
+      return { kind: "forked", revision: lastChange.revision };
     }
     await this.#writeBodies(snapshot);
     const swap = await this.#service.compareAndSwap(HEAD_KEY, {
@@ -112,7 +121,7 @@
   async #writeBodies(snapshot: SettingsSnapshot): Promise<void> {
     for (const hash of reachableFrom(snapshot)) {
       const value = await this.#bodies.tryRead(hash);
-      if (value === undefined) throw new Error(`Body ${hash} cannot be had`);
+      if (value === undefined) throw new Error(`Body ${hash} is not available`);
       const outcome = await this.#service.compareAndSwap(
         BODY_KEY_PREFIX + hash,
         { value, expectedRevision: 0 },
--- a/src/settings/settings_schedules_test.ts
+++ b/src/settings/settings_schedules_test.ts
@@ -18,7 +18,7 @@
 
 interface FaultRow {
   readonly name: string;
-  /** Shares of the calls, in percent. */
+  /** Percentage of calls that fail. */
   readonly refused: number;
   readonly lost: number;
 }
@@ -42,17 +42,19 @@
   return { writer: new SettingsWriter(service, bodies), bodies };
 }
 
-/** One operator makes several changes, each asked for again while unsettled. */
-async function operate(
+/**
+ * Makes several changes as one operator, and retries each while its outcome is unknown.
+ */
+async function runOperator(
   service: FakeKeyValueService,
   operator: number,
-  picks: readonly number[],
+  pathChoices: readonly number[],
 ): Promise<readonly Attempted[]> {
   const { writer } = createWriter(service);
   const attempted: Attempted[] = [];
-  for (const [number, pick] of picks.entries()) {
+  for (const [number, pathChoice] of pathChoices.entries()) {
     const changeId = `change-${operator}-${number}`;
-    const path = PATHS[pick % PATHS.length] as string;
+    const path = PATHS[pathChoice % PATHS.length] as string;
     const change = {
       path,
       text: `kind: organisation\nweight: ${1 + operator * 10 + number}\n`,
@@ -63,31 +65,31 @@
       lowestRevision: 0,
     };
     let outcome = await writer.write(change);
-    const isOpen = outcome.kind === "unsettled";
-    for (let again = 0; isOpen && again < 20; again++) {
+    const isUnsettled = outcome.kind === "unsettled";
+    for (let again = 0; isUnsettled && again < 20; again++) {
       outcome = await writer.write(change);
       if (outcome.kind === "accepted" || outcome.kind === "conflict") break;
-      // An open change stays open, whatever a later try could not reach.
-      outcome = { kind: "unsettled", cause: "Asked again in vain" };
+      // The outcome stays unknown, even if a later attempt could not reach the service.
+      outcome = { kind: "unsettled", cause: "All retries failed" };
     }
     attempted.push({ changeId, path, outcome });
   }
   return attempted;
 }
 
-/** Every accepted change, in the order of the revisions. */
-function historyOf(service: FakeKeyValueService) {
+/** Reads all accepted changes by revision. */
+function readHistory(service: FakeKeyValueService) {
   const byRevision = new Map<number, string>();
   const text = service.tryPeek(HEAD_KEY)?.value;
   const head = text === undefined ? undefined : tryParseHead(text);
-  const open = (head?.recent ?? []).map((change) => change.record);
-  while (open.length > 0) {
-    const hash = open.pop() as string;
+  const pendingRecords = (head?.recent ?? []).map((change) => change.record);
+  while (pendingRecords.length > 0) {
+    const hash = pendingRecords.pop() as string;
     const body = service.tryPeek(`lagoonwharf/settings/body/${hash}`)?.value;
     const record = tryParseRecord(body ?? "");
     assert.ok(record !== undefined, "A record of the head is missing");
     byRevision.set(record.revision, record.changeId);
-    if (record.previous !== null) open.push(record.previous);
+    if (record.previous !== null) pendingRecords.push(record.previous);
   }
   return { head, byRevision };
 }
@@ -104,7 +106,7 @@
 
 describe("settings under races and faults of the key-value service", () => {
   for (const row of FAULT_ROWS) {
-    it(`keeps what it accepted and nothing else: ${row.name}`, async () => {
+    it(`contain exactly the accepted changes: ${row.name}`, async () => {
       let accepted = 0;
       let conflicts = 0;
       await fc.assert(
@@ -120,7 +122,7 @@
             const operators = Array.from(
               { length: OPERATORS },
               (_, index) =>
-                operate(
+                runOperator(
                   service,
                   index,
                   picks.slice(index * CHANGES, (index + 1) * CHANGES),
@@ -135,12 +137,15 @@
         ),
         { seed: SEED, numRuns: RUNS, includeErrorInReport: true },
       );
-      assert.ok(accepted > RUNS, "Too few changes for the row to mean much");
-      assert.ok(conflicts > 0, "Expected operators to meet");
+      assert.ok(
+        accepted > RUNS,
+        "Too few accepted changes for a meaningful test",
+      );
+      assert.ok(conflicts > 0, "Expected conflicts between operators");
     });
   }
 
-  it("never puts an older head in force, whatever the order of offers", async () => {
+  it("are never replaced by an older head, in any order of offers", async () => {
     const service = new FakeKeyValueService();
     const { writer } = createWriter(service);
     const heads: string[] = [];
@@ -162,12 +167,16 @@
         async (order) => {
           const bodies = new BodyCache();
           bodies.addSource(new KeyValueBodySource(service));
-          const seen: number[] = [];
+          const appliedRevisions: number[] = [];
           const keeper = new SettingsKeeper(bodies, {
-            onSnapshot: (snapshot) => seen.push(snapshot.head.revision),
+            onSnapshot: (snapshot) =>
+              appliedRevisions.push(snapshot.head.revision),
           });
           for (const index of order) await keeper.offer(heads[index] as string);
-          assert.deepEqual(seen, [...seen].sort((a, b) => a - b));
+          assert.deepEqual(
+            appliedRevisions,
+            [...appliedRevisions].sort((a, b) => a - b),
+          );
           assert.equal(
             keeper.revision,
             Math.max(0, ...order.map((n) => n + 1)),
@@ -183,21 +192,21 @@
   service: FakeKeyValueService,
   attempted: readonly Attempted[],
 ): void {
-  const { head, byRevision } = historyOf(service);
+  const { head, byRevision } = readHistory(service);
   const changeIds = [...byRevision.values()];
   assert.equal(
     new Set(changeIds).size,
     changeIds.length,
-    "A change counts twice",
+    "A change was accepted twice",
   );
   assert.equal(byRevision.size, head?.revision ?? 0, "A change was lost");
   for (const { changeId, outcome } of attempted) {
     const isKept = changeIds.includes(changeId);
     if (outcome.kind === "accepted") {
-      assert.ok(isKept, `${changeId} was accepted and is lost`);
+      assert.ok(isKept, `${changeId} was accepted but lost`);
       assert.equal(byRevision.get(outcome.revision), changeId);
     } else if (outcome.kind !== "unsettled") {
-      assert.ok(!isKept, `${changeId} was refused and is kept`);
+      assert.ok(!isKept, `${changeId} was rejected but stored`);
     }
   }
 }
--- a/src/settings/settings_tree.ts
+++ b/src/settings/settings_tree.ts
@@ -1,10 +1,10 @@
 /**
- * The tree of hashes as a value: which record each path has. Whoever knows the
- * records knows every page and the root, byte for byte.
+ * The settings tree as an immutable value, which maps each path to its record. The
+ * records determine every page and the root, byte for byte.
  *
  * @module
  */
-import { hashOf, pageOf } from "./tree.ts";
+import { getPageName, hashOf } from "./tree.ts";
 import type { SettingsPage, SettingsRoot } from "./types.ts";
 
 type Hashes = Readonly<Record<string, string>>;
@@ -15,7 +15,7 @@
   readonly body: string;
 }
 
-/** Which record each path has. Never changed; `with` gives another tree. */
+/** Maps each path to the hash of its record. Immutable; `with` returns a new tree. */
 export class SettingsTree {
   /** A tree without paths. */
   static readonly EMPTY: SettingsTree = new SettingsTree({}, new Map());
@@ -31,7 +31,7 @@
     this.#pages = pages;
   }
 
-  /** Puts a tree together from a root and all its pages. */
+  /** Creates a tree from a root and its pages. */
   static fromPages(
     root: SettingsRoot,
     pages: ReadonlyMap<string, SettingsPage>,
@@ -42,40 +42,42 @@
     return new SettingsTree(root.pages, new Map(records));
   }
 
-  /** Paths in the tree. */
+  /** Number of paths in the tree. */
   get size(): number {
     let size = 0;
     for (const page of this.#pages.values()) size += Object.keys(page).length;
     return size;
   }
 
-  /** Hash of the record of a path. */
+  /** Returns the hash of the record of a path. */
   tryGet(path: string): string | undefined {
-    return this.#pages.get(pageOf(path))?.[path];
+    return this.#pages.get(getPageName(path))?.[path];
   }
 
-  /** Every path and the hash of its record. */
+  /** Iterates over all paths and the hashes of their records. */
   *entries(): IterableIterator<readonly [path: string, record: string]> {
     for (const page of this.#pages.values()) yield* Object.entries(page);
   }
 
-  /** Hash of the body of each page, by page. */
+  /** Hashes of the pages' bodies, by page name. */
   get pageHashes(): Hashes {
     return this.#pageHashes;
   }
 
-  /** The root's body. */
+  /** Creates the body of the root. */
   createRoot(): HashedBody {
-    return hashed({ pages: this.#pageHashes });
+    return createHashedBody({ pages: this.#pageHashes });
   }
 
-  /** The body of the page that lists a path. */
+  /** Creates the body of the page that contains a path. */
   createPageOf(path: string): HashedBody {
-    return hashed({ records: this.#pages.get(pageOf(path)) ?? {} });
+    return createHashedBody({
+      records: this.#pages.get(getPageName(path)) ?? {},
+    });
   }
 
   /**
-   * The tree in which a path has another record.
+   * Returns a tree in which a path has another record.
    *
    * @example
    * ```ts
@@ -83,9 +85,9 @@
    * ```
    */
   with(path: string, record: string): SettingsTree {
-    const name = pageOf(path);
+    const name = getPageName(path);
     const page = sortKeys({ ...this.#pages.get(name), [path]: record });
-    const { hash } = hashed({ records: page });
+    const { hash } = createHashedBody({ records: page });
     return new SettingsTree(
       sortKeys({ ...this.#pageHashes, [name]: hash }),
       new Map(this.#pages).set(name, page),
@@ -93,12 +95,15 @@
   }
 }
 
-function hashed(value: object): HashedBody {
+function createHashedBody(value: object): HashedBody {
   const body = JSON.stringify(value);
   return { hash: hashOf(body), body };
 }
 
-/** Order must not depend on history, or equal trees would differ in hash. */
+/**
+ * Sorts by key, so that equal trees have equal hashes regardless of the order of their
+ * changes.
+ */
 function sortKeys(hashes: Hashes): Hashes {
   const entries = Object.entries(hashes);
   return Object.fromEntries(
--- a/src/settings/settings_watcher.ts
+++ b/src/settings/settings_watcher.ts
@@ -1,5 +1,5 @@
 /**
- * Follows the settings head in the key-value service, through outages.
+ * Follows the settings head in the key-value service, also after outages.
  *
  * @module
  */
@@ -8,19 +8,19 @@
 import type { OfferOutcome, SettingsKeeper } from "./settings_keeper.ts";
 import { HEAD_KEY } from "./tree.ts";
 
-/** Pause after a call that failed, in milliseconds. */
-const RETRY_PAUSE_MS = 500;
+/** Milliseconds after a failed call before the next one. */
+const RETRY_DELAY_MS = 500;
 /**
- * Pause between two watches, so that a burst of changes costs one read: the
- * changes of a whole day may reach hundreds of entries each.
+ * Milliseconds between two watches, so that a burst of changes costs one read. Each
+ * change reaches every entry, of which there may be hundreds.
  */
-const COALESCE_PAUSE_MS = 200;
+const COALESCE_DELAY_MS = 200;
 
-/** What the owner of a watcher wants to hear. */
+/** Receives events of a watcher. */
 export interface SettingsWatcherListener {
-  /** The service's head is older than what is in force. */
+  /** The service's head is older than the settings in force. */
   onBehind(revision: number): void;
-  /** The service answers, or has stopped answering. */
+  /** The service became reachable or unreachable. */
   onReachable(isReachable: boolean): void;
 }
 
@@ -29,11 +29,11 @@
   readonly #service: KeyValueService;
   readonly #keeper: SettingsKeeper;
   readonly #listener: SettingsWatcherListener;
-  #round = new AbortController();
+  #watchController = new AbortController();
   #isStopped = false;
   #keyRevision = 0;
 
-  /** Starts following at once. */
+  /** Starts to follow the head immediately. */
   constructor(
     service: KeyValueService,
     keeper: SettingsKeeper,
@@ -45,16 +45,16 @@
     void this.#follow();
   }
 
-  /** Follows no more. */
+  /** Stops following. */
   stop(): void {
     this.#isStopped = true;
-    this.#round.abort();
+    this.#watchController.abort();
   }
 
-  /** Breaks off a watch that may be stale, and reads the head now. */
+  /** Cancels the current watch, which may be stale, and reads the head. */
   async refresh(): Promise<void> {
-    this.#round.abort();
-    this.#round = new AbortController();
+    this.#watchController.abort();
+    this.#watchController = new AbortController();
     await this.#readOnce();
   }
 
@@ -62,8 +62,8 @@
     await this.#readOnce();
     while (!this.#isStopped) {
       const isAnswered = await this.#watchOnce();
-      const pause = isAnswered ? COALESCE_PAUSE_MS : RETRY_PAUSE_MS;
-      if (!this.#isStopped) await sleep(pause, undefined, { ref: false });
+      const delay = isAnswered ? COALESCE_DELAY_MS : RETRY_DELAY_MS;
+      if (!this.#isStopped) await sleep(delay, undefined, { ref: false });
     }
   }
 
@@ -71,29 +71,29 @@
     try {
       const entry = await this.#service.tryRead(HEAD_KEY);
       this.#listener.onReachable(true);
-      await this.#take(entry);
+      await this.#applyHead(entry);
     } catch {
       this.#listener.onReachable(false);
     }
   }
 
   async #watchOnce(): Promise<boolean> {
-    const { signal } = this.#round;
+    const { signal } = this.#watchController;
     try {
       const entry = await this.#service.watch(HEAD_KEY, {
         knownRevision: this.#keyRevision,
         signal,
       });
       this.#listener.onReachable(true);
-      return await this.#take(entry);
+      return await this.#applyHead(entry);
     } catch {
       if (!signal.aborted) this.#listener.onReachable(false);
       return false;
     }
   }
 
-  /** False when the head must be read again soon. */
-  async #take(
+  /** Offers a head to the keeper; false if it must be read again after a delay. */
+  async #applyHead(
     entry: { readonly value: string; readonly revision: number } | undefined,
   ): Promise<boolean> {
     if (entry === undefined) {
--- a/src/settings/settings_writer.ts
+++ b/src/settings/settings_writer.ts
@@ -1,6 +1,6 @@
 /**
- * Accepts changes: writes the bodies, then moves the head by compare-and-swap.
- * That one swap is what "accepted" means.
+ * Accepts changes: writes the bodies, then replaces the head by compare-and-swap. A
+ * change is accepted if and only if this swap succeeds.
  *
  * @module
  */
@@ -8,9 +8,9 @@
 import type { BodyCache } from "./body_source.ts";
 import {
   BODY_KEY_PREFIX,
+  getPageName,
   hashOf,
   HEAD_KEY,
-  pageOf,
   RECENT_CHANGES,
   tryParseHead,
   tryParsePage,
@@ -20,29 +20,34 @@
 import { type HashedBody, SettingsTree } from "./settings_tree.ts";
 import type { SettingsHead, SettingsRecord } from "./types.ts";
 
-/** Swaps that lost against changes of other paths before we give up. */
+/**
+ * Maximum number of attempts, as a swap fails if another path was changed meanwhile.
+ */
 const MAX_ATTEMPTS = 12;
 
-/** Records of a path that are searched for a change whose reply was lost. */
+/**
+ * Maximum number of records of a path that are searched for a change whose reply was
+ * lost.
+ */
 const MAX_HISTORY = 16;
 
-/** A change that somebody asks for. */
+/** A requested change. */
 export interface ChangeRequest {
   readonly path: string;
   /** The YAML text, or null to remove the path. */
   readonly text: string | null;
-  /** Makes asking again idempotent. */
+  /** Identifies the change, which makes retries idempotent. */
   readonly changeId: string;
-  /** Record that the change was made from; undefined: the one in force. */
+  /** Record that the change is based on; undefined: the one in force. */
   readonly baseRecord: string | null | undefined;
   readonly author: string;
   /** Wall-clock time, RFC 3339. */
   readonly at: string;
-  /** Revision below which the service's head must not be built on. */
+  /** Minimum revision of the service's head that the change may be based on. */
   readonly lowestRevision: number;
 }
 
-/** The change is accepted and will be in force everywhere. */
+/** The change was accepted and will be in force everywhere. */
 export interface ChangeAccepted {
   readonly kind: "accepted";
   readonly revision: number;
@@ -50,31 +55,31 @@
   readonly headText: string;
 }
 
-/** Somebody else changed the path; nothing was accepted. */
+/** Another change of the path was accepted; this one was not. */
 export interface ChangeConflict {
   readonly kind: "conflict";
   readonly theirs: SettingsRecord | undefined;
 }
 
-/** The service could not be reached before the swap; nothing was accepted. */
+/** The service was unreachable before the swap; the change was not accepted. */
 export interface ChangeUnavailable {
   readonly kind: "unavailable";
   readonly cause: string;
 }
 
-/** The swap's reply was lost and could not be settled: ask again. */
+/** The swap's reply was lost and its outcome is unknown; the change must be retried. */
 export interface ChangeUnsettled {
   readonly kind: "unsettled";
   readonly cause: string;
 }
 
-/** The service's head is older than the one in force here. */
+/** The service's head is older than the one in force in this process. */
 export interface ChangeBehind {
   readonly kind: "behind";
   readonly revision: number;
 }
 
-/** What became of a change. */
+/** Outcome of a change. */
 export type ChangeOutcome =
   | ChangeAccepted
   | ChangeConflict
@@ -96,11 +101,11 @@
 }
 
 interface WriteProgress {
-  /** Whether a swap's reply was lost. */
+  /** Whether the reply of a swap was lost. */
   mayHaveSwapped: boolean;
 }
 
-class StopWriting extends Error {
+class WriteAborted extends Error {
   readonly outcome: ChangeOutcome;
 
   constructor(outcome: ChangeOutcome) {
@@ -114,14 +119,14 @@
   readonly #service: KeyValueService;
   readonly #bodies: BodyCache;
 
-  /** Writes to `service`; bodies that are read are kept in `bodies`. */
+  /** Creates a writer to `service` that caches the bodies that it reads in `bodies`. */
   constructor(service: KeyValueService, bodies: BodyCache) {
     this.#service = service;
     this.#bodies = bodies;
   }
 
   /**
-   * Tries to have a change accepted. Never throws.
+   * Tries to write a change. Never throws.
    *
    * @example
    * ```ts
@@ -134,8 +139,8 @@
     try {
       return await this.#writeUntilSettled(change, progress);
     } catch (error) {
-      if (error instanceof StopWriting) return error.outcome;
-      // Whatever failed after an open swap leaves the swap open.
+      if (error instanceof WriteAborted) return error.outcome;
+      // If the reply of a swap was lost, a later failure leaves its outcome unknown.
       const kind = progress.mayHaveSwapped ? "unsettled" : "unavailable";
       return { kind, cause: String(error) };
     }
@@ -149,17 +154,19 @@
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const entry = await this.#readHead(change);
       const tree = await this.#readTree(entry, change.path);
-      const held = tree.tryGet(change.path);
-      const done = await this.#tryFindChange(change, entry, held);
+      const currentRecord = tree.tryGet(change.path);
+      const done = await this.#tryFindChange(change, entry, currentRecord);
       if (done !== undefined) return done;
-      if (base === undefined) base = held ?? null;
-      if (base !== (held ?? null)) return await this.#conflict(held);
+      if (base === undefined) base = currentRecord ?? null;
+      if (base !== (currentRecord ?? null)) {
+        return await this.#conflict(currentRecord);
+      }
       const proposal = await this.#propose(change, entry, tree);
       const swap = await this.#service.compareAndSwap(HEAD_KEY, {
         value: proposal.headText,
         expectedRevision: entry.keyRevision,
       });
-      if (swap.kind === "swapped") return accept(proposal);
+      if (swap.kind === "swapped") return createAccepted(proposal);
       if (swap.kind === "unknown") progress.mayHaveSwapped = true;
     }
     throw new Error("Too many other changes at the same time");
@@ -169,7 +176,7 @@
     const entry = await this.#readAnyHead();
     const revision = entry.head?.revision ?? 0;
     if (revision < change.lowestRevision) {
-      throw new StopWriting({ kind: "behind", revision });
+      throw new WriteAborted({ kind: "behind", revision });
     }
     return entry;
   }
@@ -184,7 +191,9 @@
     return { head, headText: entry.value, keyRevision: entry.revision };
   }
 
-  /** Whether an earlier try, whose reply was lost, had taken effect. */
+  /**
+   * Returns the result of an earlier attempt whose reply was lost, if it took effect.
+   */
   async #tryFindChange(
     change: ChangeRequest,
     entry: HeadEntry,
@@ -248,12 +257,15 @@
     return root.hash;
   }
 
-  /** The tree as far as one path needs it: its page, and all page hashes. */
+  /**
+   * Reads the part of the tree that a change of one path needs: its page and all page
+   * hashes.
+   */
   async #readTree(entry: HeadEntry, path: string): Promise<SettingsTree> {
     if (entry.head === undefined) return SettingsTree.EMPTY;
     const root = tryParseRoot(await this.#getBody(entry.head.root));
     if (root === undefined) throw new Error("The settings root is malformed");
-    const name = pageOf(path);
+    const name = getPageName(path);
     const hash = root.pages[name];
     if (hash === undefined) return SettingsTree.fromPages(root, new Map());
     const page = tryParsePage(await this.#getBody(hash));
@@ -269,7 +281,7 @@
 
   async #getBody(hash: string): Promise<string> {
     const body = await this.#bodies.tryRead(hash);
-    if (body === undefined) throw new Error(`Body ${hash} cannot be had`);
+    if (body === undefined) throw new Error(`Body ${hash} is not available`);
     return body;
   }
 
@@ -280,9 +292,12 @@
     return hash;
   }
 
-  /** Bodies never change, so a conflict means that it is already there. */
+  /**
+   * Writes a body. Bodies are immutable, so a conflict means that it was written
+   * before.
+   */
   async #writeHashed({ hash, body }: HashedBody): Promise<void> {
-    // Written even when held here: the service may have lost it in a restore.
+    // Cached bodies are written, too, as the service may have lost them in a restore.
     const outcome = await this.#service.compareAndSwap(BODY_KEY_PREFIX + hash, {
       value: body,
       expectedRevision: 0,
@@ -292,7 +307,7 @@
   }
 }
 
-function accept(proposal: Proposal): ChangeAccepted {
+function createAccepted(proposal: Proposal): ChangeAccepted {
   return {
     kind: "accepted",
     revision: proposal.head.revision,
--- a/src/settings/snapshot.ts
+++ b/src/settings/snapshot.ts
@@ -1,5 +1,5 @@
 /**
- * All settings at one revision, as a process has them in force.
+ * All settings at one revision, as they are in force in a process.
  *
  * @module
  */
@@ -10,17 +10,23 @@
 /** All settings at one revision, read and checked. */
 export interface SettingsSnapshot {
   readonly head: SettingsHead;
-  /** The head value as it was read. */
+  /** The text of the head as it was read. */
   readonly headText: string;
-  /** Which record each path has. */
+  /** The record of each path. */
   readonly tree: SettingsTree;
   /**
-   * Documents by path; removed ones are not there. A snapshot that follows
-   * another takes over its map: only the newest snapshot's may be read.
+   * Documents by path, without removed ones. A later snapshot reuses and modifies this
+   * map, so it may only be read from the latest snapshot.
    */
   readonly documents: ReadonlyMap<string, SettingsDocument>;
-  /** Paths that changed since the one before; undefined: any may have. */
+  /**
+   * Paths that changed since the previous snapshot; undefined: any path may have
+   * changed.
+   */
   readonly changed: readonly string[] | undefined;
-  /** Paths whose document this version cannot read; an older one is in force. */
+  /**
+   * Paths whose document this version cannot read; the previous document stays in
+   * force.
+   */
   readonly unreadable: readonly string[];
 }
--- a/src/settings/tree.ts
+++ b/src/settings/tree.ts
@@ -1,6 +1,6 @@
 /**
- * The tree of hashes: head, root, pages, records. Bodies are written under
- * their hash and never changed; only the head moves.
+ * The stored settings tree, a hash tree: head, root, pages and records. Bodies are
+ * stored under their hash and are immutable; only the head is replaced.
  *
  * @module
  */
@@ -19,7 +19,10 @@
 /** Prefix of the keys of bodies. */
 export const BODY_KEY_PREFIX = "lagoonwharf/settings/body/";
 
-/** Changes that the head lists, so that a follower need not read the tree. */
+/**
+ * Number of recent changes in the head, with which followers can update without reading
+ * the tree.
+ */
 export const RECENT_CHANGES = 16;
 
 const HASH = z.string().regex(/^[0-9a-f]{64}$/);
@@ -50,32 +53,35 @@
   previous: HASH.nullable(),
 });
 
-/** SHA-256 of a text, in hexadecimal. */
+/** Returns the SHA-256 of a text in hexadecimal. */
 export function hashOf(text: string): string {
   return createHash("sha256").update(text).digest("hex");
 }
 
-/** The page that lists a path: 256 pages, by the first byte of its hash. */
-export function pageOf(path: string): string {
+/**
+ * Returns the name of the page that contains a path: one of 256, by the first byte of
+ * the path's hash.
+ */
+export function getPageName(path: string): string {
   return hashOf(path).slice(0, 2);
 }
 
-/** Reads a head; undefined when this version cannot read it. */
+/** Parses a head; undefined if this version cannot read it. */
 export function tryParseHead(text: string): SettingsHead | undefined {
   return tryParse(HEAD_SCHEMA, text);
 }
 
-/** Reads a root; undefined when it is malformed. */
+/** Parses a root; undefined if it is malformed. */
 export function tryParseRoot(text: string): SettingsRoot | undefined {
   return tryParse(ROOT_SCHEMA, text);
 }
 
-/** Reads a page; undefined when it is malformed. */
+/** Parses a page; undefined if it is malformed. */
 export function tryParsePage(text: string): SettingsPage | undefined {
   return tryParse(PAGE_SCHEMA, text);
 }
 
-/** Reads a record; undefined when it is malformed. */
+/** Parses a record; undefined if it is malformed. */
 export function tryParseRecord(text: string): SettingsRecord | undefined {
   return tryParse(RECORD_SCHEMA, text);
 }
--- a/src/settings/types.ts
+++ b/src/settings/types.ts
@@ -1,13 +1,13 @@
 /**
- * The vocabulary of the tree of hashes in which settings are kept.
+ * Types of the hash tree in which settings are stored.
  *
  * @module
  */
 
-/** The value that says what is accepted; moved by compare-and-swap only. */
+/** The root reference of the accepted settings; replaced by compare-and-swap only. */
 export interface SettingsHead {
   readonly format: 1;
-  /** Grows by one with each accepted change. */
+  /** Increases by one with each accepted change. */
   readonly revision: number;
   /** Hash of the {@link SettingsRoot}. */
   readonly root: string;
@@ -15,7 +15,7 @@
   readonly recent: readonly RecentChange[];
 }
 
-/** One of the newest changes; enough to follow without reading the tree. */
+/** A recent change, with which followers can update without reading the tree. */
 export interface RecentChange {
   readonly revision: number;
   readonly path: string;
@@ -37,12 +37,12 @@
   readonly path: string;
   /** The YAML text, or null when the path was removed. */
   readonly text: string | null;
-  /** Chosen by whoever asked for the change; makes asking again idempotent. */
+  /** Identifier that the author's client chooses; makes retries idempotent. */
   readonly changeId: string;
   readonly revision: number;
   readonly author: string;
-  /** Wall-clock time of the entry, RFC 3339. */
+  /** Wall-clock time at the entry that wrote the change, RFC 3339. */
   readonly at: string;
-  /** Hash of the record of this path before this one. */
+  /** Hash of the previous record of this path. */
   readonly previous: string | null;
 }
