--- a/src/events/catalogue.ts
+++ b/src/events/catalogue.ts
@@ -395,7 +395,7 @@
     level: "warn",
     text:
       "A target asked for a backoff that is not a number of seconds; it is ignored",
-    action: "See `text`, and mend what sends it.",
+    action: "Correct the back end that sends the value shown in `text`.",
   },
   TARGET_SAYS_LEAVING: {
     code: 2815,
@@ -410,7 +410,7 @@
     level: "warn",
     text:
       "A target's announcement that it leaves cannot be read and is ignored",
-    action: "See `text`, and mend what sends it.",
+    action: "Correct the back end that sends the value shown in `text`.",
   },
   DOMAIN_UNREACHABLE: {
     code: 2861,
--- a/src/external/http_back_end.ts
+++ b/src/external/http_back_end.ts
@@ -231,7 +231,7 @@
       performance.now() - this.#startedAt >= this.#startTimeoutMs;
     this.#isWithheld = this.#options.mayBegin?.() === false;
     if (this.#isCancelled || isTooLate || this.#isWithheld) {
-      return controller.abort(new Error("The call is not begun any more"));
+      return controller.abort(new Error("The call may no longer be started"));
     }
     this.#controller = controller;
   }
--- a/src/external/virtual_machine_list.ts
+++ b/src/external/virtual_machine_list.ts
@@ -24,7 +24,7 @@
 /** The platform's list of virtual machines. */
 export abstract class VirtualMachineList {
   /**
-   * Reads the whole list.
+   * Reads the list.
    *
    * @throws {MachineListUnavailableError} when it does not answer
    */
--- a/src/process/platform_faults_test.ts
+++ b/src/process/platform_faults_test.ts
@@ -240,14 +240,14 @@
   });
 
   it("log that a port is in use", async () => {
-    const taken = await cluster.startEntry("entry-4", {
+    const failing = await cluster.startEntry("entry-4", {
       callerAddress: entry.address,
     });
     await waitUntil(
-      "it gives up",
-      () => taken.readLog().includes("START_FAILED"),
+      "the start fails",
+      () => failing.readLog().includes("START_FAILED"),
     );
-    assert.match(taken.readLog(), /EADDRINUSE/);
+    assert.match(failing.readLog(), /EADDRINUSE/);
   });
 });
 
--- a/src/settings/settings_schedules_test.ts
+++ b/src/settings/settings_schedules_test.ts
@@ -66,7 +66,7 @@
     };
     let outcome = await writer.write(change);
     const isUnsettled = outcome.kind === "unsettled";
-    for (let again = 0; isUnsettled && again < 20; again++) {
+    for (let retry = 0; isUnsettled && retry < 20; retry++) {
       outcome = await writer.write(change);
       if (outcome.kind === "accepted" || outcome.kind === "conflict") break;
       // The outcome stays unknown, even if a later attempt could not reach the service.
--- a/src/settings/settings_writer.ts
+++ b/src/settings/settings_writer.ts
@@ -197,9 +197,9 @@
   async #tryFindChange(
     change: ChangeRequest,
     entry: HeadEntry,
-    held: string | undefined,
+    currentRecord: string | undefined,
   ): Promise<ChangeAccepted | undefined> {
-    let hash: string | null = held ?? null;
+    let hash: string | null = currentRecord ?? null;
     for (let depth = 0; hash !== null && depth < MAX_HISTORY; depth++) {
       const record: SettingsRecord = await this.#getRecord(hash);
       if (record.changeId === change.changeId) {
@@ -216,8 +216,10 @@
     return undefined;
   }
 
-  async #conflict(held: string | undefined): Promise<ChangeConflict> {
-    const theirs = held === undefined ? undefined : await this.#getRecord(held);
+  async #conflict(currentRecord: string | undefined): Promise<ChangeConflict> {
+    const theirs = currentRecord === undefined
+      ? undefined
+      : await this.#getRecord(currentRecord);
     return { kind: "conflict", theirs };
   }
 
