--- a/src/events/catalogue.ts
+++ b/src/events/catalogue.ts
@@ -107,7 +107,7 @@
     text:
       "A service of the platform does not answer; its last known state stays in use",
     action:
-      "Restore the service. Requests are still served; changes of settings fail until then.",
+      "Restore the service. Requests are still served; changes take effect once it answers.",
   },
   PLATFORM_REACHED: {
     code: 2202,
--- a/src/process/metrics.ts
+++ b/src/process/metrics.ts
@@ -192,7 +192,7 @@
     this.#drainedDomains = count;
   }
 
-  /** Counts an accepted request. */
+  /** Counts a received request. */
   countRequest(): void {
     this.#requests.inc();
   }
