--- a/src/process/reload.ts
+++ b/src/process/reload.ts
@@ -1,25 +1,25 @@
 /**
- * SIGHUP: the file of process settings may have changed.
+ * Reloads the process settings on SIGHUP.
  *
  * @module
  */
 import type { Result } from "ts-results-es";
 import type { EventLog } from "../events/event_log.ts";
 import type { ProcessSettingsFinding } from "./process_settings.ts";
-import { takeReloadSignal } from "./reload_signal.ts";
+import { handleReloadSignal } from "./reload_signal.ts";
 
 /** Options of {@link reloadOnSignal}. */
 export interface ReloadOptions<T> {
   /** Reads and checks the file. */
   readonly read: () => Result<T, readonly ProcessSettingsFinding[]>;
-  /** Puts in force what can change while the process runs. */
+  /** Applies the settings that can change while the process runs. */
   readonly apply: (settings: T) => void;
   readonly log: EventLog;
 }
 
 /**
- * Reads the settings anew on each SIGHUP. A file with findings changes nothing,
- * and neither case touches a request in flight.
+ * Reloads the settings on each SIGHUP. A file with findings changes nothing. Requests
+ * in flight are not affected.
  *
  * @example
  * ```ts
@@ -28,7 +28,7 @@
  */
 export function reloadOnSignal<T>(options: ReloadOptions<T>): void {
   const { read, apply, log } = options;
-  takeReloadSignal(() => {
+  handleReloadSignal(() => {
     const settings = read();
     if (settings.isErr()) {
       const findings = settings.error
