--- a/bench/size_bench.ts
+++ b/bench/size_bench.ts
@@ -19,7 +19,7 @@
 import { BodyCache } from "../src/settings/body_source.ts";
 import { tryLoadSnapshot } from "../src/settings/load_snapshot.ts";
 import { SettingsTree } from "../src/settings/settings_tree.ts";
-import { hashOf, RECENT_CHANGES } from "../src/settings/tree.ts";
+import { hashText, RECENT_CHANGES } from "../src/settings/tree.ts";
 import type { SettingsHead } from "../src/settings/types.ts";
 import type { SettingsSnapshot } from "../src/settings/snapshot.ts";
 import { KeyLedger } from "../src/target/key_ledger.ts";
@@ -98,7 +98,7 @@
     for (const [path, text] of documents) {
       const body = createRecord(path, text, number + 1);
       bodies.push(body);
-      tree = tree.with(path, hashOf(body));
+      tree = tree.with(path, hashText(body));
     }
   }
   return { tree, bodies };
@@ -162,13 +162,13 @@
   bodies: readonly string[],
   cache: BodyCache,
 ): Promise<SettingsSnapshot> {
-  for (const body of bodies) cache.keep(hashOf(body), body);
+  for (const body of bodies) cache.tryAdd(hashText(body), body);
   const root = tree.createRoot();
-  cache.keep(root.hash, root.body);
+  cache.tryAdd(root.hash, root.body);
   for (const [path] of tree.entries()) {
-    const page = tree.createPageOf(path);
-    if (cache.tryHeld(page.hash) === undefined) {
-      cache.keep(page.hash, page.body);
+    const page = tree.createPage(path);
+    if (cache.tryGetCached(page.hash) === undefined) {
+      cache.tryAdd(page.hash, page.body);
     }
   }
   const headText = createHead(tree, 1, []);
@@ -189,8 +189,8 @@
   for (let number = 0; number < 41; number++) {
     const revision = current.head.revision + 1;
     const body = createRecord(path, "kind: organisation\n", revision);
-    const record = hashOf(body);
-    cache.keep(record, body);
+    const record = hashText(body);
+    cache.tryAdd(record, body);
     const tree = current.tree.with(path, record);
     const headText = createHead(tree, revision, [{ revision, path, record }]);
     const startedAt = performance.now();
@@ -423,7 +423,7 @@
   const recent = Array.from({ length: RECENT_CHANGES }, (_, index) => ({
     revision: index + 1,
     path: "/organisations/organisation-12345/services/plans",
-    record: hashOf(String(index)),
+    record: hashText(String(index)),
   }));
   const head = createHead(SettingsTree.EMPTY, 1, recent);
   const sizes: Readonly<Record<string, Message>> = {
--- a/src/commands/target_command.ts
+++ b/src/commands/target_command.ts
@@ -35,7 +35,7 @@
     incarnation: randomUUID(),
     backEnd: new HttpBackEnd({
       address: settings.backEndAddress,
-      connections: settings.concurrency,
+      maxConnections: settings.concurrency,
     }),
     rankEngine: settings.group === undefined
       ? undefined
--- a/src/core/event_loop.ts
+++ b/src/core/event_loop.ts
@@ -11,10 +11,10 @@
  *
  * @example
  * ```ts
- * await turnEventLoop();
+ * await waitForPendingReads();
  * ```
  */
-export async function turnEventLoop(): Promise<void> {
+export async function waitForPendingReads(): Promise<void> {
   await waitForImmediate();
   await waitForImmediate();
 }
--- a/src/core/idempotency_key.ts
+++ b/src/core/idempotency_key.ts
@@ -27,7 +27,7 @@
 }
 
 /** Returns a hash of fixed length that identifies a key within the deployment. */
-export function fingerprintOf(scope: KeyScope): string {
+export function getKeyFingerprint(scope: KeyScope): string {
   return createHash("sha256")
     .update(
       JSON.stringify([
@@ -42,7 +42,7 @@
 }
 
 /** Returns the slot that a fingerprint belongs to. */
-export function slotOf(fingerprint: string): number {
+export function getKeySlot(fingerprint: string): number {
   return Buffer.from(fingerprint, "base64").readUInt32BE(0) % SLOT_COUNT;
 }
 
@@ -57,7 +57,7 @@
  * Returns a hash of a request, by which the reuse of a key for another request is
  * detected.
  */
-export function requestHashOf(request: RequestIdentity): string {
+export function getRequestHash(request: RequestIdentity): string {
   return createHash("sha256")
     .update(`${request.method} ${request.path}\n`)
     .update(request.body)
@@ -70,10 +70,10 @@
  *
  * @example
  * ```ts
- * tryTimeOfKey("0190163d-8694-739b-aea5-966c26f8ad91"); // 1718438471316
+ * tryGetKeyTime("0190163d-8694-739b-aea5-966c26f8ad91"); // 1718438471316
  * ```
  */
-export function tryTimeOfKey(key: string): number | undefined {
+export function tryGetKeyTime(key: string): number | undefined {
   if (!VERSION_7_PATTERN.test(key)) return undefined;
   return Number.parseInt(key.slice(0, 8) + key.slice(9, 13), 16);
 }
--- a/src/direct/counted_store.ts
+++ b/src/direct/counted_store.ts
@@ -6,7 +6,7 @@
  */
 import type { EventLog } from "../events/event_log.ts";
 import {
-  type LeasedEntry,
+  type LeasedRegistration,
   type StoreCallKind,
   type StoreLease,
   type StoreListing,
@@ -53,7 +53,7 @@
     return this.#count("watch", this.#options.store.watch(options));
   }
 
-  override register(entry: LeasedEntry): Promise<StoreLease> {
+  override register(entry: LeasedRegistration): Promise<StoreLease> {
     return this.#count("register", this.#options.store.register(entry));
   }
 
@@ -65,8 +65,8 @@
     return this.#count("release", this.#options.store.release(lease));
   }
 
-  override onWentBack(listener: () => void): void {
-    this.#options.store.onWentBack(listener);
+  override onRestored(listener: () => void): void {
+    this.#options.store.onRestored(listener);
   }
 
   async #count<T>(kind: StoreCallKind, call: Promise<T>): Promise<T> {
--- a/src/direct/direct_entry_driver.ts
+++ b/src/direct/direct_entry_driver.ts
@@ -319,7 +319,7 @@
 
   #onSettings(settings: OperatorSettings): void {
     this.#peers.onStoreStateChanged();
-    this.#metrics.countWrongFields(settings.findings?.length ?? 0);
+    this.#metrics.countInvalidFields(settings.findings?.length ?? 0);
     const routes = new RoutingTable(settings.documents);
     this.#server.setIdleLimit(settings.idleLimitMs + IDLE_MARGIN_MS);
     this.#server.dispatch({
--- a/src/direct/direct_target.ts
+++ b/src/direct/direct_target.ts
@@ -26,7 +26,7 @@
   Header,
   SubmitMessage,
 } from "../messages/types.ts";
-import { getReasonOf } from "../external/back_end_failures.ts";
+import { getRefusalReason } from "../external/back_end_failures.ts";
 import type { BackEndNotice } from "../messages/back_end_notice.ts";
 
 /** Receives the messages about an attempt's progress and outcome. */
@@ -138,7 +138,7 @@
       onLoad: (load) => this.#load = load,
       onLostPeer: (id) => this.#lostPeer = id,
       onNotice: (notice) => this.#notice = notice,
-      onKept: (milliseconds) => this.#keptMs = milliseconds,
+      onConnectionReusable: (milliseconds) => this.#keptMs = milliseconds,
       onHead: (status, answerHeaders, framing) =>
         this.#onHead(status, answerHeaders, framing),
       onData: (bytes) => this.#onData(bytes),
@@ -196,7 +196,7 @@
     this.#emit({
       kind: "refused",
       ...this.#getAttemptName(),
-      reason: getReasonOf(failure),
+      reason: getRefusalReason(failure),
       keptMs: isNotRun(failure) ? this.#keptMs : 0,
       outcome: submission,
       submission,
--- a/src/direct/process_registry.ts
+++ b/src/direct/process_registry.ts
@@ -72,7 +72,7 @@
   constructor(options: ProcessRegistryOptions) {
     this.#options = options;
     this.#reachability = new Reachability("processes", options.log);
-    options.store.onWentBack(() => this.registerAgain());
+    options.store.onRestored(() => this.registerAgain());
     this.#watch = new StoreWatch({
       store: options.store,
       prefix: PREFIX,
--- a/src/direct/rank_driver.ts
+++ b/src/direct/rank_driver.ts
@@ -213,7 +213,7 @@
 
   async #pollAndSchedule(): Promise<void> {
     await this.#pollEngine();
-    this.#timer.plan(
+    this.#timer.schedule(
       () => void this.#pollAndSchedule(),
       this.#getPollIntervalMs(),
     );
--- a/src/entry/administration.ts
+++ b/src/entry/administration.ts
@@ -16,7 +16,7 @@
 } from "../diagnostics/render.ts";
 import type { Diagnostic } from "../diagnostics/types.ts";
 import type { Metrics } from "../process/metrics.ts";
-import { checkDocument, tryKindOfPath } from "../settings/check_document.ts";
+import { checkDocument, tryGetKindOfPath } from "../settings/check_document.ts";
 import { checkAgainstTree } from "../settings/check_tree.ts";
 import type { ChangeOutcome } from "../settings/settings_writer.ts";
 import type { SettingsDocument } from "../messages/settings_documents.ts";
@@ -122,7 +122,7 @@
     if (author === undefined) return refuse(context, 403, "FORBIDDEN");
     const change = CHANGE_SCHEMA.safeParse(await tryReadJson(context));
     if (!change.success) return refuse(context, 400, "MALFORMED_CHANGE");
-    if (tryKindOfPath(path) === undefined) {
+    if (tryGetKindOfPath(path) === undefined) {
       return refuse(context, 400, "NO_SETTINGS_PATH");
     }
     const { text } = change.data;
@@ -135,7 +135,7 @@
       baseRecord: change.data.baseRecord,
       author,
       at: new Date().toISOString(),
-      lowestRevision: settings.keeper.revision,
+      minRevision: settings.keeper.revision,
     });
     return respond(context, outcome);
   }
--- a/src/entry/admission_gate_test.ts
+++ b/src/entry/admission_gate_test.ts
@@ -22,7 +22,7 @@
   layers: 3,
   experts: 128,
   slotsPerRank: 8,
-  mostNewExperts: 2,
+  maxNewExperts: 2,
   loadMs: 300,
   pauseObjectiveMs: 150,
   stepMs: IDLE_PASS_MS / 7,
--- a/src/entry/backing_off_targets_test.ts
+++ b/src/entry/backing_off_targets_test.ts
@@ -7,7 +7,7 @@
 import assert from "node:assert/strict";
 import { Buffer } from "node:buffer";
 import { describe, it } from "node:test";
-import { fingerprintOf, slotOf } from "../core/idempotency_key.ts";
+import { getKeyFingerprint, getKeySlot } from "../core/idempotency_key.ts";
 import { RandomSource } from "../core/random_source.ts";
 import type { AttemptMessage, SubmitMessage } from "../messages/types.ts";
 import {
@@ -221,8 +221,8 @@
     const fixture = new BackoffFixture(["one"]);
     const idempotencyKey = "key";
     const service = "/organisations/andamaq/services/confirm";
-    const slot = slotOf(
-      fingerprintOf({ organisation: "andamaq", service, idempotencyKey }),
+    const slot = getKeySlot(
+      getKeyFingerprint({ organisation: "andamaq", service, idempotencyKey }),
     );
     fixture.reduce({
       kind: "message_received",
--- a/src/entry/caller_buffers.ts
+++ b/src/entry/caller_buffers.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { performance } from "node:perf_hooks";
-import { turnEventLoop } from "../core/event_loop.ts";
+import { waitForPendingReads } from "../core/event_loop.ts";
 import type { EventLog } from "../events/event_log.ts";
 import type { AnswerDataMessage } from "../messages/types.ts";
 import type { Metrics } from "../process/metrics.ts";
@@ -55,7 +55,7 @@
   constructor(options: CallerBuffersOptions) {
     this.#options = options;
     this.#held = new HeldBytes(options.limitBytes);
-    options.metrics.watchHeldBytes(this.#held);
+    options.metrics.addHeldBytesGauges(this.#held);
   }
 
   /** Tracks a caller until its answer is sent or its connection is closed. */
@@ -118,7 +118,7 @@
   }
 
   async #resumeAfterTurn(): Promise<void> {
-    await turnEventLoop();
+    await waitForPendingReads();
     const callers = [...this.#pausedForTurn];
     this.#pausedForTurn.clear();
     for (const caller of callers) {
--- a/src/entry/drained_targets_test.ts
+++ b/src/entry/drained_targets_test.ts
@@ -7,7 +7,7 @@
 import assert from "node:assert/strict";
 import { Buffer } from "node:buffer";
 import { describe, it } from "node:test";
-import { fingerprintOf, slotOf } from "../core/idempotency_key.ts";
+import { getKeyFingerprint, getKeySlot } from "../core/idempotency_key.ts";
 import { RandomSource } from "../core/random_source.ts";
 import { RAMP_UP_MS } from "../policy/domain_drains.ts";
 import {
@@ -187,7 +187,7 @@
   it("gets no request of a key that a target there owns", () => {
     const fixture = new DrainFixture();
     const idempotencyKey = "key-1";
-    const slot = slotOf(fingerprintOf({
+    const slot = getKeySlot(getKeyFingerprint({
       organisation: "andamaq",
       service: "/organisations/andamaq/services/confirm",
       idempotencyKey,
--- a/src/entry/entry_driver.ts
+++ b/src/entry/entry_driver.ts
@@ -15,7 +15,7 @@
   type WelcomeMessage,
 } from "../messages/types.ts";
 import type { KeyValueService } from "../external/key_value_service.ts";
-import { MachineListReader } from "../external/machine_list_reader.ts";
+import { VirtualMachineListReader } from "../external/machine_list_reader.ts";
 import type {
   VirtualMachine,
   VirtualMachineList,
@@ -59,7 +59,7 @@
   readonly #settings: EntrySettings;
   readonly #status = new StatusCollector();
   #dialler: TargetDialler | undefined;
-  #virtualMachineReader: MachineListReader | undefined;
+  #virtualMachineReader: VirtualMachineListReader | undefined;
   #virtualMachines: readonly VirtualMachine[] = [];
   #routes = new RoutingTable(new Map());
   #isDraining = false;
@@ -222,7 +222,7 @@
   #startVirtualMachineReader(): void {
     const { machineList, log } = this.#options;
     if (machineList === undefined) return;
-    this.#virtualMachineReader = new MachineListReader({
+    this.#virtualMachineReader = new VirtualMachineListReader({
       list: machineList,
       onList: (machines) => {
         this.#virtualMachines = machines;
--- a/src/entry/entry_settings.ts
+++ b/src/entry/entry_settings.ts
@@ -8,7 +8,7 @@
 import type { PeerBodySource } from "../settings/peer_body_source.ts";
 import type { KeyValueService } from "../external/key_value_service.ts";
 import { BodyCache, KeyValueBodySource } from "../settings/body_source.ts";
-import { reachableFrom } from "../settings/reachable.ts";
+import { getReachableHashes } from "../settings/reachable.ts";
 import { SettingsExchange } from "../settings/settings_exchange.ts";
 import { SettingsKeeper } from "../settings/settings_keeper.ts";
 import { SettingsRestorer } from "../settings/settings_restorer.ts";
@@ -122,7 +122,7 @@
     onSnapshot(snapshot);
     this.exchange.offerToAll();
     if (snapshot.changed === undefined) {
-      this.#bodies.retain(reachableFrom(snapshot));
+      this.#bodies.retain(getReachableHashes(snapshot));
     }
   }
 
--- a/src/entry/request_server.ts
+++ b/src/entry/request_server.ts
@@ -7,7 +7,7 @@
 import { performance } from "node:perf_hooks";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { assertNever } from "../core/debug.ts";
-import { turnEventLoop } from "../core/event_loop.ts";
+import { waitForPendingReads } from "../core/event_loop.ts";
 import type { EventLog } from "../events/event_log.ts";
 import { HttpListener } from "../process/http_listener.ts";
 import { MeasuredTimer } from "../process/measured_timer.ts";
@@ -77,7 +77,7 @@
   readonly #buffers: CallerBuffers | undefined;
   readonly #stallGuard = new StallGuard({
     now: () => performance.now(),
-    waitForTurn: turnEventLoop,
+    waitForTurn: waitForPendingReads,
     deliver: (event) => this.#reduce(event),
   });
   #links: TargetLinks | undefined;
@@ -164,7 +164,7 @@
 
   #planTick(): void {
     const isBusy = this.#options.reducer.inFlight > 0;
-    this.#tick.plan(() => {
+    this.#tick.schedule(() => {
       this.#onTick();
       this.#planTick();
     }, isBusy ? BUSY_TICK_MS : IDLE_TICK_MS);
@@ -208,7 +208,7 @@
     await this.#catchUp;
     // A caller may have disconnected before its request was read. The end of its socket
     // is read only after the request.
-    await turnEventLoop();
+    await waitForPendingReads();
     if (connection.isClosed) return this.#logLeft(request.value, headReadAt);
     await this.#process(request.value, { connection, headReadAt });
   }
@@ -288,11 +288,11 @@
       case "count_retry":
         return this.#options.metrics.countRetry(effect.reason);
       case "count_held_back":
-        return this.#options.metrics.countHeldBack(effect.priority);
+        return this.#options.metrics.countDeferred(effect.priority);
       case "count_stale_message":
-        return this.#options.metrics.countStale();
+        return this.#options.metrics.countStaleMessage();
       case "count_return":
-        return this.#options.metrics.countReturn(effect.outcome);
+        return this.#options.metrics.countCallerRetry(effect.outcome);
       case "count_pause":
         return this.#options.metrics.countPause(effect.milliseconds);
       case "memories_changed":
@@ -358,7 +358,7 @@
     this.#reportTooSlow(requestId);
     // The reducer has ended streamed answers by now. This ends complete answers that the
     // caller has not read, and answers of the old scripts.
-    await turnEventLoop();
+    await waitForPendingReads();
     connection.abort();
   }
 
--- a/src/entry/routing_table.ts
+++ b/src/entry/routing_table.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { nameOfPath, organisationPathOf } from "../settings/check_tree.ts";
+import { getOrganisationPath, getPathName } from "../settings/check_tree.ts";
 import { PoolPriorities } from "./pool_priorities.ts";
 import type {
   OrganisationDocument,
@@ -159,21 +159,21 @@
     if (!path.startsWith(TARGETS_PREFIX)) return;
     const document = documents.get(path);
     const isLeaving = document?.kind === "target" && document.leaving;
-    if (isLeaving) this.#leavingTargets.add(nameOfPath(path));
-    else this.#leavingTargets.delete(nameOfPath(path));
+    if (isLeaving) this.#leavingTargets.add(getPathName(path));
+    else this.#leavingTargets.delete(getPathName(path));
   }
 
   #updateFailureDomain(path: string, documents: Documents): void {
     if (!path.startsWith(FAILURE_DOMAINS_PREFIX)) return;
     const document = documents.get(path);
     const isDrained = document?.kind === "failure_domain" && document.draining;
-    if (isDrained) this.#drainedDomains.add(nameOfPath(path));
-    else this.#drainedDomains.delete(nameOfPath(path));
+    if (isDrained) this.#drainedDomains.add(getPathName(path));
+    else this.#drainedDomains.delete(getPathName(path));
   }
 
   #updateCaller(path: string, documents: Documents): void {
-    const organisation = nameOfPath(path);
-    if (path !== organisationPathOf(path)) return;
+    const organisation = getPathName(path);
+    if (path !== getOrganisationPath(path)) return;
     for (const [key, caller] of this.#callers) {
       if (caller.organisation === organisation) this.#callers.delete(key);
     }
@@ -196,13 +196,13 @@
   #updateService(path: string, documents: Documents): void {
     const service = documents.get(path);
     if (service?.kind !== "service") return;
-    const organisationPath = organisationPathOf(path);
+    const organisationPath = getOrganisationPath(path);
     const siblings = this.#servicesByOrganisation.get(organisationPath) ??
       new Set();
     this.#servicesByOrganisation.set(organisationPath, siblings.add(path));
     const limits = documents.get(organisationPath);
     if (limits?.kind !== "organisation") return;
-    const organisation = nameOfPath(organisationPath);
+    const organisation = getPathName(organisationPath);
     const route: Route = { servicePath: path, organisation, service, limits };
     const previous = this.#byService.get(path);
     if (previous !== undefined) this.priorities.remove(previous.service);
--- a/src/entry/slow_callers_test.ts
+++ b/src/entry/slow_callers_test.ts
@@ -71,7 +71,7 @@
     });
     this.#pool = new DirectTargetPool({
       createBackEnd: ({ address }) =>
-        new HttpBackEnd({ address, connections: 40 }),
+        new HttpBackEnd({ address, maxConnections: 40 }),
       onMessage: (targetName, message) =>
         this.#server.dispatch({
           kind: "message_received",
--- a/src/entry/target_availability.ts
+++ b/src/entry/target_availability.ts
@@ -10,7 +10,7 @@
  * @module
  */
 import { Err, Ok, type Result } from "ts-results-es";
-import { fingerprintOf, slotOf } from "../core/idempotency_key.ts";
+import { getKeyFingerprint, getKeySlot } from "../core/idempotency_key.ts";
 import type { RandomSource } from "../core/random_source.ts";
 import { DomainDrains } from "../policy/domain_drains.ts";
 import { DomainReachability } from "../policy/domain_reachability.ts";
@@ -255,7 +255,7 @@
   }
 
   #tryOwner({ request, route }: InFlightRequest): TargetRecord | undefined {
-    const slot = slotOf(fingerprintOf({
+    const slot = getKeySlot(getKeyFingerprint({
       organisation: route.organisation,
       service: route.servicePath,
       idempotencyKey: request.idempotencyKey as string,
--- a/src/external/back_end.ts
+++ b/src/external/back_end.ts
@@ -93,7 +93,7 @@
    * Called before `onHead` with the milliseconds for which the connection can be reused
    * after this call; 0 if it closes with the call.
    */
-  onKept?(milliseconds: number): void;
+  onConnectionReusable?(milliseconds: number): void;
 }
 
 /** A call in progress. */
--- a/src/external/back_end_failures.ts
+++ b/src/external/back_end_failures.ts
@@ -21,9 +21,9 @@
  *
  * @example
  * ```ts
- * getReasonOf("not_begun"); // "BACK_END_UNREACHABLE"
+ * getRefusalReason("not_begun"); // "BACK_END_UNREACHABLE"
  * ```
  */
-export function getReasonOf(failure: BackEndFailure): RefusalName {
+export function getRefusalReason(failure: BackEndFailure): RefusalName {
   return REASON_BY_FAILURE[failure];
 }
--- a/src/external/contracts_test.ts
+++ b/src/external/contracts_test.ts
@@ -164,7 +164,7 @@
 }
 
 async function callBackEnd(address: string): Promise<BackEndAnswer> {
-  const backEnd = new HttpBackEnd({ address, connections: 1 });
+  const backEnd = new HttpBackEnd({ address, maxConnections: 1 });
   let status = 0;
   let text = "";
   const failure = await new Promise<BackEndFailure | undefined>((resolve) => {
@@ -212,15 +212,15 @@
     const hold = { kind: "hold", version, step: 0 } as const;
     const activate = { kind: "activate", version, step: 0 } as const;
     for (let time = 0; time < 2; time++) {
-      const state = await engine.carryOut(assemble, 1);
+      const state = await engine.execute(assemble, 1);
       assert.equal(state.incarnation, incarnation);
       assert.equal(state.stagedVersion, version);
       assert.equal(state.holdBefore, 0);
     }
-    const held = await engine.carryOut(hold, 1);
+    const held = await engine.execute(hold, 1);
     assert.equal(held.holdBefore, 0);
     for (let time = 0; time < 2; time++) {
-      const state = await engine.carryOut(activate, 1);
+      const state = await engine.execute(activate, 1);
       assert.deepEqual(state.activation, { version, step: 0 });
       assert.equal(state.holdBefore, undefined);
     }
--- a/src/external/formed_engine.ts
+++ b/src/external/formed_engine.ts
@@ -40,5 +40,5 @@
   abstract readExperts(): Promise<RankExperts>;
 
   /** Sends an order. Never throws; an unanswered order may still take effect. */
-  abstract give(order: EngineOrder): Promise<OrderOutcome>;
+  abstract sendOrder(order: EngineOrder): Promise<OrderOutcome>;
 }
--- a/src/external/http_back_end.ts
+++ b/src/external/http_back_end.ts
@@ -37,7 +37,7 @@
   /** Host and port. */
   readonly address: string;
   /** Maximum number of connections to the back end. */
-  readonly connections: number;
+  readonly maxConnections: number;
   /** Milliseconds within which a connection must be established. */
   readonly connectLimitMs?: number;
   /** How long connections may be idle, as observed at all servers of a pool. */
@@ -58,7 +58,7 @@
     this.#lifetime = options.lifetime ?? new IdleLifetime();
     this.#connections = new HttpConnections({
       address: options.address,
-      maxConnections: options.connections,
+      maxConnections: options.maxConnections,
       connect: this.#resets.createConnector(this.#connectLimitMs),
       lifetime: this.#lifetime,
     });
@@ -246,7 +246,7 @@
     this.#hasHead = true;
     if (this.#isPaused) this.pause();
     this.#reusableMs = this.#getReusableMs(headers);
-    this.#listener.onKept?.(this.#reusableMs);
+    this.#listener.onConnectionReusable?.(this.#reusableMs);
     const endsWithConnection = headers["content-length"] === undefined &&
       headers["transfer-encoding"] === undefined;
     this.#listener.onHead(status, getEndToEndHeaders(headers), {
--- a/src/external/http_back_end_test.ts
+++ b/src/external/http_back_end_test.ts
@@ -31,7 +31,7 @@
   const { port } = server.address() as AddressInfo;
   const backEnd = new HttpBackEnd({
     address: `127.0.0.1:${port}`,
-    connections: 1,
+    maxConnections: 1,
     connectLimitMs,
   });
   return { server, backEnd };
--- a/src/external/http_connections_test.ts
+++ b/src/external/http_connections_test.ts
@@ -70,7 +70,7 @@
     const { port } = this.#server.address() as AddressInfo;
     this.#backEnd = new HttpBackEnd({
       address: `127.0.0.1:${port}`,
-      connections: 48,
+      maxConnections: 48,
       lifetime,
     });
   }
--- a/src/external/http_rank_engine.ts
+++ b/src/external/http_rank_engine.ts
@@ -40,7 +40,7 @@
     return LOAD_SCHEMA.parse(await this.#get("/group/load"));
   }
 
-  override async carryOut(
+  override async execute(
     order: EngineOrder,
     fencingNumber: number,
   ): Promise<EngineState> {
--- a/src/external/machine_list_reader.ts
+++ b/src/external/machine_list_reader.ts
@@ -10,8 +10,8 @@
 
 const READ_INTERVAL_MS = 2000;
 
-/** Options of a {@link MachineListReader}. */
-export interface MachineListReaderOptions {
+/** Options of a {@link VirtualMachineListReader}. */
+export interface VirtualMachineListReaderOptions {
   readonly list: VirtualMachineList;
   readonly onList: (virtualMachines: readonly VirtualMachine[]) => void;
   /** Called when the list becomes reachable or unreachable. */
@@ -19,14 +19,14 @@
 }
 
 /** Reads the platform's list of VMs at an interval. */
-export class MachineListReader {
-  readonly #options: MachineListReaderOptions;
+export class VirtualMachineListReader {
+  readonly #options: VirtualMachineListReaderOptions;
   #isReachable: boolean | undefined;
   #isStopped = false;
   #timer: NodeJS.Timeout | undefined;
 
   /** Starts reading immediately. */
-  constructor(options: MachineListReaderOptions) {
+  constructor(options: VirtualMachineListReaderOptions) {
     this.#options = options;
     void this.#readRepeatedly();
   }
--- a/src/external/operator_settings.ts
+++ b/src/external/operator_settings.ts
@@ -37,7 +37,7 @@
   readonly experts: number;
   readonly slotsPerRank: number;
   /** Maximum number of experts of a set that a rank may load for one switch. */
-  readonly mostNewExperts: number;
+  readonly maxNewExperts: number;
   /** Milliseconds to load one expert. */
   readonly loadMs: number;
   /**
--- a/src/external/paused_call_test.ts
+++ b/src/external/paused_call_test.ts
@@ -72,7 +72,7 @@
   await once(server, "listening");
   const { port } = server.address() as AddressInfo;
   const address = `127.0.0.1:${port}`;
-  const backEnd = new HttpBackEnd({ address, connections: 1 });
+  const backEnd = new HttpBackEnd({ address, maxConnections: 1 });
   const request = { method: "GET", path: "/", headers: [], limitMs };
   await new Promise<void>((resolve) => {
     const finish = (outcome: string) => {
@@ -179,7 +179,7 @@
     await once(server, "listening");
     const { port } = server.address() as AddressInfo;
     const address = `127.0.0.1:${port}`;
-    const backEnd = new HttpBackEnd({ address, connections: 1 });
+    const backEnd = new HttpBackEnd({ address, maxConnections: 1 });
     const request = {
       method: "GET",
       path: "/",
--- a/src/external/rank_engine.ts
+++ b/src/external/rank_engine.ts
@@ -29,7 +29,7 @@
    *
    * @throws {EngineUnavailableError} when it does not answer
    */
-  abstract carryOut(
+  abstract execute(
     order: EngineOrder,
     fencingNumber: number,
   ): Promise<EngineState>;
--- a/src/external/store_revision.ts
+++ b/src/external/store_revision.ts
@@ -9,7 +9,7 @@
 /** Revisions per era; 2^13 eras fit into a safe integer. */
 const REVISIONS_PER_ERA = 2 ** 40;
 /** Highest era that can be represented. */
-export const LAST_ERA = 2 ** 13 - 1;
+export const MAX_ERA = 2 ** 13 - 1;
 
 /** A revision of the store and its era. */
 export interface RevisionInEra {
--- a/src/external/watched_store.ts
+++ b/src/external/watched_store.ts
@@ -55,7 +55,7 @@
 }
 
 /** A registration that expires with its lease. */
-export interface LeasedEntry {
+export interface LeasedRegistration {
   readonly key: string;
   readonly value: string;
   readonly timeToLiveMs: number;
@@ -96,7 +96,7 @@
    *
    * @throws {StoreUnavailableError} when the store does not answer
    */
-  abstract register(registration: LeasedEntry): Promise<StoreLease>;
+  abstract register(registration: LeasedRegistration): Promise<StoreLease>;
 
   /**
    * Renews a lease; false if it has expired, and its registration with it.
@@ -115,5 +115,5 @@
    * Sets a callback for restores of the store from an older copy, by which later writes
    * and leases are lost. Never called for stores that don't detect this.
    */
-  onWentBack(_listener: () => void): void {}
+  onRestored(_listener: () => void): void {}
 }
--- a/src/external/whole_call.ts
+++ b/src/external/whole_call.ts
@@ -12,7 +12,7 @@
 import type { Header } from "../messages/types.ts";
 
 /** A complete answer. */
-export interface WholeAnswer {
+export interface CompleteAnswer {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly text: string;
@@ -42,16 +42,16 @@
  *
  * @example
  * ```ts
- * const { status, text } = await callWhole(backEnd, request);
+ * const { status, text } = await fetchAnswer(backEnd, request);
  * ```
  *
  * @throws {CallFailedError} when the call fails
  */
-export function callWhole(
+export function fetchAnswer(
   backEnd: BackEnd,
   request: BackEndRequest,
   { signal }: FetchAnswerOptions = {},
-): Promise<WholeAnswer> {
+): Promise<CompleteAnswer> {
   return new Promise((resolve, reject) => {
     const decoder = new TextDecoder();
     let status = 0;
--- a/src/external/whole_call_test.ts
+++ b/src/external/whole_call_test.ts
@@ -6,7 +6,7 @@
   type BackEndListener,
   type BackEndRequest,
 } from "./back_end.ts";
-import { CallFailedError, callWhole } from "./whole_call.ts";
+import { CallFailedError, fetchAnswer } from "./whole_call.ts";
 
 const REQUEST: BackEndRequest = {
   method: "GET",
@@ -51,7 +51,7 @@
       listener.onData(bytes.subarray(2));
       listener.onEnd();
     });
-    assert.deepEqual(await callWhole(backEnd, REQUEST), {
+    assert.deepEqual(await fetchAnswer(backEnd, REQUEST), {
       status: 200,
       headers: [["content-language", "fr"]],
       text: "né",
@@ -64,7 +64,7 @@
     );
     const { signal } = new AbortController();
     await assert.rejects(
-      callWhole(backEnd, REQUEST, { signal }),
+      fetchAnswer(backEnd, REQUEST, { signal }),
       (error) =>
         error instanceof CallFailedError &&
         error.failure === "not_begun",
@@ -75,7 +75,7 @@
     const backEnd = new FixedBackEnd(() => undefined);
     const controller = new AbortController();
     const { signal } = controller;
-    const answer = callWhole(backEnd, REQUEST, { signal });
+    const answer = fetchAnswer(backEnd, REQUEST, { signal });
     controller.abort();
     await assert.rejects(answer, CallFailedError);
     assert.equal(backEnd.isCancelled, true);
--- a/src/group/formed/decider_driver.ts
+++ b/src/group/formed/decider_driver.ts
@@ -271,7 +271,7 @@
         passMs: this.#decider.passMs,
         ranks: this.#options.state.ranks,
       }),
-      maxNewPerLayer: settings.mostNewExperts,
+      maxNewPerLayer: settings.maxNewExperts,
       loadMs: settings.loadMs,
       passFraction: passPauseRatio,
     });
--- a/src/group/formed/give_until_answered.ts
+++ b/src/group/formed/give_until_answered.ts
@@ -31,7 +31,7 @@
 ): Promise<OrderOutcome> {
   let outcome: OrderOutcome = "unanswered";
   for (let sends = 0; sends < MAX_SENDS; sends++) {
-    outcome = await engine.give(order);
+    outcome = await engine.sendOrder(order);
     if (outcome !== "unanswered") break;
   }
   return outcome;
--- a/src/group/formed/rank_agent.ts
+++ b/src/group/formed/rank_agent.ts
@@ -153,7 +153,7 @@
     if (engineOrder === undefined) return;
     let wasUnanswered = false;
     while (this.#currentOrder === message) {
-      const outcome = await this.#engine.give(engineOrder);
+      const outcome = await this.#engine.sendOrder(engineOrder);
       wasUnanswered ||= outcome === "unanswered";
       const timeoutMs = this.#getPollTimeoutMs(order, outcome, wasUnanswered);
       const state = await this.#pollEffect(order, timeoutMs);
--- a/src/group/member_driver.ts
+++ b/src/group/member_driver.ts
@@ -79,7 +79,7 @@
     while (!this.#isStopped) {
       try {
         const engine = await this.#options.engine
-          .carryOut(order, fencingNumber);
+          .execute(order, fencingNumber);
         const now = performance.now();
         this.#dispatch({ kind: "engine_said", now, engine, order });
         return;
--- a/src/process/measured_timer.ts
+++ b/src/process/measured_timer.ts
@@ -4,15 +4,15 @@
  *
  * @module
  */
-import type { Milliseconds } from "./metrics_page.ts";
+import type { DurationHistogram } from "./metrics_page.ts";
 
 /** Schedules timers and records how late each of them fires. */
 export class MeasuredTimer {
-  readonly #delays: Milliseconds;
+  readonly #delays: DurationHistogram;
   #timer: NodeJS.Timeout | undefined;
 
   /** Creates a timer that records its delays in `delays`. */
-  constructor(delays: Milliseconds) {
+  constructor(delays: DurationHistogram) {
     this.#delays = delays;
   }
 
@@ -24,7 +24,7 @@
    * timer.plan(() => reducer.tick(), 250);
    * ```
    */
-  plan(callback: () => void, milliseconds: number): void {
+  schedule(callback: () => void, milliseconds: number): void {
     this.stop();
     const plannedAt = performance.now();
     this.#timer = setTimeout(() => {
--- a/src/process/measured_timer_test.ts
+++ b/src/process/measured_timer_test.ts
@@ -8,7 +8,7 @@
     const page = new MetricsPage();
     const delays = page.quantiles("loop_delay_milliseconds", "Delay");
     const timer = new MeasuredTimer(delays);
-    const fired = new Promise<void>((resolve) => timer.plan(resolve, 5));
+    const fired = new Promise<void>((resolve) => timer.schedule(resolve, 5));
     const end = performance.now() + 60;
     while (performance.now() < end) { /* Busy wait. */ }
     await fired;
@@ -23,7 +23,7 @@
     const delays = new MetricsPage().quantiles("delay", "Delay");
     const timer = new MeasuredTimer(delays);
     let calls = 0;
-    timer.plan(() => calls++, 1);
+    timer.schedule(() => calls++, 1);
     timer.stop();
     await new Promise((resolve) => setTimeout(resolve, 20));
     assert.equal(calls, 0);
--- a/src/process/metrics.ts
+++ b/src/process/metrics.ts
@@ -211,7 +211,7 @@
   /**
    * Counts a caller that received a retry delay, or the outcome of a caller's retry.
    */
-  countReturn(outcome: CallerRetryOutcome): void {
+  countCallerRetry(outcome: CallerRetryOutcome): void {
     this.#callerRetries.inc({ outcome });
   }
 
@@ -221,17 +221,17 @@
   }
 
   /** Counts fields of settings whose value is not valid. */
-  countWrongFields(count: number): void {
+  countInvalidFields(count: number): void {
     this.#invalidFields.inc(count);
   }
 
   /** Counts a request that was deferred because its rank group is near its capacity. */
-  countHeldBack(priority: Priority): void {
+  countDeferred(priority: Priority): void {
     this.#deferred.inc({ priority: String(priority) });
   }
 
   /** Adds gauges for the bytes that are held for callers. */
-  watchHeldBytes(held: HeldBytesSource): void {
+  addHeldBytesGauges(held: HeldBytesSource): void {
     const { metricsPage } = this;
     metricsPage.gauge(
       "held_answer_bytes",
@@ -273,7 +273,7 @@
   }
 
   /** Counts a message that belongs to no current attempt. */
-  countStale(): void {
+  countStaleMessage(): void {
     this.#staleMessages.inc();
   }
 
--- a/src/process/metrics_page.ts
+++ b/src/process/metrics_page.ts
@@ -23,7 +23,7 @@
  * Histogram of durations in milliseconds; the page shows quantiles since the process
  * started.
  */
-export class Milliseconds {
+export class DurationHistogram {
   readonly #histogram: Histogram = build({
     highestTrackableValue: MAX_MS,
     numberOfSignificantValueDigits: 2,
@@ -84,8 +84,8 @@
   }
 
   /** Adds quantiles of a duration since the process started. */
-  quantiles(name: string, help: string): Milliseconds {
-    const milliseconds = new Milliseconds();
+  quantiles(name: string, help: string): DurationHistogram {
+    const milliseconds = new DurationHistogram();
     new Gauge({
       name: PREFIX + name,
       help: `${help}, since the process started`,
--- a/src/process/process_metrics.ts
+++ b/src/process/process_metrics.ts
@@ -5,7 +5,7 @@
  */
 import type { EventLog } from "../events/event_log.ts";
 import type { StoreCallKind } from "../external/watched_store.ts";
-import { MetricsPage, type Milliseconds } from "./metrics_page.ts";
+import { type DurationHistogram, MetricsPage } from "./metrics_page.ts";
 import type { TextPages } from "./text_pages.ts";
 
 /** Metrics that every process has; each role adds its own. */
@@ -13,7 +13,7 @@
   /** The page to which a role adds its own metrics. */
   protected readonly metricsPage = new MetricsPage();
   /** How late timers fire. */
-  readonly loopDelays: Milliseconds = this.metricsPage.quantiles(
+  readonly loopDelays: DurationHistogram = this.metricsPage.quantiles(
     "loop_delay_milliseconds",
     "How late timers fired",
   );
--- a/src/settings/body_source.ts
+++ b/src/settings/body_source.ts
@@ -5,7 +5,7 @@
  */
 import { performance } from "node:perf_hooks";
 import type { KeyValueService } from "../external/key_value_service.ts";
-import { BODY_KEY_PREFIX, hashOf } from "./tree.ts";
+import { BODY_KEY_PREFIX, hashText } from "./tree.ts";
 
 /** Reads bodies by their hash. */
 export abstract class BodySource {
@@ -68,13 +68,13 @@
   }
 
   /** Returns a cached body; undefined if it is not cached. */
-  tryHeld(hash: string): string | undefined {
+  tryGetCached(hash: string): string | undefined {
     return this.#bodies.get(hash);
   }
 
   /** Caches a body; false if it does not match its hash. */
-  keep(hash: string, body: string): boolean {
-    if (hashOf(body) !== hash) {
+  tryAdd(hash: string, body: string): boolean {
+    if (hashText(body) !== hash) {
       this.#mismatches++;
       return false;
     }
@@ -88,12 +88,12 @@
       const missing = hashes.filter((hash) => !this.#bodies.has(hash));
       if (missing.length === 0) return;
       const bodies = await source.readMany(missing);
-      for (const body of bodies) this.keep(hashOf(body), body);
+      for (const body of bodies) this.tryAdd(hashText(body), body);
     }
   }
 
   /** Removes a body from the cache. */
-  drop(hash: string | undefined): void {
+  remove(hash: string | undefined): void {
     if (hash !== undefined) this.#bodies.delete(hash);
   }
 
@@ -109,7 +109,7 @@
     if (held !== undefined) return held;
     for (const source of this.#sources) {
       const body = await source.tryRead(hash);
-      if (body !== undefined && this.keep(hash, body)) return body;
+      if (body !== undefined && this.tryAdd(hash, body)) return body;
     }
     return undefined;
   }
--- a/src/settings/body_source_test.ts
+++ b/src/settings/body_source_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { BodyCache, BodySource } from "./body_source.ts";
-import { hashOf } from "./tree.ts";
+import { hashText } from "./tree.ts";
 
 /** A source that counts its reads. */
 class CountingSource extends BodySource {
@@ -12,7 +12,7 @@
 
   constructor(bodies: readonly string[], supportsBulkReads: boolean) {
     super();
-    this.#bodies = new Map(bodies.map((body) => [hashOf(body), body]));
+    this.#bodies = new Map(bodies.map((body) => [hashText(body), body]));
     this.#supportsBulkReads = supportsBulkReads;
   }
 
@@ -30,7 +30,7 @@
 }
 
 const BODIES = ["one", "two", "three", "four"];
-const HASHES = BODIES.map(hashOf);
+const HASHES = BODIES.map(hashText);
 
 describe("body cache", () => {
   it("reads many bodies from peers before it reads single bodies", async () => {
@@ -53,7 +53,7 @@
     const faultySource = new CountingSource([], false);
     faultySource.tryRead = () => Promise.resolve("another body");
     cache.addSource(faultySource);
-    assert.equal(await cache.tryRead(hashOf("one")), undefined);
+    assert.equal(await cache.tryRead(hashText("one")), undefined);
     assert.equal(cache.mismatches, 1);
   });
 });
--- a/src/settings/check_document.ts
+++ b/src/settings/check_document.ts
@@ -46,7 +46,7 @@
  * Returns the document kind that belongs to a path; undefined if it is not a settings
  * path.
  */
-export function tryKindOfPath(
+export function tryGetKindOfPath(
   path: string,
 ): SettingsDocument["kind"] | undefined {
   if (!PATH_PATTERN.test(path)) return undefined;
@@ -78,7 +78,7 @@
   }
 
   check(): Result<SettingsDocument, readonly Diagnostic[]> {
-    const kind = tryKindOfPath(this.#source.path);
+    const kind = tryGetKindOfPath(this.#source.path);
     if (kind === undefined) {
       this.#add("BAD_PATH", { range: [0, 1] }, this.#source.path);
     }
--- a/src/settings/check_tree.ts
+++ b/src/settings/check_tree.ts
@@ -18,12 +18,12 @@
 }
 
 /** Returns the path of the organisation that a service belongs to. */
-export function organisationPathOf(servicePath: string): string {
+export function getOrganisationPath(servicePath: string): string {
   return servicePath.split("/").slice(0, 3).join("/");
 }
 
 /** Returns the last segment of a path. */
-export function nameOfPath(path: string): string {
+export function getPathName(path: string): string {
   return path.slice(path.lastIndexOf("/") + 1);
 }
 
@@ -51,7 +51,7 @@
   candidate: TreeCandidate,
   others: ReadonlyMap<string, SettingsDocument>,
 ): readonly Diagnostic[] {
-  const organisation = organisationPathOf(candidate.path);
+  const organisation = getOrganisationPath(candidate.path);
   if (others.has(organisation)) return [];
   return [{
     name: "ORGANISATION_MISSING",
--- a/src/settings/load_snapshot.ts
+++ b/src/settings/load_snapshot.ts
@@ -89,16 +89,16 @@
   },
 ): void {
   const { changed, bodies } = options;
-  bodies.drop(before.createRoot().hash);
+  bodies.remove(before.createRoot().hash);
   for (const path of changed) {
-    bodies.drop(before.createPageOf(path).hash);
-    bodies.drop(before.tryGet(path));
+    bodies.remove(before.createPage(path).hash);
+    bodies.remove(before.tryGet(path));
   }
   const kept = [
     after.createRoot(),
-    ...changed.map((path) => after.createPageOf(path)),
+    ...changed.map((path) => after.createPage(path)),
   ];
-  for (const { hash, body } of kept) bodies.keep(hash, body);
+  for (const { hash, body } of kept) bodies.tryAdd(hash, body);
 }
 
 async function tryLoadTree(
--- a/src/settings/peer_body_source.ts
+++ b/src/settings/peer_body_source.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { BodySource } from "./body_source.ts";
-import { hashOf } from "./tree.ts";
+import { hashText } from "./tree.ts";
 import type { SettingsBodiesMessage } from "../messages/types.ts";
 import type { Link } from "../links/link.ts";
 
@@ -40,7 +40,7 @@
   override async tryRead(hash: string): Promise<string | undefined> {
     for (const link of [...this.#links]) {
       const bodies = await this.#query(link, [hash]);
-      const body = bodies.find((one) => hashOf(one) === hash);
+      const body = bodies.find((one) => hashText(one) === hash);
       if (body !== undefined) return body;
     }
     return undefined;
--- a/src/settings/reachable.ts
+++ b/src/settings/reachable.ts
@@ -6,7 +6,7 @@
 import type { SettingsSnapshot } from "./snapshot.ts";
 
 /** Returns the hashes of the root, the pages and the records of a snapshot. */
-export function reachableFrom(
+export function getReachableHashes(
   snapshot: SettingsSnapshot,
 ): ReadonlySet<string> {
   const hashes = new Set([snapshot.head.root]);
--- a/src/settings/settings_exchange.ts
+++ b/src/settings/settings_exchange.ts
@@ -121,7 +121,7 @@
     const bodies: string[] = [];
     let length = 0;
     for (const hash of hashes) {
-      const body = this.#options.bodies.tryHeld(hash);
+      const body = this.#options.bodies.tryGetCached(hash);
       if (body === undefined) continue;
       length += body.length;
       // The peer queries bodies that do not fit again, one by one.
--- a/src/settings/settings_restorer.ts
+++ b/src/settings/settings_restorer.ts
@@ -12,7 +12,7 @@
   tryParseHead,
   tryParseRecord,
 } from "./tree.ts";
-import { reachableFrom } from "./reachable.ts";
+import { getReachableHashes } from "./reachable.ts";
 import type { SettingsSnapshot } from "./snapshot.ts";
 
 /** The settings in force were written back. */
@@ -119,7 +119,7 @@
   }
 
   async #writeBodies(snapshot: SettingsSnapshot): Promise<void> {
-    for (const hash of reachableFrom(snapshot)) {
+    for (const hash of getReachableHashes(snapshot)) {
       const value = await this.#bodies.tryRead(hash);
       if (value === undefined) throw new Error(`Body ${hash} is not available`);
       const outcome = await this.#service.compareAndSwap(
--- a/src/settings/settings_schedules_test.ts
+++ b/src/settings/settings_schedules_test.ts
@@ -62,7 +62,7 @@
       baseRecord: undefined,
       author: `operator-${operator}`,
       at: "2026-12-02T00:00:00.000Z",
-      lowestRevision: 0,
+      minRevision: 0,
     };
     let outcome = await writer.write(change);
     const isUnsettled = outcome.kind === "unsettled";
@@ -157,7 +157,7 @@
         baseRecord: undefined,
         author: "operator",
         at: "2026-12-02T00:00:00.000Z",
-        lowestRevision: 0,
+        minRevision: 0,
       });
       heads.push(service.tryPeek(HEAD_KEY)?.value as string);
     }
--- a/src/settings/settings_tree.ts
+++ b/src/settings/settings_tree.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { getPageName, hashOf } from "./tree.ts";
+import { getPageName, hashText } from "./tree.ts";
 import type { SettingsPage, SettingsRoot } from "./types.ts";
 
 type Hashes = Readonly<Record<string, string>>;
@@ -70,7 +70,7 @@
   }
 
   /** Creates the body of the page that contains a path. */
-  createPageOf(path: string): HashedBody {
+  createPage(path: string): HashedBody {
     return createHashedBody({
       records: this.#pages.get(getPageName(path)) ?? {},
     });
@@ -97,7 +97,7 @@
 
 function createHashedBody(value: object): HashedBody {
   const body = JSON.stringify(value);
-  return { hash: hashOf(body), body };
+  return { hash: hashText(body), body };
 }
 
 /**
--- a/src/settings/settings_writer.ts
+++ b/src/settings/settings_writer.ts
@@ -9,7 +9,7 @@
 import {
   BODY_KEY_PREFIX,
   getPageName,
-  hashOf,
+  hashText,
   HEAD_KEY,
   RECENT_CHANGES,
   tryParseHead,
@@ -44,7 +44,7 @@
   /** Wall-clock time, RFC 3339. */
   readonly at: string;
   /** Minimum revision of the service's head that the change may be based on. */
-  readonly lowestRevision: number;
+  readonly minRevision: number;
 }
 
 /** The change was accepted and will be in force everywhere. */
@@ -175,7 +175,7 @@
   async #readHead(change: ChangeRequest): Promise<HeadEntry> {
     const entry = await this.#readAnyHead();
     const revision = entry.head?.revision ?? 0;
-    if (revision < change.lowestRevision) {
+    if (revision < change.minRevision) {
       throw new WriteAborted({ kind: "behind", revision });
     }
     return entry;
@@ -253,7 +253,7 @@
     record: string,
   ): Promise<string> {
     const next = tree.with(path, record);
-    await this.#writeHashed(next.createPageOf(path));
+    await this.#writeHashed(next.createPage(path));
     const root = next.createRoot();
     await this.#writeHashed(root);
     return root.hash;
@@ -289,7 +289,7 @@
 
   async #writeRecord(record: SettingsRecord): Promise<string> {
     const body = JSON.stringify(record);
-    const hash = hashOf(body);
+    const hash = hashText(body);
     await this.#writeHashed({ hash, body });
     return hash;
   }
@@ -305,7 +305,7 @@
       expectedRevision: 0,
     });
     if (outcome.kind === "unknown") throw new Error(outcome.cause);
-    this.#bodies.keep(hash, body);
+    this.#bodies.tryAdd(hash, body);
   }
 }
 
--- a/src/settings/tree.ts
+++ b/src/settings/tree.ts
@@ -54,7 +54,7 @@
 });
 
 /** Returns the SHA-256 of a text in hexadecimal. */
-export function hashOf(text: string): string {
+export function hashText(text: string): string {
   return createHash("sha256").update(text).digest("hex");
 }
 
@@ -63,7 +63,7 @@
  * the path's hash.
  */
 export function getPageName(path: string): string {
-  return hashOf(path).slice(0, 2);
+  return hashText(path).slice(0, 2);
 }
 
 /** Parses a head; undefined if this version cannot read it. */
--- a/src/target/key_gate.ts
+++ b/src/target/key_gate.ts
@@ -6,10 +6,10 @@
  */
 import { match, P } from "ts-pattern";
 import {
-  fingerprintOf,
-  requestHashOf,
-  slotOf,
-  tryTimeOfKey,
+  getKeyFingerprint,
+  getKeySlot,
+  getRequestHash,
+  tryGetKeyTime,
 } from "../core/idempotency_key.ts";
 import type {
   HandedOverKey,
@@ -132,13 +132,13 @@
   /** Returns whether a request with an admitted key may still be started. */
   mayStart(fingerprint: string): boolean {
     return this.#uncertainSince === undefined &&
-      this.#movedAtBySlot.has(slotOf(fingerprint));
+      this.#movedAtBySlot.has(getKeySlot(fingerprint));
   }
 
   /** Creates the message that hands over a slot's keys to its new owner. */
   createHandover(slot: number, now: number): LedgerSlotMessage {
     const entries = this.#ledger.filterEntries((fingerprint) =>
-      slotOf(fingerprint) === slot
+      getKeySlot(fingerprint) === slot
     );
     return {
       kind: "ledger_slot",
@@ -182,11 +182,11 @@
     request: SubmitMessage & { readonly idempotencyKey: string },
     time: EventTime,
   ): KeyDecision {
-    const fingerprint = fingerprintOf(request);
+    const fingerprint = getKeyFingerprint(request);
     if (this.#uncertainSince !== undefined) return refuse("OWNER_UNCERTAIN");
-    const movedAt = this.#tryKnownSince(slotOf(fingerprint));
+    const movedAt = this.#tryKnownSince(getKeySlot(fingerprint));
     if (movedAt === undefined) return refuse("NOT_OWNER");
-    const requestHash = requestHashOf(request);
+    const requestHash = getRequestHash(request);
     const entry = this.#ledger.tryGet(fingerprint, time.now);
     if (entry !== undefined) {
       if (entry.requestHash !== requestHash) return refuse("KEY_REUSED");
@@ -228,7 +228,7 @@
   if (movedAt === 0) return false;
   const unknownUntil = movedAt + request.keyRetentionMs + CLOCK_MARGIN_MS;
   if (time.wallNow > unknownUntil) return false;
-  const createdAt = tryTimeOfKey(request.idempotencyKey);
+  const createdAt = tryGetKeyTime(request.idempotencyKey);
   if (createdAt === undefined) return true;
   return createdAt <= movedAt + CLOCK_MARGIN_MS;
 }
--- a/src/target/target_driver.ts
+++ b/src/target/target_driver.ts
@@ -19,7 +19,7 @@
 import type { BackEnd } from "../external/back_end.ts";
 import type { KeyValueService } from "../external/key_value_service.ts";
 import type { RankEngine } from "../external/rank_engine.ts";
-import { MachineListReader } from "../external/machine_list_reader.ts";
+import { VirtualMachineListReader } from "../external/machine_list_reader.ts";
 import type {
   VirtualMachine,
   VirtualMachineList,
@@ -30,7 +30,7 @@
 import type { TargetProcessSettings } from "../process/process_settings.ts";
 import type { Drainable } from "../process/shutdown.ts";
 import { BodyCache } from "../settings/body_source.ts";
-import { reachableFrom } from "../settings/reachable.ts";
+import { getReachableHashes } from "../settings/reachable.ts";
 import { SettingsExchange } from "../settings/settings_exchange.ts";
 import { SettingsKeeper } from "../settings/settings_keeper.ts";
 import type { GroupDocument } from "../messages/settings_documents.ts";
@@ -74,7 +74,7 @@
   readonly #bodies = new BodyCache();
   #claims: ClaimKeeper | undefined;
   #group: GroupParticipant | undefined;
-  #machineListReader: MachineListReader | undefined;
+  #machineListReader: VirtualMachineListReader | undefined;
   #tickTimer: NodeJS.Timeout | undefined;
   #nextLinkId = 1;
   #isLeavingByList = false;
@@ -148,7 +148,7 @@
     });
     this.#startGroup();
     if (machineList !== undefined) {
-      this.#machineListReader = new MachineListReader({
+      this.#machineListReader = new VirtualMachineListReader({
         list: machineList,
         onList: (virtualMachines) => this.#onVirtualMachines(virtualMachines),
         onReachable: (isReachable) =>
@@ -323,7 +323,7 @@
       revision: snapshot.head.revision,
     });
     if (snapshot.changed === undefined) {
-      this.#bodies.retain(reachableFrom(snapshot));
+      this.#bodies.retain(getReachableHashes(snapshot));
     }
     this.#exchange.offerToAll();
     const { name } = this.#options.settings;
--- a/src/target/target_reducer.ts
+++ b/src/target/target_reducer.ts
@@ -22,7 +22,7 @@
 import { TargetBackoffs } from "../policy/target_backoffs.ts";
 import { FairQueue, getLatestStart } from "../policy/fair_queue.ts";
 import { isNotRun } from "../external/back_end.ts";
-import { getReasonOf } from "../external/back_end_failures.ts";
+import { getRefusalReason } from "../external/back_end_failures.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import type { KeyLedger } from "./key_ledger.ts";
 import { KeyGate } from "./key_gate.ts";
@@ -371,7 +371,7 @@
     }
     if (run.isAbandoned) return;
     this.#replies.refuse(run.owner, {
-      reason: getReasonOf(event.failure),
+      reason: getRefusalReason(event.failure),
       isKeyed: run.fingerprint !== undefined,
       submission: hasStarted ? "unknown" : "not-run",
     });
--- a/src/testing/formed_engine_fixture.ts
+++ b/src/testing/formed_engine_fixture.ts
@@ -49,7 +49,7 @@
     return Promise.resolve([[this.#rank]]);
   }
 
-  override give(order: EngineOrder): Promise<OrderOutcome> {
+  override sendOrder(order: EngineOrder): Promise<OrderOutcome> {
     this.given.push(order);
     if (this.unanswered > 0) {
       this.unanswered--;
--- a/src/testing/priority_burst_world.ts
+++ b/src/testing/priority_burst_world.ts
@@ -297,7 +297,7 @@
   layers: 3,
   experts: 128,
   slotsPerRank: 8,
-  mostNewExperts: 2,
+  maxNewExperts: 2,
   loadMs: 300,
   pauseObjectiveMs: PAUSE_MS,
   stepMs: IDLE_PASS_MS / STRIDE,
--- a/src/testing/world_owner_table.ts
+++ b/src/testing/world_owner_table.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { fingerprintOf, slotOf } from "../core/idempotency_key.ts";
+import { getKeyFingerprint, getKeySlot } from "../core/idempotency_key.ts";
 import type { LedgerSlotMessage } from "../messages/types.ts";
 import {
   createOwnerTable,
@@ -41,7 +41,7 @@
 
   /** The slot of a key of this world's service. */
   slotOf(key: string): number {
-    return slotOf(fingerprintOf({
+    return getKeySlot(getKeyFingerprint({
       organisation: "andamaq",
       service: SERVICE,
       idempotencyKey: key,
