--- a/bench/bounds_test.ts
+++ b/bench/bounds_test.ts
@@ -23,8 +23,8 @@
   parse(readFileSync(new URL("bounds.yaml", import.meta.url), "utf8")),
 );
 
-/** Values that the bounds name in a column, so that no more is run. */
-function namedValues(bench: Bound["bench"], column: string): Set<unknown> {
+/** Returns the values of a column that bounds refer to, so that only these are run. */
+function getBoundedValues(bench: Bound["bench"], column: string): Set<unknown> {
   return new Set(
     BOUNDS.filter((bound) => bound.bench === bench)
       .map((bound) => bound.row[column]),
@@ -33,22 +33,22 @@
 
 function runPlacement(): readonly object[] {
   const planners = Object.entries(createPlanners())
-    .filter(([name]) => namedValues("placement", "planner").has(name));
+    .filter(([name]) => getBoundedValues("placement", "planner").has(name));
   return runPlacementBench({
     planners: Object.fromEntries(planners),
-    shapes: [...namedValues("placement", "shape")] as string[],
-    workloads: [...namedValues("placement", "workload")] as "season"[],
+    shapes: [...getBoundedValues("placement", "shape")] as string[],
+    workloads: [...getBoundedValues("placement", "workload")] as "season"[],
   });
 }
 
 function runChoice(): readonly object[] {
   const workloads = CHOICE_WORKLOADS.filter((workload) =>
-    namedValues("choice", "workload").has(workload.name)
+    getBoundedValues("choice", "workload").has(workload.name)
   );
   return runChoiceBench({ workloads, choices: ["ours"] });
 }
 
-describe("regression bounds of the benches", () => {
+describe("regression bounds of the benchmarks", () => {
   const results = new Map<string, readonly Row[]>([
     ["placement", runPlacement() as readonly Row[]],
     ["choice", runChoice() as readonly Row[]],
@@ -56,14 +56,19 @@
   ]);
 
   for (const bound of BOUNDS) {
-    const where = Object.values(bound.row).join(", ");
-    it(`${bound.bench}, ${where}: ${bound.value}`, (context) => {
-      const row = results.get(bound.bench)?.find((one) =>
-        Object.entries(bound.row).every(([name, value]) => one[name] === value)
+    const rowLabel = Object.values(bound.row).join(", ");
+    it(`${bound.bench}, ${rowLabel}: ${bound.value}`, (context) => {
+      const row = results.get(bound.bench)?.find((candidate) =>
+        Object.entries(bound.row).every(([name, value]) =>
+          candidate[name] === value
+        )
       );
       const value = Number(row?.[bound.value]);
       context.diagnostic(`${value} (${bound.reason})`);
-      assert.ok(Number.isFinite(value), "The bound names no figure");
+      assert.ok(
+        Number.isFinite(value),
+        "The results have no number for this bound",
+      );
       assert.ok(value <= (bound.most ?? Number.POSITIVE_INFINITY));
       assert.ok(value >= (bound.least ?? Number.NEGATIVE_INFINITY));
     });
--- a/bench/choice_bench.ts
+++ b/bench/choice_bench.ts
@@ -1,10 +1,10 @@
 /**
- * Bench of the choice of a target: entries with views that lag, before servers
- * of which one may be slow, failing or frozen.
+ * Benchmark of target selection: entries whose load information is delayed send
+ * requests to servers, one of which may be slow, fail fast or be frozen.
  *
- * Model: see server_model.ts. Nine entries in three failure domains send to
- * twelve servers; a message takes 0.5 ms within a domain and 1 ms beyond.
- * Reports come at most once a second, and one in twenty is lost.
+ * Model: see server_model.ts. Nine entries in three failure domains send requests to
+ * twelve servers. A message takes 0.5 ms within a failure domain and 1 ms between
+ * domains. Each server reports its load once a second; one report in twenty is lost.
  *
  * @module
  */
@@ -28,17 +28,17 @@
   ServerModel,
 } from "./server_model.ts";
 
-/** A workload of the bench. */
+/** A workload of the benchmark. */
 export interface ChoiceWorkload {
   readonly name: string;
-  /** Prompts that requests share; 0: every prompt is its own. */
+  /** Number of prompt prefixes shared among requests; 0 if every prompt is unique. */
   readonly sharedPrompts: number;
   readonly fault: ServerFault;
-  /** Requests a second, of all entries. */
+  /** Requests per second from all entries together. */
   readonly requestsPerSecond: number;
 }
 
-/** A way to choose, as a name. */
+/** Name of a target selection policy. */
 export type ChoiceName =
   | "round robin"
   | "least reported"
@@ -46,26 +46,26 @@
   | "ours, no prefixes"
   | "ours";
 
-/** What one way of choosing did on one workload. */
+/** Results of one target selection policy on one workload. */
 export interface ChoiceResult {
   readonly workload: string;
   readonly choice: string;
   readonly firstTokenP50: number;
   readonly firstTokenP95: number;
   readonly firstTokenP99: number;
-  /** Milliseconds between tokens. */
+  /** 95th percentile of the mean milliseconds between tokens of an answer. */
   readonly betweenP95: number;
-  /** Share of prompt blocks that were in a cache. */
+  /** Fraction of prompt blocks that were found in a server's cache. */
   readonly hitShare: number;
-  /** Highest load over mean load, mean over time. */
+  /** Ratio of the highest server load to the mean server load, averaged over time. */
   readonly spread: number;
-  /** Share of requests that were sent to the bad server. */
+  /** Fraction of requests sent since the fault began that went to the faulty server. */
   readonly toBad: number;
-  /** Share of requests without an answer within the limit. */
+  /** Fraction of requests that failed or timed out. */
   readonly failed: number;
 }
 
-/** Workloads of the table. */
+/** Workloads in the order of the table. */
 export const CHOICE_WORKLOADS: readonly ChoiceWorkload[] = [
   { name: "plain", sharedPrompts: 0, fault: "none", requestsPerSecond: 230 },
   { name: "shared", sharedPrompts: 120, fault: "none", requestsPerSecond: 230 },
@@ -95,34 +95,35 @@
   },
 ];
 
-const ENTRIES = 9;
-const SERVERS = 12;
-const DOMAINS = 3;
-const NEAR_MS = 0.5;
-const FAR_MS = 1;
+const ENTRY_COUNT = 9;
+const SERVER_COUNT = 12;
+const DOMAIN_COUNT = 3;
+const SAME_DOMAIN_DELAY_MS = 0.5;
+const CROSS_DOMAIN_DELAY_MS = 1;
 const REPORT_INTERVAL_MS = 1000;
-const LOST_REPORTS = 0.05;
-const COMPARE_INTERVAL_MS = 500;
-const RUN_MS = 40_000;
-const FAULT_AT_MS = 10_000;
-const COUNT_FROM_MS = 5000;
-const LIMIT_MS = 10_000;
-const PROMPT_BLOCKS = 24;
-const OWN_BLOCKS = 4;
-const SHORT_PROMPT_BLOCKS = 8;
-const MEAN_TOKENS = 80;
-const BAD_SERVER = 4;
+const LOST_REPORT_FRACTION = 0.05;
+const SLOWNESS_UPDATE_INTERVAL_MS = 500;
+const ARRIVALS_END_MS = 40_000;
+const FAULT_START_MS = 10_000;
+const WARM_UP_END_MS = 5000;
+const REQUEST_TIMEOUT_MS = 10_000;
+/** Includes the unique suffix. */
+const SHARED_PROMPT_BLOCKS = 24;
+const UNIQUE_SUFFIX_BLOCKS = 4;
+const UNIQUE_PROMPT_BLOCKS = 8;
+const MEAN_ANSWER_TOKENS = 80;
+const FAULTY_SERVER_INDEX = 4;
 const SEED = 20261202;
 
 /** Options of {@link runChoiceBench}. */
 export interface ChoiceBenchOptions {
   readonly workloads?: readonly ChoiceWorkload[];
   readonly choices?: readonly ChoiceName[];
-  /** Knobs of ours. */
+  /** Options of {@link ScoredChoice}, in place of its defaults. */
   readonly scored?: Partial<ScoredChoiceOptions>;
 }
 
-/** Runs every way of choosing on every workload. */
+/** Runs every target selection policy on every workload. */
 export function runChoiceBench(
   options: ChoiceBenchOptions = {},
 ): readonly ChoiceResult[] {
@@ -134,7 +135,9 @@
     "ours",
   ];
   return (options.workloads ?? CHOICE_WORKLOADS).flatMap((workload) =>
-    choices.map((choice) => new ChoiceRun(workload, choice, options).run())
+    choices.map((choice) =>
+      new ChoiceSimulation(workload, choice, options).run()
+    )
   );
 }
 
@@ -149,27 +152,27 @@
   readonly id: number;
   readonly entry: EntryModel;
   readonly blocks: readonly string[];
-  readonly tokens: number;
+  readonly answerTokens: number;
   readonly arrivedAt: number;
   isRetried: boolean;
-  isOver: boolean;
+  isFinished: boolean;
 }
 
-class ChoiceRun {
+class ChoiceSimulation {
   readonly #workload: ChoiceWorkload;
-  readonly #name: ChoiceName;
+  readonly #choiceName: ChoiceName;
   readonly #events = new EventQueue();
   readonly #random = new RandomSource(SEED);
   readonly #servers: readonly ServerModel[];
   readonly #entries: readonly EntryModel[];
-  readonly #firstTokens: number[] = [];
-  readonly #between: number[] = [];
-  readonly #spreads: number[] = [];
-  #counted = 0;
-  #failed = 0;
-  #toBad = 0;
-  #sent = 0;
-  #nextId = 1;
+  readonly #firstTokenTimes: number[] = [];
+  readonly #tokenIntervals: number[] = [];
+  readonly #loadSpreads: number[] = [];
+  #countedRequests = 0;
+  #failedRequests = 0;
+  #sentToFaultyServer = 0;
+  #sentSinceFault = 0;
+  #nextRequestId = 1;
 
   constructor(
     workload: ChoiceWorkload,
@@ -177,13 +180,13 @@
     options: ChoiceBenchOptions,
   ) {
     this.#workload = workload;
-    this.#name = name;
+    this.#choiceName = name;
     this.#servers = Array.from(
-      { length: SERVERS },
+      { length: SERVER_COUNT },
       () => new ServerModel(this.#events),
     );
-    this.#entries = Array.from({ length: ENTRIES }, (_, index) => ({
-      domain: index % DOMAINS,
+    this.#entries = Array.from({ length: ENTRY_COUNT }, (_, index) => ({
+      domain: index % DOMAIN_COUNT,
       registry: createRegistry(),
       prefixes: new PrefixIndex(),
       choice: createChoice(name, index, options.scored ?? {}),
@@ -191,68 +194,76 @@
   }
 
   run(): ChoiceResult {
-    for (const [index] of this.#servers.entries()) this.#planReport(index);
-    this.#planArrival();
-    this.#planCompare();
-    this.#events.after(FAULT_AT_MS, () => {
-      (this.#servers[BAD_SERVER] as ServerModel).fault = this.#workload.fault;
+    for (const [index] of this.#servers.entries()) this.#scheduleReport(index);
+    this.#scheduleArrival();
+    this.#scheduleSlownessUpdate();
+    this.#events.after(FAULT_START_MS, () => {
+      (this.#servers[FAULTY_SERVER_INDEX] as ServerModel).fault =
+        this.#workload.fault;
     });
-    this.#events.runUntil(RUN_MS + LIMIT_MS);
+    this.#events.runUntil(ARRIVALS_END_MS + REQUEST_TIMEOUT_MS);
     return {
       workload: this.#workload.name,
-      choice: this.#name,
-      firstTokenP50: quantile(this.#firstTokens, 0.5),
-      firstTokenP95: quantile(this.#firstTokens, 0.95),
-      firstTokenP99: quantile(this.#firstTokens, 0.99),
-      betweenP95: quantile(this.#between, 0.95),
-      hitShare: mean(this.#servers.map((server) => server.hitShare)),
-      spread: mean(this.#spreads),
-      toBad: this.#toBad / Math.max(1, this.#sent),
-      failed: this.#failed / this.#counted,
+      choice: this.#choiceName,
+      firstTokenP50: getQuantile(this.#firstTokenTimes, 0.5),
+      firstTokenP95: getQuantile(this.#firstTokenTimes, 0.95),
+      firstTokenP99: getQuantile(this.#firstTokenTimes, 0.99),
+      betweenP95: getQuantile(this.#tokenIntervals, 0.95),
+      hitShare: getMean(this.#servers.map((server) => server.cacheHitFraction)),
+      spread: getMean(this.#loadSpreads),
+      toBad: this.#sentToFaultyServer / Math.max(1, this.#sentSinceFault),
+      failed: this.#failedRequests / this.#countedRequests,
     };
   }
 
-  #planArrival(): void {
-    const mean = 1000 / this.#workload.requestsPerSecond;
-    this.#events.after(this.#random.nextExponential(mean), () => {
-      if (this.#events.now >= RUN_MS) return;
-      this.#arrive();
-      this.#planArrival();
+  #scheduleArrival(): void {
+    const meanIntervalMs = 1000 / this.#workload.requestsPerSecond;
+    this.#events.after(this.#random.nextExponential(meanIntervalMs), () => {
+      if (this.#events.now >= ARRIVALS_END_MS) return;
+      this.#handleArrival();
+      this.#scheduleArrival();
     });
   }
 
-  #arrive(): void {
+  #handleArrival(): void {
     const request: RequestModel = {
-      id: this.#nextId++,
-      entry: this.#entries[this.#random.nextBelow(ENTRIES)] as EntryModel,
-      blocks: this.#drawPrompt(),
-      tokens: 1 + Math.floor(this.#random.nextExponential(MEAN_TOKENS)),
+      id: this.#nextRequestId++,
+      entry: this
+        .#entries[this.#random.nextBelow(ENTRY_COUNT)] as EntryModel,
+      blocks: this.#createPrompt(),
+      answerTokens: 1 +
+        Math.floor(this.#random.nextExponential(MEAN_ANSWER_TOKENS)),
       arrivedAt: this.#events.now,
       isRetried: false,
-      isOver: false,
+      isFinished: false,
     };
-    if (request.arrivedAt >= COUNT_FROM_MS) this.#counted++;
+    if (request.arrivedAt >= WARM_UP_END_MS) this.#countedRequests++;
     this.#send(request, undefined);
   }
 
-  /** Shared prompts are drawn after Zipf, with an own part at their end. */
-  #drawPrompt(): readonly string[] {
+  /**
+   * Creates the blocks of a prompt. Shared prefixes are chosen by Zipf's law, and each
+   * prompt ends with a unique suffix.
+   */
+  #createPrompt(): readonly string[] {
     const { sharedPrompts } = this.#workload;
-    const id = this.#nextId;
-    if (sharedPrompts === 0) return ownBlocks(id, SHORT_PROMPT_BLOCKS);
+    const id = this.#nextRequestId;
+    if (sharedPrompts === 0) {
+      return createUniqueBlocks(id, UNIQUE_PROMPT_BLOCKS);
+    }
     const rank = Math.floor(sharedPrompts ** this.#random.nextFraction()) - 1;
     const shared = Array.from(
-      { length: PROMPT_BLOCKS - OWN_BLOCKS },
+      { length: SHARED_PROMPT_BLOCKS - UNIQUE_SUFFIX_BLOCKS },
       (_, index) => `shared-${rank}-${index}`,
     );
-    return [...shared, ...ownBlocks(id, OWN_BLOCKS)];
+    return [...shared, ...createUniqueBlocks(id, UNIQUE_SUFFIX_BLOCKS)];
   }
 
-  #send(request: RequestModel, tried: string | undefined): void {
+  #send(request: RequestModel, excludedTarget: string | undefined): void {
     const { entry, blocks, id } = request;
     const candidates = entry.registry.servingOf("plan")
-      .filter((target) => target.name !== tried);
-    const usesPrefixes = this.#name === "ours";
+      .filter((target) => target.name !== excludedTarget);
+    const usesPrefixes = this.#choiceName === "ours";
     const chosen = entry.choice.tryChoose(candidates, {
       now: this.#events.now,
       failureDomain: String(entry.domain),
@@ -265,118 +276,138 @@
     if (usesPrefixes) entry.prefixes.remember(blocks, target.name);
     target.addInFlight(id, this.#events.now);
     const index = Number(target.name);
-    if (this.#events.now >= FAULT_AT_MS) {
-      this.#sent++;
-      if (index === BAD_SERVER) this.#toBad++;
+    if (this.#events.now >= FAULT_START_MS) {
+      this.#sentSinceFault++;
+      if (index === FAULTY_SERVER_INDEX) this.#sentToFaultyServer++;
     }
-    const distance = entry.domain === index % DOMAINS ? NEAR_MS : FAR_MS;
-    this.#events.after(distance, () => this.#serve(request, target, distance));
-    this.#events.after(LIMIT_MS, () => this.#expire(request, target));
+    const delayMs = entry.domain === index % DOMAIN_COUNT
+      ? SAME_DOMAIN_DELAY_MS
+      : CROSS_DOMAIN_DELAY_MS;
+    this.#events.after(
+      delayMs,
+      () => this.#submitToServer(request, target, delayMs),
+    );
+    this.#events.after(
+      REQUEST_TIMEOUT_MS,
+      () => this.#handleTimeout(request, target),
+    );
   }
 
-  #serve(request: RequestModel, target: TargetRecord, distance: number): void {
+  #submitToServer(
+    request: RequestModel,
+    target: TargetRecord,
+    delayMs: number,
+  ): void {
     const server = this.#servers[Number(target.name)] as ServerModel;
-    const isTaken = server.tryServe({
+    const isAccepted = server.tryServe({
       blocks: request.blocks,
-      tokens: request.tokens,
+      tokens: request.answerTokens,
       onFirstToken: () =>
-        this.#events.after(distance, () => this.#first(request, target)),
+        this.#events.after(
+          delayMs,
+          () => this.#handleFirstToken(request, target),
+        ),
       onDone: (milliseconds) =>
         this.#events.after(
-          distance,
+          delayMs,
           () =>
-            this.#done(request, target, { milliseconds, load: server.load }),
+            this.#handleAnswerEnd(request, target, {
+              milliseconds,
+              load: server.load,
+            }),
         ),
     });
-    if (isTaken) return;
-    this.#events.after(distance, () => this.#refused(request, target));
+    if (isAccepted) return;
+    this.#events.after(delayMs, () => this.#handleRejection(request, target));
   }
 
-  #first(request: RequestModel, target: TargetRecord): void {
-    if (request.isOver) return;
+  #handleFirstToken(request: RequestModel, target: TargetRecord): void {
+    if (request.isFinished) return;
     target.countFirstByte(request.id, this.#events.now);
-    if (request.arrivedAt < COUNT_FROM_MS) return;
-    this.#firstTokens.push(this.#events.now - request.arrivedAt);
+    if (request.arrivedAt < WARM_UP_END_MS) return;
+    this.#firstTokenTimes.push(this.#events.now - request.arrivedAt);
   }
 
-  #done(
+  #handleAnswerEnd(
     request: RequestModel,
     target: TargetRecord,
     answer: { readonly milliseconds: number; readonly load: number },
   ): void {
-    if (request.isOver) return;
-    request.isOver = true;
+    if (request.isFinished) return;
+    request.isFinished = true;
     target.removeInFlight(request.id);
     target.countAttempt(false, this.#events.now);
     target.noteConnection(undefined, this.#events.now);
     target.setReportedLoad(answer.load, this.#events.now);
-    if (request.arrivedAt < COUNT_FROM_MS || request.tokens < 2) return;
-    this.#between.push(answer.milliseconds / (request.tokens - 1));
+    if (request.arrivedAt < WARM_UP_END_MS || request.answerTokens < 2) return;
+    this.#tokenIntervals.push(answer.milliseconds / (request.answerTokens - 1));
   }
 
-  #refused(request: RequestModel, target: TargetRecord): void {
+  #handleRejection(request: RequestModel, target: TargetRecord): void {
     target.removeInFlight(request.id);
     target.countAttempt(true, this.#events.now);
-    if (request.isRetried) return this.#fail(request);
+    if (request.isRetried) return this.#recordFailure(request);
     request.isRetried = true;
     this.#send(request, target.name);
   }
 
-  #expire(request: RequestModel, target: TargetRecord): void {
-    if (request.isOver || target.ownInFlight === 0) return;
-    request.isOver = true;
+  #handleTimeout(request: RequestModel, target: TargetRecord): void {
+    if (request.isFinished || target.ownInFlight === 0) return;
+    request.isFinished = true;
     target.removeInFlight(request.id);
     target.countAttempt(true, this.#events.now);
-    this.#fail(request);
+    this.#recordFailure(request);
   }
 
-  #fail(request: RequestModel): void {
-    request.isOver = true;
-    if (request.arrivedAt < COUNT_FROM_MS) return;
-    this.#failed++;
-    // Left out, a failure would make a way of choosing look quick.
-    this.#firstTokens.push(LIMIT_MS);
+  #recordFailure(request: RequestModel): void {
+    request.isFinished = true;
+    if (request.arrivedAt < WARM_UP_END_MS) return;
+    this.#failedRequests++;
+    // Without this, a policy whose requests fail would appear fast.
+    this.#firstTokenTimes.push(REQUEST_TIMEOUT_MS);
   }
 
-  #planReport(index: number): void {
+  #scheduleReport(index: number): void {
     const server = this.#servers[index] as ServerModel;
     this.#events.after(REPORT_INTERVAL_MS, () => {
       const { load, fault } = server;
       for (const entry of this.#entries) {
-        if (this.#random.nextFraction() < LOST_REPORTS) continue;
+        if (this.#random.nextFraction() < LOST_REPORT_FRACTION) continue;
         if (fault === "frozen") continue;
         entry.registry.tryGet(String(index))
           ?.setReportedLoad(load, this.#events.now);
       }
-      if (index === 0) this.#measureSpread();
-      this.#planReport(index);
+      if (index === 0) this.#recordLoadSpread();
+      this.#scheduleReport(index);
     });
   }
 
-  #measureSpread(): void {
-    if (this.#events.now < COUNT_FROM_MS || this.#events.now > RUN_MS) return;
+  #recordLoadSpread(): void {
+    if (
+      this.#events.now < WARM_UP_END_MS || this.#events.now > ARRIVALS_END_MS
+    ) return;
     const loads = this.#servers.map((server) => server.load);
-    const average = mean(loads);
-    if (average > 0) this.#spreads.push(Math.max(...loads) / average);
+    const average = getMean(loads);
+    if (average > 0) this.#loadSpreads.push(Math.max(...loads) / average);
   }
 
-  #planCompare(): void {
-    this.#events.after(COMPARE_INTERVAL_MS, () => {
+  #scheduleSlownessUpdate(): void {
+    this.#events.after(SLOWNESS_UPDATE_INTERVAL_MS, () => {
       for (const entry of this.#entries) {
         entry.registry.updateSlowness(this.#events.now);
       }
-      this.#planCompare();
+      this.#scheduleSlownessUpdate();
     });
   }
 }
 
 function createRegistry(): TargetRegistry {
   const registry = new TargetRegistry();
-  for (let index = 0; index < SERVERS; index++) {
+  for (let index = 0; index < SERVER_COUNT; index++) {
     registry.connect({
       name: String(index),
       incarnation: "1",
-      failureDomain: String(index % DOMAINS),
+      failureDomain: String(index % DOMAIN_COUNT),
       pool: "plan",
       concurrency: SERVER_CONCURRENCY,
     });
@@ -403,16 +434,16 @@
   }
 }
 
-function ownBlocks(id: number, count: number): readonly string[] {
+function createUniqueBlocks(id: number, count: number): readonly string[] {
   return Array.from({ length: count }, (_, index) => `own-${id}-${index}`);
 }
 
-function quantile(values: readonly number[], share: number): number {
+function getQuantile(values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((left, right) => left - right);
-  return sorted[Math.floor((sorted.length - 1) * share)] ?? 0;
+  return sorted[Math.floor((sorted.length - 1) * fraction)] ?? 0;
 }
 
-function mean(values: readonly number[]): number {
+function getMean(values: readonly number[]): number {
   const total = values.reduce((sum, value) => sum + value, 0);
   return total / Math.max(1, values.length);
 }
--- a/bench/limits_bench.ts
+++ b/bench/limits_bench.ts
@@ -1,10 +1,9 @@
 /**
- * Bench of limits and retries: the real queue and retry budget before a model
- * of a target, at loads up to four times its capacity.
+ * Benchmark of limits and retries: runs the fair queue and the retry budget against a
+ * model of a pool, at loads up to four times its capacity.
  *
- * Model: one pool of targets whose back ends run a fixed number of requests at
- * once, each for an exponential time. Callers give a deadline and do not come
- * back.
+ * Model: the back ends of one pool run a fixed number of requests concurrently. Run
+ * times are exponentially distributed. Callers set a deadline and do not retry.
  *
  * @module
  */
@@ -18,74 +17,77 @@
 import { RetryBudget } from "../src/policy/retry_budget.ts";
 import { EventQueue } from "../src/testing/event_queue.ts";
 
-/** What a way of queueing did at one load. */
+/** Results of one queue at one load. */
 export interface LimitsResult {
   readonly case: string;
-  /** Load over capacity. */
+  /** Ratio of the load to the capacity. */
   readonly load: number;
-  /** Answers within the deadline over what the back ends could give. */
+  /** Ratio of the answers within the deadline to the capacity of the back ends. */
   readonly goodput: number;
-  /** p99 of the time to the answer of the organisations that do not flood. */
+  /** p99 of the time to the answer for organisations that do not flood. */
   readonly othersP99: number;
-  /** p99 of the time to the answer of quick requests. */
+  /** p99 of the time to the answer for quick requests. */
   readonly quickP99: number;
-  /** Share of the others' requests that got an answer in time. */
+  /**
+   * Fraction of requests answered within the deadline, for organisations that do not
+   * flood.
+   */
   readonly othersAnswered: number;
 }
 
-/** What retries cost when everything fails. */
+/** Number of attempts for each request when every attempt fails. */
 export interface RetryResult {
   readonly case: string;
   readonly attemptsPerRequest: number;
 }
 
-const PLACES = 32;
+const CONCURRENCY = 32;
 const MEAN_RUN_MS = 50;
-const CAPACITY_PER_SECOND = PLACES * 1000 / MEAN_RUN_MS;
+const CAPACITY_PER_SECOND = CONCURRENCY * 1000 / MEAN_RUN_MS;
 const QUEUE_LENGTH = 256;
 const DEADLINE_MS = 1000;
-const RUN_MS = 30_000;
-const COUNT_FROM_MS = 3000;
-const ORGANISATIONS = 10;
-const QUICK_SHARE = 0.1;
+const ARRIVALS_END_MS = 30_000;
+const WARM_UP_END_MS = 3000;
+const ORGANISATION_COUNT = 10;
+const QUICK_FRACTION = 0.1;
 const SEED = 20261202;
 
-/** A way of queueing. */
+/** Name of a queue. */
 export type QueueName = "first in, first out" | "ours";
 
-interface Work extends QueuedItem {
+interface WaitingRequest extends QueuedItem {
   readonly arrivedAt: number;
 }
 
-/** Takes work in, and gives out what is to run next. */
+/** A queue that decides which request runs next. */
 abstract class QueueModel {
-  abstract add(work: Work): void;
-  abstract tryTake(now: number): Work | undefined;
+  abstract add(request: WaitingRequest): void;
+  abstract tryTake(now: number): WaitingRequest | undefined;
 }
 
-class FirstInFirstOut extends QueueModel {
-  readonly #works: Work[] = [];
+class FirstInFirstOutQueue extends QueueModel {
+  readonly #requests: WaitingRequest[] = [];
 
-  override add(work: Work): void {
-    if (this.#works.length < QUEUE_LENGTH) this.#works.push(work);
+  override add(request: WaitingRequest): void {
+    if (this.#requests.length < QUEUE_LENGTH) this.#requests.push(request);
   }
 
-  override tryTake(): Work | undefined {
-    return this.#works.shift();
+  override tryTake(): WaitingRequest | undefined {
+    return this.#requests.shift();
   }
 }
 
 class FairQueueModel extends QueueModel {
-  readonly #queue = new FairQueue<Work>(QUEUE_LENGTH);
+  readonly #queue = new FairQueue<WaitingRequest>(QUEUE_LENGTH);
 
-  override add(work: Work): void {
-    this.#queue.add(work);
+  override add(request: WaitingRequest): void {
+    this.#queue.add(request);
   }
 
-  override tryTake(now: number): Work | undefined {
+  override tryTake(now: number): WaitingRequest | undefined {
     while (true) {
-      const work = this.#queue.tryTake();
-      if (work === undefined || work.startBy > now) return work;
+      const request = this.#queue.tryTake();
+      if (request === undefined || request.startBy > now) return request;
     }
   }
 }
@@ -94,93 +96,101 @@
 export interface LimitsCase {
   readonly name: string;
   readonly load: number;
-  /** Share of all requests that one organisation sends. */
-  readonly floodShare: number;
+  /** Fraction of all requests that one organisation sends. */
+  readonly floodFraction: number;
 }
 
-/** Loads of the table. */
+/** Loads in the order of the table. */
 export const LIMITS_CASES: readonly LimitsCase[] = [
-  { name: "even", load: 0.5, floodShare: 0.1 },
-  { name: "even", load: 1, floodShare: 0.1 },
-  { name: "even", load: 2, floodShare: 0.1 },
-  { name: "even", load: 3, floodShare: 0.1 },
-  { name: "even", load: 4, floodShare: 0.1 },
-  { name: "one floods", load: 3, floodShare: 0.85 },
-  { name: "without the flood", load: 0.45, floodShare: 0 },
+  { name: "even", load: 0.5, floodFraction: 0.1 },
+  { name: "even", load: 1, floodFraction: 0.1 },
+  { name: "even", load: 2, floodFraction: 0.1 },
+  { name: "even", load: 3, floodFraction: 0.1 },
+  { name: "even", load: 4, floodFraction: 0.1 },
+  { name: "one floods", load: 3, floodFraction: 0.85 },
+  { name: "without the flood", load: 0.45, floodFraction: 0 },
 ];
 
-/** Runs both ways of queueing at every load. */
+/** Runs both queues at every load. */
 export function runLimitsBench(): readonly (LimitsResult & {
   readonly queue: QueueName;
 })[] {
-  return LIMITS_CASES.flatMap((one) => [
+  return LIMITS_CASES.flatMap((limitsCase) => [
     {
       queue: "first in, first out" as const,
-      ...runCase(one, new FirstInFirstOut()),
+      ...runCase(limitsCase, new FirstInFirstOutQueue()),
     },
-    { queue: "ours" as const, ...runCase(one, new FairQueueModel()) },
+    { queue: "ours" as const, ...runCase(limitsCase, new FairQueueModel()) },
   ]);
 }
 
-function runCase(limits: LimitsCase, queue: QueueModel): LimitsResult {
+function runCase(limitsCase: LimitsCase, queue: QueueModel): LimitsResult {
   const events = new EventQueue();
   const random = new RandomSource(SEED);
-  const others: number[] = [];
-  const quick: number[] = [];
+  const otherTimes: number[] = [];
+  const quickTimes: number[] = [];
   let othersSent = 0;
-  let inTime = 0;
+  let answeredInTime = 0;
   let running = 0;
 
-  function arrive(): void {
-    const rate = limits.load * CAPACITY_PER_SECOND;
+  function scheduleArrival(): void {
+    const rate = limitsCase.load * CAPACITY_PER_SECOND;
     events.after(random.nextExponential(1000 / rate), () => {
-      if (events.now >= RUN_MS) return;
-      const work = drawWork(limits, random, events.now);
-      if (isCounted(work) && work.organisation !== "0") othersSent++;
-      queue.add(work);
-      startWork();
-      arrive();
+      if (events.now >= ARRIVALS_END_MS) return;
+      const request = createRandomRequest(limitsCase, random, events.now);
+      if (isAfterWarmUp(request) && request.organisation !== "0") othersSent++;
+      queue.add(request);
+      startRequests();
+      scheduleArrival();
     });
   }
 
-  function startWork(): void {
-    while (running < PLACES) {
-      const work = queue.tryTake(events.now);
-      if (work === undefined) return;
+  function startRequests(): void {
+    while (running < CONCURRENCY) {
+      const request = queue.tryTake(events.now);
+      if (request === undefined) return;
       running++;
       events.after(random.nextExponential(MEAN_RUN_MS), () => {
         running--;
-        finish(work);
-        startWork();
+        finish(request);
+        startRequests();
       });
     }
   }
 
-  function finish(work: Work): void {
-    const taken = events.now - work.arrivedAt;
-    if (!isCounted(work) || taken > DEADLINE_MS) return;
-    inTime++;
-    if (work.priority === PRIORITIES_BY_NAME.quick) quick.push(taken);
-    if (work.organisation !== "0") others.push(taken);
+  function finish(request: WaitingRequest): void {
+    const elapsedMs = events.now - request.arrivedAt;
+    if (!isAfterWarmUp(request) || elapsedMs > DEADLINE_MS) return;
+    answeredInTime++;
+    if (request.priority === PRIORITIES_BY_NAME.quick) {
+      quickTimes.push(elapsedMs);
+    }
+    if (request.organisation !== "0") otherTimes.push(elapsedMs);
   }
 
-  arrive();
-  events.runUntil(RUN_MS + 2 * DEADLINE_MS);
-  const seconds = (RUN_MS - COUNT_FROM_MS) / 1000;
+  scheduleArrival();
+  events.runUntil(ARRIVALS_END_MS + 2 * DEADLINE_MS);
+  const seconds = (ARRIVALS_END_MS - WARM_UP_END_MS) / 1000;
   return {
-    case: limits.name,
-    load: limits.load,
-    goodput: inTime / seconds / CAPACITY_PER_SECOND,
-    othersP99: quantile(others, 0.99),
-    quickP99: quantile(quick, 0.99),
-    othersAnswered: others.length / Math.max(1, othersSent),
+    case: limitsCase.name,
+    load: limitsCase.load,
+    goodput: answeredInTime / seconds / CAPACITY_PER_SECOND,
+    othersP99: getQuantile(otherTimes, 0.99),
+    quickP99: getQuantile(quickTimes, 0.99),
+    othersAnswered: otherTimes.length / Math.max(1, othersSent),
   };
 }
 
-function drawWork(limits: LimitsCase, random: RandomSource, now: number): Work {
-  const isFlood = random.nextFraction() < limits.floodShare;
-  const isQuick = random.nextFraction() < QUICK_SHARE;
-  const organisation = isFlood ? 0 : 1 + random.nextBelow(ORGANISATIONS - 1);
+function createRandomRequest(
+  limitsCase: LimitsCase,
+  random: RandomSource,
+  now: number,
+): WaitingRequest {
+  const isFlood = random.nextFraction() < limitsCase.floodFraction;
+  const isQuick = random.nextFraction() < QUICK_FRACTION;
+  const organisation = isFlood
+    ? 0
+    : 1 + random.nextBelow(ORGANISATION_COUNT - 1);
   const priority = PRIORITIES_BY_NAME[isQuick ? "quick" : "normal"];
   return {
     organisation: String(organisation),
@@ -191,20 +201,20 @@
   };
 }
 
-function isCounted(work: Work): boolean {
-  return work.arrivedAt >= COUNT_FROM_MS;
+function isAfterWarmUp(request: WaitingRequest): boolean {
+  return request.arrivedAt >= WARM_UP_END_MS;
 }
 
-/** Attempts for each request when every attempt fails. */
+/** Computes the attempts for each request when every attempt fails. */
 export function runRetryBench(): readonly RetryResult[] {
   return [
     { case: "no budget, up to 3 attempts", attemptsPerRequest: 3 },
-    { case: "ours, share 0.1", attemptsPerRequest: attemptsWith(0.1) },
+    { case: "ours, share 0.1", attemptsPerRequest: getAttemptsPerRequest(0.1) },
   ];
 }
 
-function attemptsWith(share: number): number {
-  const budget = new RetryBudget(share);
+function getAttemptsPerRequest(retryShare: number): number {
+  const budget = new RetryBudget(retryShare);
   const requests = 10_000;
   let attempts = 0;
   for (let request = 0; request < requests; request++) {
@@ -215,7 +225,7 @@
   return attempts / requests;
 }
 
-function quantile(values: readonly number[], share: number): number {
+function getQuantile(values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((left, right) => left - right);
-  return sorted[Math.floor((sorted.length - 1) * share)] ?? 0;
+  return sorted[Math.floor((sorted.length - 1) * fraction)] ?? 0;
 }
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the benches: `npm run bench`, or `npm run bench -- placement`.
+ * Runs the benchmarks: `npm run bench` for all, or `npm run bench -- placement` for one.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import { runPathBench } from "./path_bench.ts";
 import { runPlacementBench } from "./placement_bench.ts";
 import { writePlots } from "./plots.ts";
-import { controlMessageBytes, runSizeBench } from "./size_bench.ts";
+import { measureControlMessages, runSizeBench } from "./size_bench.ts";
 import { formatTable, type TableRow } from "./table.ts";
 
 const RESULTS_FOLDER = "docs/bench";
@@ -21,24 +21,27 @@
 }
 
 const BENCHES: readonly Bench[] = [
-  { name: "placement", run: () => Promise.resolve(rows(runPlacementBench())) },
+  {
+    name: "placement",
+    run: () => Promise.resolve(toTableRows(runPlacementBench())),
+  },
   {
     name: "placement-late-reports",
     run: () =>
-      Promise.resolve(rows(runPlacementBench({
-        faults: { lag: 3, missing: 0.2 },
+      Promise.resolve(toTableRows(runPlacementBench({
+        faults: { lagIntervals: 3, missingFraction: 0.2 },
         shapes: ["32 ranks, 128 experts, 32 spare"],
       }))),
   },
-  { name: "choice", run: () => Promise.resolve(rows(runChoiceBench())) },
-  { name: "limits", run: () => Promise.resolve(rows(runLimitsBench())) },
-  { name: "retries", run: () => Promise.resolve(rows(runRetryBench())) },
-  { name: "size", run: async () => rows(await runSizeBench()) },
+  { name: "choice", run: () => Promise.resolve(toTableRows(runChoiceBench())) },
+  { name: "limits", run: () => Promise.resolve(toTableRows(runLimitsBench())) },
+  { name: "retries", run: () => Promise.resolve(toTableRows(runRetryBench())) },
+  { name: "size", run: async () => toTableRows(await runSizeBench()) },
   {
     name: "messages",
     run: () =>
       Promise.resolve(
-        Object.entries(controlMessageBytes())
+        Object.entries(measureControlMessages())
           .map(([message, bytes]) => ({ message, bytes })),
       ),
   },
@@ -46,21 +49,21 @@
     name: "path",
     run: async () => {
       const { ways, roles } = await runPathBench();
-      process.stdout.write(`${formatTable(rows(ways))}\n\n`);
-      return rows(roles);
+      process.stdout.write(`${formatTable(toTableRows(ways))}\n\n`);
+      return toTableRows(roles);
     },
   },
 ];
 
-/** Results are plain objects of strings and numbers. */
-function rows(results: readonly object[]): readonly TableRow[] {
+/** Returns results, which are plain objects of strings and numbers, as table rows. */
+function toTableRows(results: readonly object[]): readonly TableRow[] {
   return results as readonly TableRow[];
 }
 
-async function run(wanted: readonly string[]): Promise<void> {
+async function run(benchNames: readonly string[]): Promise<void> {
   mkdirSync(RESULTS_FOLDER, { recursive: true });
   for (const bench of BENCHES) {
-    if (wanted.length > 0 && !wanted.includes(bench.name)) continue;
+    if (benchNames.length > 0 && !benchNames.includes(bench.name)) continue;
     const results = await bench.run();
     process.stdout.write(`## ${bench.name}\n\n${formatTable(results)}\n\n`);
     const json = JSON.stringify(results, undefined, 2);
--- a/bench/measure.ts
+++ b/bench/measure.ts
@@ -1,11 +1,11 @@
 /**
- * Measures processor time and memory of pieces of the program.
+ * Measures processor time and memory of parts of the program.
  *
  * @module
  */
 import process from "node:process";
 
-/** Processor time of repeated work. */
+/** Processor time of a repeated operation. */
 export interface TimeMeasure {
   /** Microseconds of processor time for each repetition. */
   readonly microseconds: number;
@@ -14,51 +14,54 @@
 const ROUNDS = 5;
 
 /**
- * Microseconds of processor time for one repetition: the median of several
- * rounds, after one that does not count.
+ * Returns the microseconds of processor time for one repetition: the median of several
+ * rounds, after a warm-up round that is not counted.
  */
 export function measureMicroseconds(
   repetitions: number,
-  work: (repetition: number) => void,
+  runOnce: (repetition: number) => void,
 ): number {
   const rounds: number[] = [];
   for (let round = 0; round <= ROUNDS; round++) {
     const before = process.cpuUsage();
-    for (let index = 0; index < repetitions; index++) work(index);
-    const spent = process.cpuUsage(before);
-    if (round > 0) rounds.push((spent.user + spent.system) / repetitions);
+    for (let index = 0; index < repetitions; index++) runOnce(index);
+    const usage = process.cpuUsage(before);
+    if (round > 0) rounds.push((usage.user + usage.system) / repetitions);
   }
-  return medianOf(rounds);
+  return getMedian(rounds);
 }
 
-/** Bytes of heap that a value keeps; the collector must be exposed. */
+/** Returns the bytes of heap that a value retains. Requires `--expose-gc`. */
 export function measureBytes<T>(create: () => T): {
   readonly bytes: number;
   readonly value: T;
 } {
-  const before = heapUsed();
+  const before = getHeapBytes();
   const value = create();
-  return { bytes: heapUsed() - before, value };
+  return { bytes: getHeapBytes() - before, value };
 }
 
-/** Least squares: what one more unit costs, and what none costs. */
-export function slopeOf(
+/**
+ * Fits a line to points by least squares: `slope` is the cost of one more unit and
+ * `base` the cost of none.
+ */
+export function fitLine(
   points: readonly { readonly size: number; readonly cost: number }[],
 ): { readonly slope: number; readonly base: number } {
-  const meanSize = meanOf(points.map((point) => point.size));
-  const meanCost = meanOf(points.map((point) => point.cost));
-  let above = 0;
-  let below = 0;
+  const meanSize = getMean(points.map((point) => point.size));
+  const meanCost = getMean(points.map((point) => point.cost));
+  let covariance = 0;
+  let variance = 0;
   for (const { size, cost } of points) {
-    above += (size - meanSize) * (cost - meanCost);
-    below += (size - meanSize) ** 2;
+    covariance += (size - meanSize) * (cost - meanCost);
+    variance += (size - meanSize) ** 2;
   }
-  const slope = above / below;
+  const slope = covariance / variance;
   return { slope, base: meanCost - slope * meanSize };
 }
 
-/** Bytes in use after a collection; the collector must be exposed. */
-export function heapUsed(): number {
+/** Returns the bytes in use after a garbage collection. Requires `--expose-gc`. */
+export function getHeapBytes(): number {
   if (globalThis.gc === undefined) {
     throw new Error("Run with --expose-gc to measure memory");
   }
@@ -68,11 +71,11 @@
   return heapUsed + arrayBuffers;
 }
 
-function medianOf(values: readonly number[]): number {
+function getMedian(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor(sorted.length / 2)] as number;
 }
 
-function meanOf(values: readonly number[]): number {
+function getMean(values: readonly number[]): number {
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
--- a/bench/path_bench.ts
+++ b/bench/path_bench.ts
@@ -1,7 +1,8 @@
 /**
- * Bench of the whole path with real processes: requests a second and latency
- * through entry and target over those of the same back end called directly by
- * the same client, and processor time of each role. Printed, not judged.
+ * Benchmark of the whole request path with real processes. Compares requests per second
+ * and latency through entry and target with those of direct calls to the same back end
+ * by the same client, and measures the processor time of each role. The results are
+ * printed and not checked against bounds.
  *
  * @module
  */
@@ -17,7 +18,7 @@
 import { ModelEngineStandIn } from "../standins/model_engine_stand_in.ts";
 import { PlainServiceStandIn } from "../standins/plain_service_stand_in.ts";
 
-/** Figures of one way to the back end. */
+/** Results of one way to call the back end: directly, or through entry and target. */
 export interface PathResult {
   readonly way: string;
   readonly requestsPerSecond: number;
@@ -25,7 +26,7 @@
   readonly p99Ms: number;
 }
 
-/** Processor time of one role. */
+/** Processor time and memory of one role. */
 export interface RoleResult {
   readonly role: string;
   readonly perRequestUs: number;
@@ -33,23 +34,23 @@
   readonly residentMb: number;
 }
 
-/** Everything that one run shows. */
+/** Results of one run. */
 export interface PathBenchResult {
   readonly ways: readonly PathResult[];
   readonly roles: readonly RoleResult[];
 }
 
-const REQUESTS = 6000;
-const WARM_UP_REQUESTS = 1500;
-const CLIENTS = 16;
-const STREAMS = 40;
-const TOKENS = 400;
+const REQUEST_COUNT = 6000;
+const WARM_UP_REQUEST_COUNT = 1500;
+const CLIENT_COUNT = 16;
+const STREAM_COUNT = 40;
+const TOKENS_PER_STREAM = 400;
 const STEP_MS = 5;
-/** The kernel counts processor time in hundredths of a second. */
-const TICK_US = 10_000;
+/** The kernel counts processor time in ticks of a hundredth of a second. */
+const CLOCK_TICK_US = 10_000;
 const PAGE_MB = 4096 / 1024 / 1024;
 
-/** Runs the whole path once. */
+/** Measures the whole request path once. */
 export async function runPathBench(): Promise<PathBenchResult> {
   const cluster = await ProcessCluster.create();
   try {
@@ -63,51 +64,58 @@
   cluster: ProcessCluster,
 ): Promise<PathBenchResult> {
   const entry = await cluster.startEntry("entry-1");
-  const plain = new PlainServiceStandIn("confirm");
-  const plainAddress = await cluster.listen(plain);
+  const plainService = new PlainServiceStandIn("confirm");
+  const plainAddress = await cluster.listen(plainService);
   const engine = new ModelEngineStandIn({
     name: "plan",
     stepMs: STEP_MS,
-    defaultTokens: TOKENS,
+    defaultTokens: TOKENS_PER_STREAM,
   });
-  const confirm = await cluster.startTarget("confirm-1", plainAddress, {
-    concurrency: CLIENTS,
+  const confirmTarget = await cluster.startTarget("confirm-1", plainAddress, {
+    concurrency: CLIENT_COUNT,
   });
-  const plan = await cluster.startTarget(
+  const planTarget = await cluster.startTarget(
     "plan-1",
     await cluster.listen(engine),
     {
-      concurrency: STREAMS,
+      concurrency: STREAM_COUNT,
       ownsKeys: false,
     },
   );
   await cluster.waitForTargets(entry, ["confirm-1", "plan-1"]);
   await applyServices(cluster, entry);
   const direct = await measureWay("direct", plainAddress);
-  const entryBefore = cpuOf(entry);
-  const targetBefore = cpuOf(confirm);
-  const through = await measureWay("through entry and target", entry.address);
-  const counted = REQUESTS + WARM_UP_REQUESTS;
-  const entryRequest = (cpuOf(entry) - entryBefore) / counted;
-  const targetRequest = (cpuOf(confirm) - targetBefore) / counted;
-  const entryStreams = cpuOf(entry);
-  const targetStreams = cpuOf(plan);
+  const entryUsBeforeRequests = readProcessorUs(entry);
+  const targetUsBeforeRequests = readProcessorUs(confirmTarget);
+  const throughEntry = await measureWay(
+    "through entry and target",
+    entry.address,
+  );
+  const requestCount = REQUEST_COUNT + WARM_UP_REQUEST_COUNT;
+  const entryUsPerRequest = (readProcessorUs(entry) - entryUsBeforeRequests) /
+    requestCount;
+  const targetUsPerRequest =
+    (readProcessorUs(confirmTarget) - targetUsBeforeRequests) / requestCount;
+  const entryUsBeforeStreams = readProcessorUs(entry);
+  const targetUsBeforeStreams = readProcessorUs(planTarget);
   await runStreams(entry);
-  const tokens = STREAMS * TOKENS;
+  const tokenCount = STREAM_COUNT * TOKENS_PER_STREAM;
   return {
-    ways: [direct, through],
+    ways: [direct, throughEntry],
     roles: [
       {
         role: "entry",
-        perRequestUs: entryRequest,
-        perTokenUs: (cpuOf(entry) - entryStreams) / tokens,
-        residentMb: residentOf(entry),
+        perRequestUs: entryUsPerRequest,
+        perTokenUs: (readProcessorUs(entry) - entryUsBeforeStreams) /
+          tokenCount,
+        residentMb: readResidentMb(entry),
       },
       {
         role: "target",
-        perRequestUs: targetRequest,
-        perTokenUs: (cpuOf(plan) - targetStreams) / tokens,
-        residentMb: residentOf(confirm),
+        perRequestUs: targetUsPerRequest,
+        perTokenUs: (readProcessorUs(planTarget) - targetUsBeforeStreams) /
+          tokenCount,
+        residentMb: readResidentMb(confirmTarget),
       },
     ],
   };
@@ -137,18 +145,18 @@
 }
 
 async function measureWay(way: string, address: string): Promise<PathResult> {
-  const pool = new Pool(`http://${address}`, { connections: CLIENTS });
-  await runRequests(pool, WARM_UP_REQUESTS, () => undefined);
+  const pool = new Pool(`http://${address}`, { connections: CLIENT_COUNT });
+  await runRequests(pool, WARM_UP_REQUEST_COUNT, () => undefined);
   const histogram = build({ numberOfSignificantValueDigits: 3 });
   const startedAt = performance.now();
-  await runRequests(pool, REQUESTS, (milliseconds) => {
+  await runRequests(pool, REQUEST_COUNT, (milliseconds) => {
     histogram.recordValue(Math.round(milliseconds * 1000));
   });
   const seconds = (performance.now() - startedAt) / 1000;
   await pool.close();
   return {
     way,
-    requestsPerSecond: REQUESTS / seconds,
+    requestsPerSecond: REQUEST_COUNT / seconds,
     p50Ms: histogram.getValueAtPercentile(50) / 1000,
     p99Ms: histogram.getValueAtPercentile(99) / 1000,
   };
@@ -157,11 +165,11 @@
 async function runRequests(
   pool: Pool,
   count: number,
-  record: (milliseconds: number) => void,
+  recordLatency: (milliseconds: number) => void,
 ): Promise<void> {
-  let left = count;
+  let remaining = count;
   async function runClient(): Promise<void> {
-    while (left-- > 0) {
+    while (remaining-- > 0) {
       const startedAt = performance.now();
       const response = await pool.request({
         method: "POST",
@@ -172,35 +180,39 @@
       if (response.statusCode !== 200) {
         throw new Error(`Status ${response.statusCode}`);
       }
-      record(performance.now() - startedAt);
+      recordLatency(performance.now() - startedAt);
     }
   }
-  await Promise.all(Array.from({ length: CLIENTS }, runClient));
+  await Promise.all(Array.from({ length: CLIENT_COUNT }, runClient));
 }
 
 async function runStreams(entry: RunningProcess): Promise<void> {
-  const pool = new Pool(`http://${entry.address}`, { connections: STREAMS });
-  await Promise.all(Array.from({ length: STREAMS }, async () => {
+  const pool = new Pool(`http://${entry.address}`, {
+    connections: STREAM_COUNT,
+  });
+  await Promise.all(Array.from({ length: STREAM_COUNT }, async () => {
     const response = await pool.request({
       method: "POST",
       path: "/plan",
-      body: JSON.stringify({ max_tokens: TOKENS }),
+      body: JSON.stringify({ max_tokens: TOKENS_PER_STREAM }),
     });
     await response.body.dump({ limit: Number.MAX_SAFE_INTEGER });
   }));
   await pool.close();
 }
 
-/** Processor time of a process so far, in microseconds. */
-function cpuOf(running: RunningProcess): number {
-  const fields = readStat(running, "stat").replace(/^.*\) /, "").split(" ");
-  return (Number(fields[11]) + Number(fields[12])) * TICK_US;
+/** Returns the processor time that a process has used so far, in microseconds. */
+function readProcessorUs(running: RunningProcess): number {
+  const fields = readProcFile(running, "stat").replace(/^.*\) /, "").split(
+    " ",
+  );
+  return (Number(fields[11]) + Number(fields[12])) * CLOCK_TICK_US;
 }
 
-function residentOf(running: RunningProcess): number {
-  return Number(readStat(running, "statm").split(" ")[1]) * PAGE_MB;
+function readResidentMb(running: RunningProcess): number {
+  return Number(readProcFile(running, "statm").split(" ")[1]) * PAGE_MB;
 }
 
-function readStat(running: RunningProcess, name: string): string {
+function readProcFile(running: RunningProcess, name: string): string {
   return readFileSync(`/proc/${running.child.pid}/${name}`, "utf8");
 }
--- a/bench/placement_bench.ts
+++ b/bench/placement_bench.ts
@@ -1,10 +1,11 @@
 /**
- * Bench of expert maps: step-time skew against moves, planner by planner.
+ * Benchmark of expert maps: compares the step-time skew and the moves of planners.
  *
- * Model: a rank's time for a layer is its experts' tokens over its speed; a
- * layer takes as long as its slowest rank; a step is the sum of its layers. The
- * planner sees the counts of earlier intervals, with noise, late and with gaps.
- * A new map takes effect once its experts are loaded from the weight store.
+ * Model: a rank's time for a layer is the number of tokens of its experts divided by its
+ * speed. A layer takes as long as its slowest rank, and a step takes the sum of its
+ * layers. The planner observes the counts of earlier intervals, with noise, a delay and
+ * missing values. A new map takes effect once its experts are loaded from the weight
+ * store.
  *
  * @module
  */
@@ -28,15 +29,15 @@
   type PlacementPlanner,
 } from "../src/policy/placement/types.ts";
 import {
+  type ActualInterval,
   createWorkload,
   type GroupShape,
-  type IntervalTruth,
-  SHIFT_AT,
+  SHIFT_INTERVAL,
   type WorkloadName,
   WORKLOADS,
 } from "./step_workloads.ts";
 
-/** A planner as a name. */
+/** Name of a planner. */
 export type PlannerName = "none" | "full" | "full, free" | "skew" | "cost";
 
 /** All planners, in the order of the tables. */
@@ -47,31 +48,31 @@
   "cost",
 ];
 
-/** How reports reach the planner. */
+/** Delay and losses of the reports to the planner. */
 export interface ReportFaults {
-  /** Intervals by which reports are late. */
-  readonly lag: number;
-  /** Share of reports that are missing. */
-  readonly missing: number;
+  /** Number of intervals by which reports are delayed. */
+  readonly lagIntervals: number;
+  /** Fraction of reported values that are missing. */
+  readonly missingFraction: number;
 }
 
-/** What one planner did on one workload. */
+/** Results of one planner on one workload. */
 export interface PlacementResult {
   readonly workload: WorkloadName;
   readonly shape: string;
   readonly planner: PlannerName;
-  /** Slowest rank's time over the mean, over all intervals. */
+  /** Ratio of the slowest rank's time to the mean, averaged over all intervals. */
   readonly meanSkew: number;
   readonly p99Skew: number;
-  /** Mean of what no placement can beat. */
+  /** Mean of the lowest skew that any placement could reach. */
   readonly lowerBound: number;
-  /** Experts moved in a layer, per interval. */
+  /** Experts moved per layer and interval. */
   readonly movesPerInterval: number;
-  /** Intervals after the sudden shift until skew is back; -1: never. */
+  /** Intervals from the sudden shift until the skew has recovered; -1 if it never has. */
   readonly intervalsToRecover: number;
 }
 
-/** Shapes of the table. */
+/** Group shapes by name, in the order of the table. */
 export const SHAPES: Readonly<Record<string, GroupShape>> = {
   "8 ranks, 64 experts, no spare": {
     ranks: 8,
@@ -93,15 +94,15 @@
   },
 };
 
-/** Experts of a layer that the weight store delivers in an interval. */
-const LOADED_PER_INTERVAL = 64;
-const INTERVALS = 200;
-/** The first intervals are left out: every planner begins from the same map. */
-const WARM_UP = 10;
-const NOISE = 0.01;
+/** Number of a layer's experts that the weight store delivers in an interval. */
+const LOADED_EXPERTS_PER_INTERVAL = 64;
+const INTERVAL_COUNT = 200;
+/** The first intervals are not counted, as every planner starts with the same map. */
+const WARM_UP_INTERVALS = 10;
+const NOISE_DEVIATION = 0.01;
 const SEED = 20261202;
-/** Skew counts as back when it is this close to that before the shift. */
-const RECOVERED = 1.03;
+/** The skew has recovered when its ratio to that before the shift is at most this. */
+const MAX_RECOVERED_RATIO = 1.03;
 
 /** Options of {@link runPlacementBench}. */
 export interface PlacementBenchOptions {
@@ -115,28 +116,29 @@
 export function runPlacementBench(
   options: PlacementBenchOptions = {},
 ): readonly PlacementResult[] {
-  const faults = options.faults ?? { lag: 1, missing: 0.02 };
+  const reportFaults = options.faults ??
+    { lagIntervals: 1, missingFraction: 0.02 };
   const planners = options.planners ?? createPlanners();
   const results: PlacementResult[] = [];
   for (const shapeName of options.shapes ?? Object.keys(SHAPES)) {
     const shape = SHAPES[shapeName] as GroupShape;
     for (const workload of options.workloads ?? WORKLOADS) {
-      const truths = createWorkload(workload, shape, {
-        intervals: INTERVALS,
+      const intervals = createWorkload(workload, shape, {
+        intervals: INTERVAL_COUNT,
         seed: SEED,
       });
       for (const [name, planner] of Object.entries(planners)) {
-        const run = new PlacementRun(shape, planner, {
-          ...faults,
-          loadedPerInterval: name.endsWith("free")
+        const simulation = new PlacementSimulation(shape, planner, {
+          ...reportFaults,
+          loadedExpertsPerInterval: name.endsWith("free")
             ? Number.POSITIVE_INFINITY
-            : LOADED_PER_INTERVAL,
+            : LOADED_EXPERTS_PER_INTERVAL,
         });
         results.push({
           workload,
           shape: shapeName,
           planner: name as PlannerName,
-          ...run.run(truths),
+          ...simulation.run(intervals),
         });
       }
     }
@@ -144,102 +146,106 @@
   return results;
 }
 
-/** Our planners and the baselines. */
+/** Creates the planners of the program and the baselines. */
 export function createPlanners(): Readonly<
   Record<PlannerName, PlacementPlanner>
 > {
   return {
     none: new FixedPlanner(),
     full: new GreedyPacker(),
-    // As if the weight store had no limit: the most that repacking can do.
+    // Runs with an unlimited weight store, which shows the best result of repacking.
     "full, free": new GreedyPacker(),
     skew: new Rebalancer(REBALANCE_PRESETS.skew),
     cost: new Rebalancer(REBALANCE_PRESETS.cost),
   };
 }
 
-interface RunConditions extends ReportFaults {
-  /** Experts of a layer that the weight store delivers in an interval. */
-  readonly loadedPerInterval: number;
+interface SimulationConditions extends ReportFaults {
+  /** Number of a layer's experts that the weight store delivers in an interval. */
+  readonly loadedExpertsPerInterval: number;
 }
 
-interface LayerRun {
+interface LayerState {
   placement: LayerPlacement;
-  /** A map whose experts are being loaded. */
-  next:
+  /** The next map, while its experts are being loaded. */
+  loading:
     | { readonly placement: LayerPlacement; intervalsLeft: number }
     | undefined;
   readonly estimator: LoadEstimator;
 }
 
-/** One planner on one workload. */
-class PlacementRun {
+/** Simulates one planner on one workload. */
+class PlacementSimulation {
   readonly #shape: GroupShape;
   readonly #planner: PlacementPlanner;
-  readonly #faults: RunConditions;
+  readonly #conditions: SimulationConditions;
   readonly #random = new RandomSource(SEED + 1);
   #moves = 0;
 
   constructor(
     shape: GroupShape,
     planner: PlacementPlanner,
-    faults: RunConditions,
+    conditions: SimulationConditions,
   ) {
     this.#shape = shape;
     this.#planner = planner;
-    this.#faults = faults;
+    this.#conditions = conditions;
   }
 
   run(
-    truths: readonly IntervalTruth[],
+    intervals: readonly ActualInterval[],
   ): Omit<PlacementResult, "workload" | "shape" | "planner"> {
-    const layers = this.#startLayers(truths[0] as IntervalTruth);
+    const layers = this.#createLayers(intervals[0] as ActualInterval);
     const skews: number[] = [];
     const bounds: number[] = [];
-    for (const [interval, truth] of truths.entries()) {
-      if (interval === WARM_UP) this.#moves = 0;
-      skews.push(skewOf(layers, truth));
-      bounds.push(this.#boundOf(truth));
-      const reported = truths[interval + 1 - this.#faults.lag];
-      if (reported !== undefined) this.#planAll(layers, reported);
+    for (const [interval, actual] of intervals.entries()) {
+      if (interval === WARM_UP_INTERVALS) this.#moves = 0;
+      skews.push(computeSkew(layers, actual));
+      bounds.push(this.#computeLowerBound(actual));
+      const reported = intervals[interval + 1 - this.#conditions.lagIntervals];
+      if (reported !== undefined) this.#planLayers(layers, reported);
     }
-    const counted = skews.slice(WARM_UP);
+    const counted = skews.slice(WARM_UP_INTERVALS);
     const sorted = [...counted].sort((left, right) => left - right);
     return {
-      meanSkew: mean(counted),
+      meanSkew: getMean(counted),
       p99Skew: sorted[Math.floor(sorted.length * 0.99)] as number,
-      lowerBound: mean(bounds.slice(WARM_UP)),
+      lowerBound: getMean(bounds.slice(WARM_UP_INTERVALS)),
       movesPerInterval: this.#moves / this.#shape.layers / counted.length,
-      intervalsToRecover: recoveryOf(skews),
+      intervalsToRecover: countIntervalsToRecover(skews),
     };
   }
 
-  #startLayers(truth: IntervalTruth): readonly LayerRun[] {
+  #createLayers(actual: ActualInterval): readonly LayerState[] {
     const { ranks, slotsPerRank, experts } = this.#shape;
     const slots = new Array<number>(ranks).fill(slotsPerRank);
-    return truth.tokens.map((tokens) => ({
-      placement: packGreedily({ tokens, speeds: truth.speeds }, slots),
-      next: undefined,
+    return actual.tokens.map((tokens) => ({
+      placement: packGreedily({ tokens, speeds: actual.speeds }, slots),
+      loading: undefined,
       estimator: new LoadEstimator(experts, ranks),
     }));
   }
 
-  #planAll(layers: readonly LayerRun[], truth: IntervalTruth): void {
+  #planLayers(layers: readonly LayerState[], actual: ActualInterval): void {
     for (const [index, layer] of layers.entries()) {
       layer.estimator.observe({
-        tokens: (truth.tokens[index] ?? []).map((count) => this.#seen(count)),
-        slowdowns: truth.speeds.map((speed) => this.#seen(1 / speed)),
+        tokens: (actual.tokens[index] ?? []).map((count) =>
+          this.#observeWithFaults(count)
+        ),
+        slowdowns: actual.speeds.map((speed) =>
+          this.#observeWithFaults(1 / speed)
+        ),
       });
-      this.#plan(layer);
+      this.#planLayer(layer);
     }
   }
 
-  #plan(layer: LayerRun): void {
-    if (layer.next !== undefined) {
-      layer.next.intervalsLeft--;
-      if (layer.next.intervalsLeft > 0) return;
-      layer.placement = layer.next.placement;
-      layer.next = undefined;
+  #planLayer(layer: LayerState): void {
+    if (layer.loading !== undefined) {
+      layer.loading.intervalsLeft--;
+      if (layer.loading.intervalsLeft > 0) return;
+      layer.placement = layer.loading.placement;
+      layer.loading = undefined;
     }
     const planned = this.#planner.plan(layer.placement, layer.estimator.load);
     if (planned.moves === 0) {
@@ -247,69 +253,77 @@
       return;
     }
     this.#moves += planned.moves;
-    const { loadedPerInterval } = this.#faults;
-    layer.next = {
+    const { loadedExpertsPerInterval } = this.#conditions;
+    layer.loading = {
       placement: planned.placement,
-      intervalsLeft: Math.max(1, Math.ceil(planned.moves / loadedPerInterval)),
+      intervalsLeft: Math.max(
+        1,
+        Math.ceil(planned.moves / loadedExpertsPerInterval),
+      ),
     };
   }
 
-  #seen(value: number): number | undefined {
-    const isMissing = this.#random.nextFraction() < this.#faults.missing;
-    const seen = value * (1 + this.#random.nextNormal(0, NOISE));
-    return isMissing ? undefined : Math.max(0, seen);
+  #observeWithFaults(value: number): number | undefined {
+    const isMissing =
+      this.#random.nextFraction() < this.#conditions.missingFraction;
+    const observed = value * (1 + this.#random.nextNormal(0, NOISE_DEVIATION));
+    return isMissing ? undefined : Math.max(0, observed);
   }
 
-  #boundOf(truth: IntervalTruth): number {
+  #computeLowerBound(actual: ActualInterval): number {
     const slots = this.#shape.ranks * this.#shape.slotsPerRank;
-    let slowest = 0;
-    let spread = 0;
-    for (const tokens of truth.tokens) {
-      const load = { tokens, speeds: truth.speeds };
-      slowest += lowestSlowestTime(load, slots);
-      spread += perfectSpread(tokens, truth.speeds);
+    let slowestTime = 0;
+    let balancedTime = 0;
+    for (const tokens of actual.tokens) {
+      const load = { tokens, speeds: actual.speeds };
+      slowestTime += lowestSlowestTime(load, slots);
+      balancedTime += computeBalancedTime(tokens, actual.speeds);
     }
-    return slowest / spread;
+    return slowestTime / balancedTime;
   }
 }
 
 /**
- * Time of all layers by their slowest ranks over that of a perfect spread. With
- * ranks of equal speed this is the slowest rank's time over the mean.
+ * Returns the ratio of the time of all layers, by their slowest ranks, to the time with
+ * perfectly balanced ranks. With ranks of equal speed this is the ratio of the slowest
+ * rank's time to the mean.
  */
-function skewOf(layers: readonly LayerRun[], truth: IntervalTruth): number {
-  let slowest = 0;
-  let spread = 0;
+function computeSkew(
+  layers: readonly LayerState[],
+  actual: ActualInterval,
+): number {
+  let slowestTime = 0;
+  let balancedTime = 0;
   for (const [index, layer] of layers.entries()) {
-    const tokens = truth.tokens[index] ?? [];
-    const load = { tokens, speeds: truth.speeds };
-    slowest += Math.max(...rankTimes(layer.placement, load));
-    spread += perfectSpread(tokens, truth.speeds);
+    const tokens = actual.tokens[index] ?? [];
+    const load = { tokens, speeds: actual.speeds };
+    slowestTime += Math.max(...rankTimes(layer.placement, load));
+    balancedTime += computeBalancedTime(tokens, actual.speeds);
   }
-  return slowest / spread;
+  return slowestTime / balancedTime;
 }
 
-function perfectSpread(
+function computeBalancedTime(
   tokens: readonly number[],
   speeds: readonly number[],
 ): number {
-  return sum(tokens) / sum(speeds);
+  return getSum(tokens) / getSum(speeds);
 }
 
-function recoveryOf(skews: readonly number[]): number {
-  const before = mean(skews.slice(SHIFT_AT - 20, SHIFT_AT));
-  for (let interval = SHIFT_AT; interval < skews.length; interval++) {
-    if ((skews[interval] as number) <= before * RECOVERED) {
-      return interval - SHIFT_AT;
+function countIntervalsToRecover(skews: readonly number[]): number {
+  const before = getMean(skews.slice(SHIFT_INTERVAL - 20, SHIFT_INTERVAL));
+  for (let interval = SHIFT_INTERVAL; interval < skews.length; interval++) {
+    if ((skews[interval] as number) <= before * MAX_RECOVERED_RATIO) {
+      return interval - SHIFT_INTERVAL;
     }
   }
   return -1;
 }
 
-function sum(values: readonly number[]): number {
+function getSum(values: readonly number[]): number {
   return values.reduce((total, value) => total + value, 0);
 }
 
-function mean(values: readonly number[]): number {
-  return sum(values) / values.length;
+function getMean(values: readonly number[]): number {
+  return getSum(values) / values.length;
 }
--- a/bench/plots.ts
+++ b/bench/plots.ts
@@ -1,12 +1,12 @@
 /**
- * Draws results as bars, in SVG, for the pages in docs/.
+ * Renders results as bar charts in SVG for the pages in docs/.
  *
  * @module
  */
 import { existsSync, readFileSync, writeFileSync } from "node:fs";
 import type { TableRow } from "./table.ts";
 
-/** What is drawn from a file of results. */
+/** A chart of the values of a result file. */
 interface Plot {
   readonly results: string;
   readonly file: string;
@@ -14,7 +14,7 @@
   readonly group: string;
   readonly series: string;
   readonly value: string;
-  /** Draws only rows for which this column has this value. */
+  /** Renders only rows in which this column has this value. */
   readonly only?: readonly [column: string, value: string];
 }
 
@@ -55,37 +55,37 @@
 const TOP = 30;
 const LINE_GAP = 16;
 
-/** Draws every plot whose results are there. */
+/** Renders every plot whose result file exists. */
 export function writePlots(folder: string): void {
   for (const plot of PLOTS) {
     const source = `${folder}/${plot.results}.json`;
     if (!existsSync(source)) continue;
     const rows = JSON.parse(readFileSync(source, "utf8")) as TableRow[];
-    writeFileSync(`${folder}/${plot.file}.svg`, drawBars(plot, rows));
+    writeFileSync(`${folder}/${plot.file}.svg`, renderBars(plot, rows));
   }
 }
 
-function drawBars(plot: Plot, all: readonly TableRow[]): string {
+function renderBars(plot: Plot, allRows: readonly TableRow[]): string {
   const { only } = plot;
-  const rows = all.filter((row) =>
+  const rows = allRows.filter((row) =>
     only === undefined || row[only[0]] === only[1]
   );
   const series = [...new Set(rows.map((row) => String(row[plot.series])))];
-  const most = Math.max(...rows.map((row) => Number(row[plot.value])));
-  const parts: string[] = [];
+  const maxValue = Math.max(...rows.map((row) => Number(row[plot.value])));
+  const elements: string[] = [];
   let top = TOP;
   let group = "";
   for (const row of rows) {
     const name = String(row[plot.group]);
     if (name !== group) {
       top += GROUP_GAP;
-      parts.push(drawText(name, { x: 4, y: top + BAR_HEIGHT - 2 }));
+      elements.push(drawText(name, { x: 4, y: top + BAR_HEIGHT - 2 }));
       group = name;
     }
     const value = Number(row[plot.value]);
-    const width = value / most * BARS_WIDTH;
+    const width = value / maxValue * BARS_WIDTH;
     const colour = COLOURS[series.indexOf(String(row[plot.series]))] as string;
-    parts.push(
+    elements.push(
       `<rect x="${LABEL_WIDTH}" y="${top}" width="${width.toFixed(1)}" ` +
         `height="${BAR_HEIGHT - 2}" fill="${colour}"/>`,
       drawText(value.toPrecision(4), {
@@ -97,7 +97,7 @@
   }
   for (const [index, name] of series.entries()) {
     top += LINE_GAP;
-    parts.push(
+    elements.push(
       `<rect x="${LABEL_WIDTH}" y="${top - 9}" width="10" height="10" ` +
         `fill="${COLOURS[index]}"/>`,
       drawText(name, { x: LABEL_WIDTH + 16, y: top }),
@@ -107,12 +107,14 @@
   return `<svg xmlns="http://www.w3.org/2000/svg" width="${width}" ` +
     `height="${top + 12}" font-family="sans-serif" font-size="11">\n` +
     `<rect width="100%" height="100%" fill="white"/>\n` +
-    `${drawText(plot.title, { x: 4, y: 18 })}\n${parts.join("\n")}\n</svg>\n`;
+    `${drawText(plot.title, { x: 4, y: 18 })}\n${
+      elements.join("\n")
+    }\n</svg>\n`;
 }
 
 function drawText(
   text: string,
-  place: { readonly x: number; readonly y: number },
+  position: { readonly x: number; readonly y: number },
 ): string {
-  return `<text x="${place.x.toFixed(1)}" y="${place.y}">${text}</text>`;
+  return `<text x="${position.x.toFixed(1)}" y="${position.y}">${text}</text>`;
 }
--- a/bench/server_model.ts
+++ b/bench/server_model.ts
@@ -1,16 +1,16 @@
 /**
- * A page of model of a model server: steps in which waiting prompts are
- * computed block by block and every running request gets a token.
+ * Simplified model of a model server. In each step it computes blocks of waiting prompts
+ * and produces one token for every running request.
  *
- * Assumptions: a step takes a base time, more for each running request and for
- * each block computed; blocks in the cache cost nothing; the cache forgets what
- * was unused for longest.
+ * Assumptions: a step takes a base time plus a time for each running request and for
+ * each computed block. Cached blocks take no time. The cache evicts the least recently
+ * used blocks.
  *
  * @module
  */
 import type { EventQueue } from "../src/testing/event_queue.ts";
 
-/** A request as a server sees it. */
+/** A request to a server. */
 export interface ServedRequest {
   /** Hashes of the prompt's blocks. */
   readonly blocks: readonly string[];
@@ -19,25 +19,25 @@
   onDone(milliseconds: number): void;
 }
 
-/** What is wrong with a server. */
+/** Fault of a server. */
 export type ServerFault = "none" | "slow" | "fails_fast" | "frozen";
 
 interface Sequence {
   readonly request: ServedRequest;
-  missing: number;
-  produced: number;
-  startedAt: number;
+  missingBlocks: number;
+  producedTokens: number;
+  firstTokenAt: number;
 }
 
-/** Requests that one server runs at once. */
+/** Maximum number of requests that one server runs concurrently. */
 export const SERVER_CONCURRENCY = 24;
 
 const BASE_STEP_MS = 5;
 const STEP_MS_PER_SEQUENCE = 0.25;
 const STEP_MS_PER_BLOCK = 1.5;
 const BLOCKS_PER_STEP = 8;
-const CACHED_BLOCKS = 600;
-const SLOWDOWN = 10;
+const MAX_CACHED_BLOCKS = 600;
+const SLOW_SERVER_FACTOR = 10;
 
 /** One model server. */
 export class ServerModel {
@@ -46,96 +46,98 @@
   readonly #running = new Set<Sequence>();
   readonly #cache = new Set<string>();
   #isStepping = false;
-  #blocksAsked = 0;
-  #blocksFound = 0;
-  /** What is wrong with it. */
+  #requestedBlocks = 0;
+  #cachedBlocks = 0;
+  /** Current fault. */
   fault: ServerFault = "none";
 
-  /** Begins idle. */
+  /** Creates an idle server. */
   constructor(events: EventQueue) {
     this.#events = events;
   }
 
-  /** Requests that wait or run. */
+  /** Number of requests that are waiting or running. */
   get load(): number {
     return this.#waiting.length + this.#running.size;
   }
 
-  /** Share of blocks that were in the cache. */
-  get hitShare(): number {
-    return this.#blocksFound / Math.max(1, this.#blocksAsked);
+  /** Fraction of prompt blocks that were found in the cache. */
+  get cacheHitFraction(): number {
+    return this.#cachedBlocks / Math.max(1, this.#requestedBlocks);
   }
 
-  /** Takes a request in; false when it fails at once. */
+  /** Accepts a request, or returns false if it fails immediately. */
   tryServe(request: ServedRequest): boolean {
     if (this.fault === "fails_fast") return false;
-    const missing = request.blocks.filter((block) => !this.#cache.has(block));
-    this.#blocksAsked += request.blocks.length;
-    this.#blocksFound += request.blocks.length - missing.length;
+    const missingBlocks = request.blocks.filter((block) =>
+      !this.#cache.has(block)
+    );
+    this.#requestedBlocks += request.blocks.length;
+    this.#cachedBlocks += request.blocks.length - missingBlocks.length;
     this.#waiting.push({
       request,
-      missing: missing.length,
-      produced: 0,
-      startedAt: 0,
+      missingBlocks: missingBlocks.length,
+      producedTokens: 0,
+      firstTokenAt: 0,
     });
-    this.#step();
+    this.#startStep();
     return true;
   }
 
-  #step(): void {
+  #startStep(): void {
     if (this.#isStepping || this.load === 0) return;
     this.#isStepping = true;
-    const blocks = this.#takeBlocks();
+    const blocks = this.#computePrompts();
     const milliseconds = BASE_STEP_MS +
       STEP_MS_PER_SEQUENCE * this.#running.size + STEP_MS_PER_BLOCK * blocks;
-    this.#events.after(milliseconds * this.#slowdown(), () => {
+    this.#events.after(milliseconds * this.#getSlowdown(), () => {
       this.#isStepping = false;
-      this.#endStep();
-      this.#step();
+      this.#finishStep();
+      this.#startStep();
     });
   }
 
-  #slowdown(): number {
+  #getSlowdown(): number {
     if (this.fault === "frozen") return Number.MAX_SAFE_INTEGER;
-    return this.fault === "slow" ? SLOWDOWN : 1;
+    return this.fault === "slow" ? SLOW_SERVER_FACTOR : 1;
   }
 
-  #takeBlocks(): number {
-    let left = BLOCKS_PER_STEP;
+  #computePrompts(): number {
+    let remaining = BLOCKS_PER_STEP;
     for (const sequence of [...this.#waiting]) {
       if (this.#running.size >= SERVER_CONCURRENCY) break;
-      const taken = Math.min(left, sequence.missing);
-      sequence.missing -= taken;
-      left -= taken;
-      if (sequence.missing > 0) break;
+      const computed = Math.min(remaining, sequence.missingBlocks);
+      sequence.missingBlocks -= computed;
+      remaining -= computed;
+      if (sequence.missingBlocks > 0) break;
       this.#waiting.shift();
       this.#running.add(sequence);
-      this.#remember(sequence.request.blocks);
+      this.#cacheBlocks(sequence.request.blocks);
     }
-    return BLOCKS_PER_STEP - left;
+    return BLOCKS_PER_STEP - remaining;
   }
 
-  #remember(blocks: readonly string[]): void {
+  #cacheBlocks(blocks: readonly string[]): void {
     for (const block of blocks) {
       this.#cache.delete(block);
       this.#cache.add(block);
     }
     for (const block of this.#cache) {
-      if (this.#cache.size <= CACHED_BLOCKS) return;
+      if (this.#cache.size <= MAX_CACHED_BLOCKS) return;
       this.#cache.delete(block);
     }
   }
 
-  #endStep(): void {
+  #finishStep(): void {
     for (const sequence of [...this.#running]) {
-      sequence.produced++;
-      if (sequence.produced === 1) {
-        sequence.startedAt = this.#events.now;
+      sequence.producedTokens++;
+      if (sequence.producedTokens === 1) {
+        sequence.firstTokenAt = this.#events.now;
         sequence.request.onFirstToken();
       }
-      if (sequence.produced < sequence.request.tokens) continue;
+      if (sequence.producedTokens < sequence.request.tokens) continue;
       this.#running.delete(sequence);
-      sequence.request.onDone(this.#events.now - sequence.startedAt);
+      sequence.request.onDone(this.#events.now - sequence.firstTokenAt);
     }
   }
 }
--- a/bench/size_bench.ts
+++ b/bench/size_bench.ts
@@ -1,6 +1,7 @@
 /**
- * Slopes of state, messages and processor time, from three sizes each, for
- * docs/CAPACITY.md. Real time and memory of this machine: printed, not judged.
+ * Benchmark of memory, message sizes and processor time for docs/CAPACITY.md. Fits a line
+ * to the costs of three sizes each. The results depend on the computer that runs it;
+ * they are printed and not checked against bounds.
  *
  * @module
  */
@@ -25,20 +26,20 @@
 import { KeyLedger } from "../src/target/key_ledger.ts";
 import { createSubmit } from "../src/testing/fixtures.ts";
 import {
-  heapUsed,
+  fitLine,
+  getHeapBytes,
   measureBytes,
   measureMicroseconds,
-  slopeOf,
 } from "./measure.ts";
 import { createWorkload } from "./step_workloads.ts";
 
-/** One slope. */
+/** Line fitted to the costs of several sizes. */
 export interface SizeResult {
   readonly what: string;
   readonly unit: string;
   readonly sizes: string;
   readonly costs: string;
-  /** Cost of one more. */
+  /** Cost of one more unit. */
   readonly slope: number;
   readonly base: number;
 }
@@ -46,7 +47,7 @@
 const SEED = 20261202;
 const TOKEN_BYTES = 40;
 
-/** Measures every slope. */
+/** Runs every measurement. */
 export async function runSizeBench(): Promise<readonly SizeResult[]> {
   return [
     ...await measureSettings(),
@@ -54,7 +55,7 @@
     ...measureMessages(),
     ...measureLedger(),
     ...measurePlanner(),
-    ...measureSwitch(),
+    ...measureMapSize(),
   ];
 }
 
@@ -73,7 +74,7 @@
     unit,
     sizes: points.map((point) => point.size).join(", "),
     costs: points.map((point) => point.cost.toPrecision(3)).join(", "),
-    ...slopeOf(points),
+    ...fitLine(points),
   };
 }
 
@@ -82,7 +83,7 @@
   readonly bodies: readonly string[];
 }
 
-/** Two documents an organisation: its own and one service. */
+/** Creates two documents for each organisation: the organisation and one service. */
 function createTree(organisations: number): TreeFixture {
   let tree = SettingsTree.EMPTY;
   const bodies: string[] = [];
@@ -131,33 +132,37 @@
 }
 
 async function measureSettings(): Promise<readonly SizeResult[]> {
-  const memory: Point[] = [];
-  const loading: Point[] = [];
-  const changing: Point[] = [];
+  const memoryPoints: Point[] = [];
+  const loadPoints: Point[] = [];
+  const changePoints: Point[] = [];
   for (const organisations of [1500, 3000, 6000]) {
-    const before = heapUsed();
+    const before = getHeapBytes();
     const { tree, bodies } = createTree(organisations);
     const cache = new BodyCache();
     const startedAt = performance.now();
-    const snapshot = await loadWhole(tree, bodies, cache);
+    const snapshot = await loadAllSettings(tree, bodies, cache);
     const milliseconds = performance.now() - startedAt;
     const routes = new RoutingTable(snapshot.documents);
-    memory.push({ size: organisations, cost: heapUsed() - before });
+    memoryPoints.push({ size: organisations, cost: getHeapBytes() - before });
     if (routes.size !== organisations) throw new Error("Routes are missing");
-    loading.push({ size: organisations, cost: milliseconds });
-    changing.push({
+    loadPoints.push({ size: organisations, cost: milliseconds });
+    changePoints.push({
       size: organisations,
       cost: await measureChanges(snapshot, { cache, routes }),
     });
   }
   return [
-    createResult("settings held by an entry", "bytes an organisation", memory),
-    createResult("settings read whole", "ms an organisation", loading),
-    createResult("one change put in force", "ms an organisation", changing),
+    createResult(
+      "settings held by an entry",
+      "bytes an organisation",
+      memoryPoints,
+    ),
+    createResult("settings read whole", "ms an organisation", loadPoints),
+    createResult("one change put in force", "ms an organisation", changePoints),
   ];
 }
 
-async function loadWhole(
+async function loadAllSettings(
   tree: SettingsTree,
   bodies: readonly string[],
   cache: BodyCache,
@@ -177,15 +182,15 @@
   return snapshot;
 }
 
-/** Milliseconds of one change, the median of several in a row. */
+/** Returns the median of the milliseconds that consecutive changes take to apply. */
 async function measureChanges(
-  first: SettingsSnapshot,
-  parts: { readonly cache: BodyCache; readonly routes: RoutingTable },
+  initialSnapshot: SettingsSnapshot,
+  appliedState: { readonly cache: BodyCache; readonly routes: RoutingTable },
 ): Promise<number> {
-  const { cache, routes } = parts;
+  const { cache, routes } = appliedState;
   const path = "/organisations/organisation-7";
-  const times: number[] = [];
-  let current = first;
+  const durations: number[] = [];
+  let current = initialSnapshot;
   for (let number = 0; number < 41; number++) {
     const revision = current.head.revision + 1;
     const body = createRecord(path, "kind: organisation\n", revision);
@@ -195,12 +200,14 @@
     const headText = createHead(tree, revision, [{ revision, path, record }]);
     const startedAt = performance.now();
     const next = await tryLoadSnapshot({ headText, bodies: cache, current });
-    if (next?.changed === undefined) throw new Error("Not followed");
+    if (next?.changed === undefined) {
+      throw new Error("The change was not applied");
+    }
     routes.refresh(next.changed, next.documents);
-    times.push(performance.now() - startedAt);
+    durations.push(performance.now() - startedAt);
     current = next;
   }
-  return times.sort((left, right) => left - right)[20] as number;
+  return durations.sort((left, right) => left - right)[20] as number;
 }
 
 function createEntry(targets: number): EntryReducer {
@@ -255,18 +262,18 @@
 }
 
 function measureTargetsInView(): readonly SizeResult[] {
-  const memory: Point[] = [];
-  const requests: Point[] = [];
-  const ticks: Point[] = [];
+  const memoryPoints: Point[] = [];
+  const requestPoints: Point[] = [];
+  const tickPoints: Point[] = [];
   for (const targets of [150, 300, 600]) {
     const { bytes, value: entry } = measureBytes(() => createEntry(targets));
-    memory.push({ size: targets, cost: bytes });
+    memoryPoints.push({ size: targets, cost: bytes });
     let id = 0;
-    requests.push({
+    requestPoints.push({
       size: targets,
       cost: measureMicroseconds(3000, () => runRequest(entry, ++id)),
     });
-    ticks.push({
+    tickPoints.push({
       size: targets,
       cost: measureMicroseconds(200, (index) => {
         entry.reduce({ kind: "tick", now: index * 500 });
@@ -274,9 +281,13 @@
     });
   }
   return [
-    createResult("a target in an entry's view", "bytes a target", memory),
-    createResult("a request in the entry's reducer", "us a target", requests),
-    createResult("a tick that compares targets", "us a target", ticks),
+    createResult("a target in an entry's view", "bytes a target", memoryPoints),
+    createResult(
+      "a request in the entry's reducer",
+      "us a target",
+      requestPoints,
+    ),
+    createResult("a tick that compares targets", "us a target", tickPoints),
   ];
 }
 
@@ -295,12 +306,18 @@
   const send = effects.find((effect) => effect.kind === "send");
   if (send?.kind !== "send") throw new Error("The request was not sent");
   const targetName = send.targetName;
-  const place = { requestId: id, attempt: 1 };
+  const attemptId = { requestId: id, attempt: 1 };
   const messages: readonly Message[] = [
-    { kind: "answer_head", ...place, sequence: 0, status: 200, headers: [] },
+    {
+      kind: "answer_head",
+      ...attemptId,
+      sequence: 0,
+      status: 200,
+      headers: [],
+    },
     {
       kind: "answer_end",
-      ...place,
+      ...attemptId,
       sequence: 1,
       byteCount: 0,
       queued: 0,
@@ -313,44 +330,46 @@
 }
 
 function measureMessages(): readonly SizeResult[] {
-  const bytes = Buffer.alloc(TOKEN_BYTES, "x");
-  const packing: Point[] = [];
-  const reading: Point[] = [];
-  const sizes: Point[] = [];
+  const tokenBytes = Buffer.alloc(TOKEN_BYTES, "x");
+  const encodePoints: Point[] = [];
+  const decodePoints: Point[] = [];
+  const sizePoints: Point[] = [];
   for (const count of [1, 8, 64]) {
     const messages = Array.from({ length: count }, (_, index): Message => ({
       kind: "answer_data",
       requestId: index,
       attempt: 1,
       sequence: index,
-      bytes,
+      bytes: tokenBytes,
     }));
     const frame = encodeFrame(messages);
-    sizes.push({ size: count, cost: frame.length });
-    packing.push({
+    sizePoints.push({ size: count, cost: frame.length });
+    encodePoints.push({
       size: count,
       cost: measureMicroseconds(20_000 / count, () => encodeFrame(messages)),
     });
-    reading.push({
+    decodePoints.push({
       size: count,
       cost: measureMicroseconds(20_000 / count, () => decodeFrame(frame)),
     });
   }
   return [
-    createResult("a frame of tokens", "bytes a token", sizes),
-    createResult("packing a frame of tokens", "us a token", packing),
-    createResult("reading a frame of tokens", "us a token", reading),
+    createResult("a frame of tokens", "bytes a token", sizePoints),
+    createResult("packing a frame of tokens", "us a token", encodePoints),
+    createResult("reading a frame of tokens", "us a token", decodePoints),
   ];
 }
 
 function measureLedger(): readonly SizeResult[] {
-  const memory: Point[] = [];
+  const memoryPoints: Point[] = [];
   for (const keys of [10_000, 20_000, 40_000]) {
     const { bytes, value } = measureBytes(() => createLedger(keys));
     if (value.length !== keys) throw new Error("Keys are missing");
-    memory.push({ size: keys, cost: bytes });
+    memoryPoints.push({ size: keys, cost: bytes });
   }
-  return [createResult("a remembered key without answer", "bytes", memory)];
+  return [
+    createResult("a remembered key without answer", "bytes", memoryPoints),
+  ];
 }
 
 function createLedger(keys: number): KeyLedger {
@@ -371,7 +390,7 @@
 }
 
 function measurePlanner(): readonly SizeResult[] {
-  const planning: Point[] = [];
+  const planningPoints: Point[] = [];
   const planner = new Rebalancer(REBALANCE_PRESETS.skew);
   for (const ranks of [8, 16, 32]) {
     const shape = { ranks, experts: ranks * 4, slotsPerRank: 5, layers: 1 };
@@ -386,18 +405,18 @@
     });
     const slots = new Array<number>(ranks).fill(shape.slotsPerRank);
     const placement = packGreedily(load(0), slots);
-    planning.push({
+    planningPoints.push({
       size: ranks,
       cost: measureMicroseconds(30, (index) => {
         planner.plan(placement, load(index + 9));
       }),
     });
   }
-  return [createResult("planning a layer", "us a rank", planning)];
+  return [createResult("planning a layer", "us a rank", planningPoints)];
 }
 
-/** Messages of one switch from the proposal to the last acknowledgement. */
-function measureSwitch(): readonly SizeResult[] {
+/** Measures the size of an expert map as JSON. */
+function measureMapSize(): readonly SizeResult[] {
   const bytes: Point[] = [];
   for (const ranks of [8, 16, 32]) {
     const map = {
@@ -411,15 +430,17 @@
       firstMap: map,
       firstEpoch: 1,
     });
-    const said = coordinator.reduce({ kind: "tick", now: 1000 });
-    if (said.length !== ranks) throw new Error("Every rank is bound");
+    const messages = coordinator.reduce({ kind: "tick", now: 1000 });
+    if (messages.length !== ranks) {
+      throw new Error("Expected one message for each rank");
+    }
     bytes.push({ size: ranks, cost: JSON.stringify(map).length });
   }
   return [createResult("a map of 60 layers", "bytes a rank", bytes)];
 }
 
-/** Bytes of messages that are sent again and again, for the page. */
-export function controlMessageBytes(): Readonly<Record<string, number>> {
+/** Returns the sizes in bytes of messages that are sent repeatedly. */
+export function measureControlMessages(): Readonly<Record<string, number>> {
   const recent = Array.from({ length: RECENT_CHANGES }, (_, index) => ({
     revision: index + 1,
     path: "/organisations/organisation-12345/services/plans",
--- a/bench/step_workloads.ts
+++ b/bench/step_workloads.ts
@@ -1,10 +1,10 @@
 /**
- * Workloads for the bench of expert maps: tokens per expert, interval by
- * interval, and the speed of each rank. All is drawn from a seed.
+ * Workloads for the benchmark of expert maps: the tokens of each expert and the speed of
+ * each rank in every interval, generated from a seed.
  *
- * Assumptions: popularity is log-normal; layers are independent; a step's
- * tokens are many enough that an interval's mean counts carry a noise of about
- * one in a hundred.
+ * Assumptions: the popularity of experts is log-normally distributed. Layers are
+ * independent. A step has enough tokens that the mean counts of an interval have a noise
+ * of about 1%.
  *
  * @module
  */
@@ -18,7 +18,7 @@
   readonly layers: number;
 }
 
-/** A workload as a name. */
+/** Name of a workload. */
 export type WorkloadName =
   | "steady"
   | "season"
@@ -37,88 +37,95 @@
   "straggler",
 ];
 
-/** What one interval really is like. */
-export interface IntervalTruth {
-  /** Tokens a step for each expert of each layer. */
+/** Actual load of one interval, without the noise and gaps of reports. */
+export interface ActualInterval {
+  /** Tokens per step for each expert of each layer. */
   readonly tokens: readonly (readonly number[])[];
+  /** Relative speed of each rank. */
   readonly speeds: readonly number[];
 }
 
-/** Interval of the sudden shift. */
-export const SHIFT_AT = 80;
-/** Intervals in which a rank is slow. */
-export const STRAGGLE_FROM = 60;
-export const STRAGGLE_UNTIL = 140;
+/** Interval in which the sudden shift happens. */
+export const SHIFT_INTERVAL = 80;
+/** First interval in which a rank is slow. */
+export const STRAGGLER_START_INTERVAL = 60;
+/** First interval in which the rank has its normal speed again. */
+export const STRAGGLER_END_INTERVAL = 140;
 const STRAGGLER_SPEED = 0.6;
 const TOKENS_PER_EXPERT = 64;
-const HOUR_INTERVALS = 60;
-const SPREAD = 0.6;
-const HOT_SPREAD = 1.2;
-const REGIONS = 3;
+const REGION_CYCLE_INTERVALS = 60;
+/** Standard deviation of the logarithm of an expert's popularity. */
+const LOG_DEVIATION = 0.6;
+const HOT_LOG_DEVIATION = 1.2;
+const REGION_COUNT = 3;
 
-/** Draws the truth of all intervals of a workload. */
+/** Generates the intervals of a workload. */
 export function createWorkload(
   name: WorkloadName,
   shape: GroupShape,
   options: { readonly intervals: number; readonly seed: number },
-): readonly IntervalTruth[] {
+): readonly ActualInterval[] {
   const random = new RandomSource(options.seed);
   const layers = Array.from(
     { length: shape.layers },
     () => new LayerPopularity(name, shape.experts, random),
   );
   return Array.from({ length: options.intervals }, (_, interval) => ({
-    tokens: layers.map((layer) => layer.next(interval)),
-    speeds: speedsAt(name, shape.ranks, interval),
+    tokens: layers.map((layer) => layer.nextTokens(interval)),
+    speeds: getSpeeds(name, shape.ranks, interval),
   }));
 }
 
-function speedsAt(
+function getSpeeds(
   name: WorkloadName,
   ranks: number,
   interval: number,
 ): readonly number[] {
-  const isSlow = name === "straggler" && interval >= STRAGGLE_FROM &&
-    interval < STRAGGLE_UNTIL;
+  const isSlow = name === "straggler" && interval >= STRAGGLER_START_INTERVAL &&
+    interval < STRAGGLER_END_INTERVAL;
   return Array.from(
     { length: ranks },
     (_, rank) => isSlow && rank === 1 ? STRAGGLER_SPEED : 1,
   );
 }
 
-/** Popularity of the experts of one layer, as it goes on. */
+/** Popularity of the experts of one layer, which may change from interval to interval. */
 class LayerPopularity {
   readonly #name: WorkloadName;
   readonly #random: RandomSource;
-  #logs: number[];
+  #logWeights: number[];
   readonly #regions: readonly (readonly number[])[];
 
   constructor(name: WorkloadName, experts: number, random: RandomSource) {
     this.#name = name;
     this.#random = random;
-    const spread = name === "hot experts" ? HOT_SPREAD : SPREAD;
-    this.#logs = this.#draw(experts, spread);
+    const deviation = name === "hot experts"
+      ? HOT_LOG_DEVIATION
+      : LOG_DEVIATION;
+    this.#logWeights = this.#sampleLogWeights(experts, deviation);
     this.#regions = Array.from(
-      { length: REGIONS },
-      () => this.#draw(experts, SPREAD),
+      { length: REGION_COUNT },
+      () => this.#sampleLogWeights(experts, LOG_DEVIATION),
     );
   }
 
-  next(interval: number): readonly number[] {
+  nextTokens(interval: number): readonly number[] {
     if (this.#name === "season") this.#drift(0.02);
     if (this.#name === "hot experts") this.#drift(0.01);
-    if (this.#name === "sudden shift" && interval === SHIFT_AT) this.#shift();
-    return normalise(this.#logsAt(interval));
+    if (this.#name === "sudden shift" && interval === SHIFT_INTERVAL) {
+      this.#shuffleExperts();
+    }
+    return toTokenCounts(this.#getLogWeights(interval));
   }
 
-  #logsAt(interval: number): readonly number[] {
-    if (this.#name !== "region and hour") return this.#logs;
+  #getLogWeights(interval: number): readonly number[] {
+    if (this.#name !== "region and hour") return this.#logWeights;
     const weights = this.#regions.map((_, region) => {
-      const phase = interval / HOUR_INTERVALS + region / REGIONS;
+      const phase = interval / REGION_CYCLE_INTERVALS + region / REGION_COUNT;
       return 1 + Math.sin(2 * Math.PI * phase);
     });
     const total = weights.reduce((sum, weight) => sum + weight, 0);
-    return this.#logs.map((_, expert) =>
+    return this.#logWeights.map((_, expert) =>
       this.#regions.reduce(
         (sum, logs, region) =>
           sum + (weights[region] ?? 0) / total * (logs[expert] ?? 0),
@@ -127,36 +134,38 @@
     );
   }
 
-  #draw(experts: number, spread: number): number[] {
+  #sampleLogWeights(experts: number, deviation: number): number[] {
     return Array.from(
       { length: experts },
-      () => this.#random.nextNormal(0, spread),
+      () => this.#random.nextNormal(0, deviation),
     );
   }
 
-  /** A walk that is drawn back to the middle, so that its spread lasts. */
-  #drift(pace: number): void {
-    const spread = this.#name === "hot experts" ? HOT_SPREAD : SPREAD;
-    const keep = Math.sqrt(1 - pace);
-    this.#logs = this.#logs.map((log) =>
-      log * keep + this.#random.nextNormal(0, spread * Math.sqrt(pace))
+  /** Applies a mean-reverting random walk, which keeps the deviation constant. */
+  #drift(rate: number): void {
+    const deviation = this.#name === "hot experts"
+      ? HOT_LOG_DEVIATION
+      : LOG_DEVIATION;
+    const retained = Math.sqrt(1 - rate);
+    this.#logWeights = this.#logWeights.map((log) =>
+      log * retained + this.#random.nextNormal(0, deviation * Math.sqrt(rate))
     );
   }
 
-  /** Three in ten experts change places. */
-  #shift(): void {
-    const moved = this.#logs.map((_, expert) => expert)
+  /** Rotates the popularity among about 30% of the experts, chosen at random. */
+  #shuffleExperts(): void {
+    const moved = this.#logWeights.map((_, expert) => expert)
       .filter(() => this.#random.nextFraction() < 0.3);
-    const logs = [...this.#logs];
+    const logs = [...this.#logWeights];
     for (const [index, expert] of moved.entries()) {
       const from = moved[(index + 1) % moved.length] as number;
-      logs[expert] = this.#logs[from] as number;
+      logs[expert] = this.#logWeights[from] as number;
     }
-    this.#logs = logs;
+    this.#logWeights = logs;
   }
 }
 
-function normalise(logs: readonly number[]): readonly number[] {
+function toTokenCounts(logs: readonly number[]): readonly number[] {
   const weights = logs.map(Math.exp);
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   const tokens = TOKENS_PER_EXPERT * logs.length;
--- a/bench/table.ts
+++ b/bench/table.ts
@@ -1,13 +1,13 @@
 /**
- * Prints results as a table in Markdown.
+ * Formats results as a Markdown table.
  *
  * @module
  */
 
-/** One row, by column. */
+/** Values of one row by column name. */
 export type TableRow = Readonly<Record<string, string | number>>;
 
-/** Formats rows as a Markdown table; numbers with up to three decimals. */
+/** Formats rows as a Markdown table. Fractions are rounded to three decimals. */
 export function formatTable(rows: readonly TableRow[]): string {
   const columns = Object.keys(rows[0] ?? {});
   const lines = rows.map((row) =>
