--- a/standins/key_value_stand_in.ts
+++ b/standins/key_value_stand_in.ts
@@ -1,6 +1,6 @@
 /**
- * Stands in for the platform's key-value service, in memory: compare-and-swap,
- * watches that wait, revisions; with switches for what can go wrong.
+ * In-memory stand-in for the platform's key-value service, with compare-and-swap,
+ * revisions, long polling for changes, and faults that tests can inject.
  *
  * @module
  */
@@ -13,21 +13,21 @@
   readonly revision: number;
 }
 
-/** What goes wrong. */
+/** Faults of a {@link KeyValueStandIn}. */
 export interface KeyValueFaults {
-  /** Answers nothing but status 503. */
+  /** Whether every answer has status 503. */
   isDown: boolean;
-  /** Milliseconds before each answer. */
+  /** Delay of each answer. */
   delayMs: number;
-  /** Swaps that take effect but whose reply is lost. */
+  /** Number of upcoming swaps that take effect but are answered with status 500. */
   lostReplies: number;
-  /** Reads are served from the state at the time this was set. */
+  /** Whether reads return the values at the last {@link KeyValueStandIn.freezeReads}. */
   isStale: boolean;
 }
 
-const LONGEST_WAIT_MS = 20_000;
+const MAX_WAIT_MS = 20_000;
 
-/** Stands in for the platform's key-value service. */
+/** Stand-in for the platform's key-value service. */
 export class KeyValueStandIn {
   readonly faults: KeyValueFaults = {
     isDown: false,
@@ -41,39 +41,39 @@
   #calls = 0;
   readonly #listener = createHonoListener(this.#createApplication());
 
-  /** Calls so far, a waiting watch counted as one. */
+  /** Number of calls so far. A read that waits for a change counts as one. */
   get calls(): number {
     return this.#calls;
   }
 
-  /** Listens. */
+  /** Listens on an address. */
   async listen(address: string): Promise<void> {
     await this.#listener.listen(address);
   }
 
-  /** Closes. */
+  /** Stops listening. */
   close(): void {
     this.#listener.close();
   }
 
-  /** A copy of all values, to be given to {@link restore}. */
+  /** Returns a copy of all values for {@link restore}. */
   backUp(): ReadonlyMap<string, StoredValue> {
     return new Map(this.#values);
   }
 
-  /** Goes back to an older state. */
+  /** Replaces all values by those of a backup. */
   restore(values: ReadonlyMap<string, StoredValue>): void {
     this.#values = new Map(values);
-    this.#wake();
+    this.#notifyWaiters();
   }
 
-  /** Serves reads from the state of now until `isStale` is taken back. */
+  /** Makes reads return the current values until `isStale` is set to false. */
   freezeReads(): void {
     this.#staleValues = new Map(this.#values);
     this.faults.isStale = true;
   }
 
-  /** A value, past all faults. */
+  /** Returns a value regardless of the faults. */
   tryPeek(key: string): StoredValue | undefined {
     return this.#values.get(key);
   }
@@ -87,12 +87,12 @@
       await next();
       return undefined;
     });
-    app.get("/v1/values/:key", (context) => this.#read(context));
-    app.put("/v1/values/:key", (context) => this.#swap(context));
+    app.get("/v1/values/:key", (context) => this.#handleRead(context));
+    app.put("/v1/values/:key", (context) => this.#handleSwap(context));
     return app;
   }
 
-  async #read(context: Context): Promise<Response> {
+  async #handleRead(context: Context): Promise<Response> {
     const key = context.req.param("key") as string;
     const after = context.req.query("after");
     if (after !== undefined) {
@@ -109,7 +109,7 @@
     return context.json(stored);
   }
 
-  async #swap(context: Context): Promise<Response> {
+  async #handleSwap(context: Context): Promise<Response> {
     const key = context.req.param("key") as string;
     const { value, expectedRevision } = await context.req.json();
     const revision = this.#values.get(key)?.revision ?? 0;
@@ -117,7 +117,7 @@
       return context.json({ revision }, 409);
     }
     this.#values.set(key, { value, revision: revision + 1 });
-    this.#wake();
+    this.#notifyWaiters();
     if (this.faults.lostReplies > 0) {
       this.faults.lostReplies--;
       return context.text("lost", 500);
@@ -130,15 +130,15 @@
     after: number,
     waitMs: number,
   ): Promise<void> {
-    const end = Date.now() + Math.min(waitMs, LONGEST_WAIT_MS);
+    const deadline = Date.now() + Math.min(waitMs, MAX_WAIT_MS);
     while ((this.#values.get(key)?.revision ?? 0) === after) {
-      const left = end - Date.now();
-      if (left <= 0 || this.faults.isDown) return;
-      await this.#nextWake(left);
+      const remainingMs = deadline - Date.now();
+      if (remainingMs <= 0 || this.faults.isDown) return;
+      await this.#waitForWrite(remainingMs);
     }
   }
 
-  #nextWake(limitMs: number): Promise<void> {
+  #waitForWrite(limitMs: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = () => {
         clearTimeout(timer);
@@ -150,7 +150,7 @@
     });
   }
 
-  #wake(): void {
+  #notifyWaiters(): void {
     for (const wake of [...this.#waiters]) wake();
   }
 }
--- a/standins/machine_list_stand_in.ts
+++ b/standins/machine_list_stand_in.ts
@@ -1,5 +1,5 @@
 /**
- * Stands in for the platform's list of machines, which lags.
+ * Stand-in for the platform's list of VMs, which shows changes with a delay.
  *
  * @module
  */
@@ -7,29 +7,30 @@
 import type { VirtualMachine } from "../src/external/virtual_machine_list.ts";
 import { createHonoListener } from "../src/process/hono_listener.ts";
 
-/** Stands in for the platform's list of machines. */
+/** Stand-in for the platform's list of VMs. */
 export class MachineListStandIn {
-  /** Milliseconds after which a change shows. */
+  /** Milliseconds after which a change is visible. */
   lagMs = 0;
-  /** Answers nothing but status 503. */
+  /** Whether every answer has status 503. */
   isDown = false;
-  #shown: readonly VirtualMachine[] = [];
+  #visibleMachines: readonly VirtualMachine[] = [];
   readonly #listener = createHonoListener(this.#createApplication());
 
-  /** Listens. */
+  /** Listens on an address. */
   async listen(address: string): Promise<void> {
     await this.#listener.listen(address);
   }
 
-  /** Closes. */
+  /** Stops listening. */
   close(): void {
     this.#listener.close();
   }
 
-  /** Changes the list; it shows after the lag. */
-  setMachines(machines: readonly VirtualMachine[]): void {
-    if (this.lagMs === 0) this.#shown = machines;
-    else setTimeout(() => this.#shown = machines, this.lagMs).unref();
+  /** Changes the list. The change is visible after `lagMs`. */
+  setMachines(virtualMachines: readonly VirtualMachine[]): void {
+    if (this.lagMs === 0) this.#visibleMachines = virtualMachines;
+    else {setTimeout(() => this.#visibleMachines = virtualMachines, this.lagMs)
+        .unref();}
   }
 
   #createApplication(): Hono {
@@ -37,7 +38,9 @@
     app.get(
       "/v1/machines",
       (context) =>
-        this.isDown ? context.text("down", 503) : context.json(this.#shown),
+        this.isDown
+          ? context.text("down", 503)
+          : context.json(this.#visibleMachines),
     );
     return app;
   }
--- a/standins/model_engine_stand_in.ts
+++ b/standins/model_engine_stand_in.ts
@@ -1,6 +1,6 @@
 /**
- * Stands in for a model engine: batches continuously, streams one token of each
- * request a step, and cancels when its caller goes away.
+ * Stand-in for a model engine with continuous batching. Each step streams one token to
+ * every request. A request is cancelled when its caller disconnects.
  *
  * @module
  */
@@ -15,19 +15,19 @@
 /** Options of a {@link ModelEngineStandIn}. */
 export interface ModelEngineOptions {
   readonly name: string;
-  /** Milliseconds of one step. */
+  /** Duration of one step. */
   readonly stepMs: number;
-  /** Tokens of an answer when the request does not say. */
+  /** Number of tokens of an answer when the request does not specify it. */
   readonly defaultTokens: number;
 }
 
 interface Sequence {
   readonly response: ServerResponse;
-  readonly tokens: number;
-  produced: number;
+  readonly requestedTokens: number;
+  producedTokens: number;
 }
 
-/** Stands in for a model engine. */
+/** Stand-in for a model engine. */
 export class ModelEngineStandIn {
   readonly #options: ModelEngineOptions;
   readonly #batch = new Set<Sequence>();
@@ -39,38 +39,38 @@
     void this.#serve(request, response);
   });
 
-  /** Does not step yet. */
+  /** Creates an engine, which starts to step when it listens. */
   constructor(options: ModelEngineOptions) {
     this.#options = options;
   }
 
-  /** Requests whose caller went away. */
+  /** Number of requests whose caller disconnected. */
   get cancelled(): number {
     return this.#cancelled;
   }
 
-  /** Requests that were answered. */
+  /** Number of requests that were answered completely. */
   get finished(): number {
     return this.#finished;
   }
 
-  /** Tokens produced. */
+  /** Number of tokens produced. */
   get tokens(): number {
     return this.#tokens;
   }
 
-  /** Requests in the batch now. */
+  /** Number of requests in the current batch. */
   get running(): number {
     return this.#batch.size;
   }
 
-  /** Listens, and steps. */
+  /** Listens on an address and starts to step. */
   async listen(address: string): Promise<void> {
     await listenOn(this.#server, address);
     this.#timer = setInterval(() => this.#step(), this.#options.stepMs);
   }
 
-  /** Closes. */
+  /** Stops stepping and closes all connections. */
   close(): void {
     clearInterval(this.#timer);
     this.#server.close();
@@ -85,8 +85,9 @@
     for await (const chunk of request) chunks.push(chunk);
     const sequence: Sequence = {
       response,
-      tokens: tokensOf(Buffer.concat(chunks)) ?? this.#options.defaultTokens,
-      produced: 0,
+      requestedTokens: tryReadTokenCount(Buffer.concat(chunks)) ??
+        this.#options.defaultTokens,
+      producedTokens: 0,
     };
     response.once("close", () => {
       if (this.#batch.delete(sequence)) this.#cancelled++;
@@ -100,18 +101,20 @@
   }
 
   #produce(sequence: Sequence): void {
-    sequence.produced++;
+    sequence.producedTokens++;
     this.#tokens++;
     const { name } = this.#options;
-    sequence.response.write(`data: ${name} token ${sequence.produced}\n\n`);
-    if (sequence.produced < sequence.tokens) return;
+    sequence.response.write(
+      `data: ${name} token ${sequence.producedTokens}\n\n`,
+    );
+    if (sequence.producedTokens < sequence.requestedTokens) return;
     this.#batch.delete(sequence);
     this.#finished++;
     sequence.response.end("data: [DONE]\n\n");
   }
 }
 
-function tokensOf(body: Buffer): number | undefined {
+function tryReadTokenCount(body: Buffer): number | undefined {
   try {
     const tokens = JSON.parse(body.toString()).max_tokens;
     return typeof tokens === "number" ? tokens : undefined;
--- a/standins/plain_service_stand_in.ts
+++ b/standins/plain_service_stand_in.ts
@@ -1,5 +1,5 @@
 /**
- * Stands in for a plain service: counts each run by its key.
+ * Stand-in for a plain service, which counts the runs of each idempotency key.
  *
  * @module
  */
@@ -12,19 +12,19 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { listenOn } from "../src/process/address.ts";
 
-/** What goes wrong. */
+/** Faults of a {@link PlainServiceStandIn}. */
 export interface PlainServiceFaults {
-  /** Milliseconds that a run takes. */
+  /** Duration of a run. */
   delayMs: number;
-  /** Answers that are lost after the run, by breaking the connection. */
+  /** Number of upcoming runs whose connection is closed instead of an answer. */
   lostAnswers: number;
-  /** Answers that say they are longer than they are. */
+  /** Number of upcoming answers that end before their declared length. */
   lyingLengths: number;
-  /** Runs that never end. */
+  /** Whether requests run but are never answered. */
   isStuck: boolean;
 }
 
-/** Stands in for a plain service. */
+/** Stand-in for a plain service. */
 export class PlainServiceStandIn {
   readonly faults: PlainServiceFaults = {
     delayMs: 0,
@@ -35,37 +35,37 @@
   readonly #name: string;
   readonly #runsByKey = new Map<string, number>();
   #runs = 0;
-  #broken = 0;
+  #cancelled = 0;
   readonly #server = createServer((request, response) => {
     void this.#serve(request, response);
   });
 
-  /** Answers in the name of `name`. */
+  /** Creates a service that includes `name` in its answers. */
   constructor(name: string) {
     this.#name = name;
   }
 
-  /** Runs so far. */
+  /** Number of runs so far. */
   get runs(): number {
     return this.#runs;
   }
 
-  /** Requests whose caller went away before the answer. */
+  /** Number of requests whose connection closed before the end of the answer. */
   get broken(): number {
-    return this.#broken;
+    return this.#cancelled;
   }
 
-  /** Runs of one key. */
+  /** Returns the number of runs of an idempotency key. */
   runsOf(key: string): number {
     return this.#runsByKey.get(key) ?? 0;
   }
 
-  /** Listens. */
+  /** Listens on an address. */
   async listen(address: string): Promise<void> {
     await listenOn(this.#server, address);
   }
 
-  /** Closes. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
@@ -79,7 +79,7 @@
     for await (const chunk of request) chunks.push(chunk);
     this.#countRun(request);
     response.once("close", () => {
-      if (!response.writableFinished) this.#broken++;
+      if (!response.writableFinished) this.#cancelled++;
     });
     if (this.faults.isStuck) return;
     if (this.faults.delayMs > 0) await sleep(this.faults.delayMs);
--- a/standins/rank_group_stand_in.ts
+++ b/standins/rank_group_stand_in.ts
@@ -1,7 +1,7 @@
 /**
- * Stands in for the engines of a rank group: they run in lock-step on an expert
- * map, take orders, and count tokens. Every step is checked to have run with
- * one map on all ranks.
+ * Stand-in for the engines of a rank group. The engines run in lock-step with an expert
+ * map, execute orders and count tokens. Steps in which ranks use different maps are
+ * recorded as faults.
  *
  * @module
  */
@@ -15,71 +15,72 @@
 export interface RankGroupOptions {
   readonly ranks: number;
   readonly stepMs: number;
-  /** Tokens a step for each expert; one layer. */
+  /** Tokens per step for each expert of the only layer. */
   readonly tokens: readonly number[];
 }
 
-/** Stands in for the engines of a rank group. */
+/** Stand-in for the engines of a rank group. */
 export class RankGroupStandIn {
   readonly #options: RankGroupOptions;
   readonly #engines: FakeEngine[];
   readonly #listeners: HttpListener[] = [];
   readonly #versions = new Set<number>();
-  readonly #faults: string[] = [];
+  readonly #mixedMapSteps: string[] = [];
   #steps = 0;
   #timer: NodeJS.Timeout | undefined;
-  /** Tokens a step for each expert; may be changed as the group runs. */
+  /** Tokens per step for each expert. May be changed while the group runs. */
   tokens: readonly number[];
 
-  /** Engines without a map, which do not step. */
+  /** Creates engines without a map, which do not step. */
   constructor(options: RankGroupOptions) {
     this.#options = options;
     this.tokens = options.tokens;
-    // They ignore fencing numbers, so only the targets' own checks count.
+    // The engines ignore fencing numbers, so that tests depend on the checks of the
+    // targets alone.
     this.#engines = Array.from(
       { length: options.ranks },
       () => new FakeEngine(false),
     );
   }
 
-  /** Steps that the whole group ran. */
+  /** Number of steps that the whole group ran. */
   get steps(): number {
     return this.#steps;
   }
 
-  /** Maps that some step ran with. */
+  /** Number of maps that were used in a step. */
   get versions(): number {
     return this.#versions.size;
   }
 
-  /** Steps that ran with more than one map. */
+  /** Steps in which ranks used different maps. */
   get faults(): readonly string[] {
-    return this.#faults;
+    return this.#mixedMapSteps;
   }
 
-  /** Number of the lock-step run of a rank. */
+  /** Returns the incarnation of a rank's engine, which numbers its lock-step runs. */
   incarnationOf(rank: number): number {
-    return this.#engine(rank).state.incarnation;
+    return this.#getEngine(rank).state.incarnation;
   }
 
-  /** Listens for one rank's orders. */
+  /** Listens on an address for the requests to one rank's engine. */
   async listen(rank: number, address: string): Promise<void> {
     const listener = createHonoListener(this.#createApplication(rank));
     this.#listeners.push(listener);
     await listener.listen(address);
   }
 
-  /** Begins to step, as soon as the engines may. */
+  /** Starts to step whenever the engines are ready for a step. */
   start(): void {
     this.#timer = setInterval(() => this.#step(), this.#options.stepMs);
   }
 
-  /** Another engine takes a rank's place, without a map. */
+  /** Replaces a rank's engine by one without a map. */
   replace(rank: number): void {
     this.#engines[rank] = new FakeEngine(false);
   }
 
-  /** Closes. */
+  /** Stops stepping and listening. */
   close(): void {
     clearInterval(this.#timer);
     for (const listener of this.#listeners) listener.close();
@@ -89,51 +90,52 @@
     const app = new Hono();
     app.get(
       "/group/state",
-      (context) => context.json(this.#engine(rank).state),
+      (context) => context.json(this.#getEngine(rank).state),
     );
-    app.get("/group/load", (context) => context.json(this.#loadOf(rank)));
+    app.get("/group/load", (context) => context.json(this.#getLoad(rank)));
     app.post("/group/orders", async (context) => {
       const { order, fencingNumber } = await context.req.json<{
         readonly order: EngineOrder;
         readonly fencingNumber: number;
       }>();
-      this.#engine(rank).carryOut(order, fencingNumber);
-      return context.json(this.#engine(rank).state);
+      this.#getEngine(rank).carryOut(order, fencingNumber);
+      return context.json(this.#getEngine(rank).state);
     });
     return app;
   }
 
-  /** A rank may enter a step only when all have ended the one before. */
+  /** Runs a step if all ranks have finished the previous step and have a map. */
   #step(): void {
     const states = this.#engines.map((engine) => engine.state);
     const first = states[0];
-    const isTogether = states.every((state) =>
+    const isInLockStep = states.every((state) =>
       state.incarnation === first?.incarnation && state.step === first.step
     );
     const maps = this.#engines.map((engine) => engine.tryMapOfNextStep());
-    if (!isTogether || maps.some((map) => map === undefined)) return;
+    if (!isInLockStep || maps.some((map) => map === undefined)) return;
     const versions = new Set(maps.map((map) => map?.version));
-    if (versions.size > 1) this.#faults.push(`Step ${first?.step}`);
+    if (versions.size > 1) this.#mixedMapSteps.push(`Step ${first?.step}`);
     for (const version of versions) this.#versions.add(version as number);
     for (const engine of this.#engines) engine.runStep();
     this.#steps++;
   }
 
-  #loadOf(rank: number): RankLoad {
-    const { maps, activeVersion } = this.#engine(rank).state;
-    const map = maps.find((one) => one.version === activeVersion)?.map;
+  #getLoad(rank: number): RankLoad {
+    const { maps, activeVersion } = this.#getEngine(rank).state;
+    const map = maps.find((candidate) => candidate.version === activeVersion)
+      ?.map;
     const experts = map?.layers[0]?.experts ?? [];
-    const own = experts[rank] ?? [];
-    const all = experts.flat();
+    const ownExperts = experts[rank] ?? [];
+    const allExperts = experts.flat();
     const tokens = this.tokens.map((count, expert) => {
-      const replicas = all.filter((one) => one === expert).length;
-      const held = own.filter((one) => one === expert).length;
-      return replicas === 0 ? 0 : count * held / replicas;
+      const replicas = allExperts.filter((other) => other === expert).length;
+      const ownReplicas = ownExperts.filter((other) => other === expert).length;
+      return replicas === 0 ? 0 : count * ownReplicas / replicas;
     });
     return { tokens: [tokens], slowdown: 1 };
   }
 
-  #engine(rank: number): FakeEngine {
+  #getEngine(rank: number): FakeEngine {
     return this.#engines[rank] as FakeEngine;
   }
 }
