--- a/standins/machine_list_stand_in.ts
+++ b/standins/machine_list_stand_in.ts
@@ -13,7 +13,7 @@
   lagMs = 0;
   /** Whether every answer has status 503. */
   isDown = false;
-  #visibleMachines: readonly VirtualMachine[] = [];
+  #visibleList: readonly VirtualMachine[] = [];
   readonly #listener = createHonoListener(this.#createApplication());
 
   /** Listens on an address. */
@@ -27,9 +27,9 @@
   }
 
   /** Changes the list. The change is visible after `lagMs`. */
-  setMachines(virtualMachines: readonly VirtualMachine[]): void {
-    if (this.lagMs === 0) this.#visibleMachines = virtualMachines;
-    else {setTimeout(() => this.#visibleMachines = virtualMachines, this.lagMs)
+  setMachines(list: readonly VirtualMachine[]): void {
+    if (this.lagMs === 0) this.#visibleList = list;
+    else {setTimeout(() => this.#visibleList = list, this.lagMs)
         .unref();}
   }
 
@@ -40,7 +40,7 @@
       (context) =>
         this.isDown
           ? context.text("down", 503)
-          : context.json(this.#visibleMachines),
+          : context.json(this.#visibleList),
     );
     return app;
   }
