--- a/bench/choice_bench.ts
+++ b/bench/choice_bench.ts
@@ -228,8 +228,7 @@
   #handleArrival(): void {
     const request: RequestModel = {
       id: this.#nextRequestId++,
-      entry: this
-        .#entries[this.#random.nextBelow(ENTRY_COUNT)] as EntryModel,
+      entry: this.#entries[this.#random.nextBelow(ENTRY_COUNT)] as EntryModel,
       blocks: this.#createPrompt(),
       answerTokens: 1 +
         Math.floor(this.#random.nextExponential(MEAN_ANSWER_TOKENS)),
--- a/bench/plots.ts
+++ b/bench/plots.ts
@@ -72,23 +72,23 @@
   );
   const series = [...new Set(rows.map((row) => String(row[plot.series])))];
   const maxValue = Math.max(...rows.map((row) => Number(row[plot.value])));
-  const elements: string[] = [];
+  const shapes: string[] = [];
   let top = TOP;
   let group = "";
   for (const row of rows) {
     const name = String(row[plot.group]);
     if (name !== group) {
       top += GROUP_GAP;
-      elements.push(drawText(name, { x: 4, y: top + BAR_HEIGHT - 2 }));
+      shapes.push(renderText(name, { x: 4, y: top + BAR_HEIGHT - 2 }));
       group = name;
     }
     const value = Number(row[plot.value]);
     const width = value / maxValue * BARS_WIDTH;
     const colour = COLOURS[series.indexOf(String(row[plot.series]))] as string;
-    elements.push(
+    shapes.push(
       `<rect x="${LABEL_WIDTH}" y="${top}" width="${width.toFixed(1)}" ` +
         `height="${BAR_HEIGHT - 2}" fill="${colour}"/>`,
-      drawText(value.toPrecision(4), {
+      renderText(value.toPrecision(4), {
         x: LABEL_WIDTH + width + 4,
         y: top + BAR_HEIGHT - 3,
       }),
@@ -97,22 +97,22 @@
   }
   for (const [index, name] of series.entries()) {
     top += LINE_GAP;
-    elements.push(
+    shapes.push(
       `<rect x="${LABEL_WIDTH}" y="${top - 9}" width="10" height="10" ` +
         `fill="${COLOURS[index]}"/>`,
-      drawText(name, { x: LABEL_WIDTH + 16, y: top }),
+      renderText(name, { x: LABEL_WIDTH + 16, y: top }),
     );
   }
   const width = LABEL_WIDTH + BARS_WIDTH + 60;
   return `<svg xmlns="http://www.w3.org/2000/svg" width="${width}" ` +
     `height="${top + 12}" font-family="sans-serif" font-size="11">\n` +
     `<rect width="100%" height="100%" fill="white"/>\n` +
-    `${drawText(plot.title, { x: 4, y: 18 })}\n${
-      elements.join("\n")
+    `${renderText(plot.title, { x: 4, y: 18 })}\n${
+      shapes.join("\n")
     }\n</svg>\n`;
 }
 
-function drawText(
+function renderText(
   text: string,
   position: { readonly x: number; readonly y: number },
 ): string {
--- a/scripts/build_binary.ts
+++ b/scripts/build_binary.ts
@@ -17,19 +17,16 @@
 const FUSE = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 
 function createBinary(): void {
-  const configurationFile = `${OUTPUT_FOLDER}/sea.json`;
+  const settingsFile = `${OUTPUT_FOLDER}/sea.json`;
   writeFileSync(
-    configurationFile,
+    settingsFile,
     JSON.stringify({
       main: BUNDLE,
       output: BLOB,
       disableExperimentalSEAWarning: true,
     }),
   );
-  execFileSync(process.execPath, [
-    "--experimental-sea-config",
-    configurationFile,
-  ], {
+  execFileSync(process.execPath, ["--experimental-sea-config", settingsFile], {
     stdio: "ignore",
   });
   copyFileSync(process.execPath, BINARY);
--- a/scripts/run_tests.ts
+++ b/scripts/run_tests.ts
@@ -22,13 +22,7 @@
   readFailedTests,
 } from "./known_red.ts";
 
-const TEST_FOLDERS = [
-  "src",
-  "platform",
-  "standins",
-  "bench",
-  "scripts",
-] as const;
+const FOLDERS = ["src", "platform", "standins", "bench", "scripts"] as const;
 const TEST_FILE_SUFFIX = "_test.ts";
 const KNOWN_RED_FILE = "KNOWN-RED.txt";
 
@@ -88,4 +82,4 @@
   return hasOnlyKnownFailures ? 0 : run.status;
 }
 
-process.exit(getExitCode(runTests(TEST_FOLDERS.flatMap(findTestFiles))));
+process.exit(getExitCode(runTests(FOLDERS.flatMap(findTestFiles))));
--- a/standins/machine_list_stand_in.ts
+++ b/standins/machine_list_stand_in.ts
@@ -29,8 +29,7 @@
   /** Changes the list. The change is visible after `lagMs`. */
   setMachines(list: readonly VirtualMachine[]): void {
     if (this.lagMs === 0) this.#visibleList = list;
-    else {setTimeout(() => this.#visibleList = list, this.lagMs)
-        .unref();}
+    else setTimeout(() => this.#visibleList = list, this.lagMs).unref();
   }
 
   #createApplication(): Hono {
