--- a/bench/plots.ts
+++ b/bench/plots.ts
@@ -72,20 +72,20 @@
   );
   const series = [...new Set(rows.map((row) => String(row[plot.series])))];
   const maxValue = Math.max(...rows.map((row) => Number(row[plot.value])));
-  const shapes: string[] = [];
+  const parts: string[] = [];
   let top = TOP;
   let group = "";
   for (const row of rows) {
     const name = String(row[plot.group]);
     if (name !== group) {
       top += GROUP_GAP;
-      shapes.push(renderText(name, { x: 4, y: top + BAR_HEIGHT - 2 }));
+      parts.push(renderText(name, { x: 4, y: top + BAR_HEIGHT - 2 }));
       group = name;
     }
     const value = Number(row[plot.value]);
     const width = value / maxValue * BARS_WIDTH;
     const colour = COLOURS[series.indexOf(String(row[plot.series]))] as string;
-    shapes.push(
+    parts.push(
       `<rect x="${LABEL_WIDTH}" y="${top}" width="${width.toFixed(1)}" ` +
         `height="${BAR_HEIGHT - 2}" fill="${colour}"/>`,
       renderText(value.toPrecision(4), {
@@ -97,7 +97,7 @@
   }
   for (const [index, name] of series.entries()) {
     top += LINE_GAP;
-    shapes.push(
+    parts.push(
       `<rect x="${LABEL_WIDTH}" y="${top - 9}" width="10" height="10" ` +
         `fill="${COLOURS[index]}"/>`,
       renderText(name, { x: LABEL_WIDTH + 16, y: top }),
@@ -107,9 +107,7 @@
   return `<svg xmlns="http://www.w3.org/2000/svg" width="${width}" ` +
     `height="${top + 12}" font-family="sans-serif" font-size="11">\n` +
     `<rect width="100%" height="100%" fill="white"/>\n` +
-    `${renderText(plot.title, { x: 4, y: 18 })}\n${
-      shapes.join("\n")
-    }\n</svg>\n`;
+    `${renderText(plot.title, { x: 4, y: 18 })}\n${parts.join("\n")}\n</svg>\n`;
 }
 
 function renderText(
--- a/scripts/compiled_program.ts
+++ b/scripts/compiled_program.ts
@@ -3,7 +3,7 @@
  *
  * Without this, a start spends most of its processor time on compiling a megabyte of
  * libraries, and a fleet starts hundreds of processes at the same time after a power
- * failure. `npm run bench:start` measures the processor time of a start.
+ * failure. `npm run bench:start` measures how much this saves.
  *
  * @module
  */
