--- a/scripts/demonstration.ts
+++ b/scripts/demonstration.ts
@@ -100,7 +100,7 @@
   );
   print(
     `                 the service ran it ${
-      plainService.runsOf("order-7")
+      plainService.getRunCount("order-7")
     } time`,
   );
 
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -56,10 +56,10 @@
  *
  * @example
  * ```ts
- * const { unknown } = judgeFailures(["resumes a stream"], listed);
+ * const { unknown } = classifyFailures(["resumes a stream"], listed);
  * ```
  */
-export function judgeFailures(
+export function classifyFailures(
   failed: readonly string[],
   listed: readonly KnownRedTest[],
 ): ClassifiedFailures {
--- a/scripts/known_red_test.ts
+++ b/scripts/known_red_test.ts
@@ -1,6 +1,10 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { judgeFailures, parseKnownRed, readFailedTests } from "./known_red.ts";
+import {
+  classifyFailures,
+  parseKnownRed,
+  readFailedTests,
+} from "./known_red.ts";
 
 describe("parseKnownRed", () => {
   it("reads test, cause and issue", () => {
@@ -14,11 +18,11 @@
   });
 });
 
-describe("judgeFailures", () => {
+describe("classifyFailures", () => {
   const listed = parseKnownRed("one | a gap | 9\ntwo | a loop | 9\n");
 
   it("separates known failures, unknown failures and listed tests that pass", () => {
-    const classified = judgeFailures(["one", "three"], listed);
+    const classified = classifyFailures(["one", "three"], listed);
     assert.deepEqual(classified.known.map(({ test }) => test), ["one"]);
     assert.deepEqual(classified.unknown, ["three"]);
     assert.deepEqual(classified.stale.map(({ test }) => test), ["two"]);
--- a/scripts/run_tests.ts
+++ b/scripts/run_tests.ts
@@ -16,7 +16,7 @@
 import { join } from "node:path";
 import process from "node:process";
 import {
-  judgeFailures,
+  classifyFailures,
   type KnownRedTest,
   parseKnownRed,
   readFailedTests,
@@ -68,7 +68,7 @@
 }
 
 function getExitCode(run: TestRun): number {
-  const { unknown, known, stale } = judgeFailures(
+  const { unknown, known, stale } = classifyFailures(
     run.failed,
     readKnownRed(),
   );
--- a/src/external/contracts_test.ts
+++ b/src/external/contracts_test.ts
@@ -4,7 +4,7 @@
 import process from "node:process";
 import { after, before, describe, it } from "node:test";
 import { KeyValueStandIn } from "../../standins/key_value_stand_in.ts";
-import { MachineListStandIn } from "../../standins/machine_list_stand_in.ts";
+import { VirtualMachineListStandIn } from "../../standins/machine_list_stand_in.ts";
 import { PlainServiceStandIn } from "../../standins/plain_service_stand_in.ts";
 import { RankGroupStandIn } from "../../standins/rank_group_stand_in.ts";
 import { findFreeAddress } from "../testing/free_address.ts";
@@ -112,12 +112,12 @@
 });
 
 describe("contract of the list of VMs", () => {
-  const standIn = new MachineListStandIn();
+  const standIn = new VirtualMachineListStandIn();
 
   after(() => standIn.close());
 
   it("lists VMs with unique names", async () => {
-    standIn.setMachines([{
+    standIn.setVirtualMachines([{
       name: "plan-1",
       address: "127.0.0.1:7001",
       role: "target",
--- a/src/group/group_process_test.ts
+++ b/src/group/group_process_test.ts
@@ -50,8 +50,8 @@
   }
 
   async function waitForMap(): Promise<void> {
-    const versions = group.versions;
-    await waitUntil("a new map is in use", () => group.versions > versions);
+    const versions = group.usedMapCount;
+    await waitUntil("a new map is in use", () => group.usedMapCount > versions);
   }
 
   before(async () => {
@@ -83,14 +83,14 @@
 
   it("starts stepping once every rank has the map", async () => {
     await waitForSteps();
-    assert.equal(group.versions, 1);
+    assert.equal(group.usedMapCount, 1);
   });
 
   it("switches the map between two steps when expert popularity changes", async () => {
     group.tokens = HOT;
     await waitForMap();
     await waitForSteps();
-    assert.deepEqual(group.faults, []);
+    assert.deepEqual(group.mixedMapSteps, []);
   });
 
   it("keeps stepping when the process at rank 0 is killed and restarted", async () => {
@@ -104,7 +104,7 @@
     group.tokens = EVEN.map((_, expert) => expert < 3 ? 100 : 10);
     await waitForMap();
     await waitForSteps();
-    assert.deepEqual(group.faults, []);
+    assert.deepEqual(group.mixedMapSteps, []);
   });
 
   it("takes orders from rank 0's target only, secret or not", async () => {
@@ -139,16 +139,16 @@
     unauthorized.stop();
     await waitForSteps();
     assert.match(targets[1]?.readLog() ?? "", /NOT_COORDINATOR/);
-    assert.deepEqual(group.faults, []);
+    assert.deepEqual(group.mixedMapSteps, []);
   });
 
   it("starts a new run when the engine of a rank is replaced", async () => {
-    const before = group.incarnationOf(0);
-    group.replace(2);
+    const before = group.getIncarnation(0);
+    group.replaceEngine(2);
     await waitForSteps();
-    assert.ok(group.incarnationOf(0) > before);
-    assert.equal(group.incarnationOf(2), group.incarnationOf(0));
-    assert.deepEqual(group.faults, []);
+    assert.ok(group.getIncarnation(0) > before);
+    assert.equal(group.getIncarnation(2), group.getIncarnation(0));
+    assert.deepEqual(group.mixedMapSteps, []);
   });
 
   it("switches maps after a member's process was killed and restarted", async () => {
@@ -159,6 +159,6 @@
     group.tokens = EVEN.map((_, expert) => expert % 2 === 0 ? 150 : 10);
     await waitForMap();
     await waitForSteps();
-    assert.deepEqual(group.faults, []);
+    assert.deepEqual(group.mixedMapSteps, []);
   });
 });
--- a/src/process/cut_process_test.ts
+++ b/src/process/cut_process_test.ts
@@ -162,8 +162,8 @@
       }
     }
     for (const key of KEYS) {
-      const runs = reachableDomain.service.runsOf(key) +
-        isolatedDomain.service.runsOf(key);
+      const runs = reachableDomain.service.getRunCount(key) +
+        isolatedDomain.service.getRunCount(key);
       assert.equal(runs, 1, `${key} ran ${runs} times`);
     }
   });
@@ -198,8 +198,8 @@
     for (const key of KEYS) {
       const outcome = await call(isolatedDomain, { "idempotency-key": key });
       assert.equal(outcome.status, 200);
-      const runs = reachableDomain.service.runsOf(key) +
-        isolatedDomain.service.runsOf(key);
+      const runs = reachableDomain.service.getRunCount(key) +
+        isolatedDomain.service.getRunCount(key);
       assert.equal(runs, 1, `${key} ran ${runs} times`);
     }
   });
--- a/src/process/process_test.ts
+++ b/src/process/process_test.ts
@@ -126,7 +126,7 @@
     await waitUntil("the key's slot has an owner", isAnswered);
     const again = await call(entry, "/confirm", options);
     assert.equal(again.status, 200);
-    assert.equal(plain.runsOf("key-once"), 1);
+    assert.equal(plain.getRunCount("key-once"), 1);
   });
 
   it("reports the outcome of a request that is refused", async () => {
@@ -158,14 +158,14 @@
   });
 
   it("answers at the deadline even if the back end is stuck", async () => {
-    plain.faults.isStuck = true;
+    plain.faults.isUnresponsive = true;
     const answer = await call(entry, "/confirm", {
       headers: { "lagoonwharf-deadline-ms": "100" },
     });
-    plain.faults.isStuck = false;
+    plain.faults.isUnresponsive = false;
     assert.equal(answer.status, 504);
     assert.equal(JSON.parse(answer.text).outcome, "unknown");
-    await waitUntil("the back end is cancelled", () => plain.broken > 0);
+    await waitUntil("the back end is cancelled", () => plain.cancelled > 0);
   });
 
   it("does not retry a request that may have run", async () => {
@@ -178,7 +178,7 @@
   });
 
   it("does not treat a truncated answer as complete", async () => {
-    plain.faults.lyingLengths = 1;
+    plain.faults.truncatedAnswers = 1;
     const answer = await call(entry, "/confirm");
     assert.equal(answer.status, 502);
   });
@@ -282,7 +282,7 @@
         return JSON.parse(again.text).reason !== "NO_KEY_OWNER";
       });
       assert.equal(again.text, answers[index]?.text);
-      assert.equal(plain.runsOf(key) + second.runsOf(key), 1);
+      assert.equal(plain.getRunCount(key) + second.getRunCount(key), 1);
     }
   });
 
--- a/src/testing/process_cluster.ts
+++ b/src/testing/process_cluster.ts
@@ -15,7 +15,7 @@
 import { request } from "undici";
 import { stringify } from "yaml";
 import { KeyValueStandIn } from "../../standins/key_value_stand_in.ts";
-import { MachineListStandIn } from "../../standins/machine_list_stand_in.ts";
+import { VirtualMachineListStandIn } from "../../standins/machine_list_stand_in.ts";
 import type { VirtualMachine } from "../external/virtual_machine_list.ts";
 import { findFreeAddress } from "./free_address.ts";
 
@@ -61,7 +61,7 @@
 /** Entries and targets as real processes. */
 export class ProcessCluster {
   readonly keyValue = new KeyValueStandIn();
-  readonly machineList = new MachineListStandIn();
+  readonly machineList = new VirtualMachineListStandIn();
   readonly #folder = mkdtempSync(join(tmpdir(), "lagoonwharf-test-"));
   readonly #processes: RunningProcess[] = [];
   readonly #closers: (() => void)[] = [];
@@ -217,7 +217,7 @@
     this.#machines = this.#machines.map((machine) =>
       machine.name === name ? { ...machine, state } : machine
     );
-    this.machineList.setMachines(this.#machines);
+    this.machineList.setVirtualMachines(this.#machines);
   }
 
   /** Ends whatever this cluster started. */
@@ -267,7 +267,7 @@
       pool,
       state: "live",
     }];
-    this.machineList.setMachines(this.#machines);
+    this.machineList.setVirtualMachines(this.#machines);
   }
 
   #start(
--- a/standins/machine_list_stand_in.ts
+++ b/standins/machine_list_stand_in.ts
@@ -8,9 +8,9 @@
 import { createHonoListener } from "../src/process/hono_listener.ts";
 
 /** Stand-in for the platform's list of VMs. */
-export class MachineListStandIn {
+export class VirtualMachineListStandIn {
   /** Milliseconds after which a change is visible. */
-  lagMs = 0;
+  delayMs = 0;
   /** Whether every answer has status 503. */
   isDown = false;
   #visibleList: readonly VirtualMachine[] = [];
@@ -26,10 +26,10 @@
     this.#listener.close();
   }
 
-  /** Changes the list. The change is visible after `lagMs`. */
-  setMachines(list: readonly VirtualMachine[]): void {
-    if (this.lagMs === 0) this.#visibleList = list;
-    else setTimeout(() => this.#visibleList = list, this.lagMs).unref();
+  /** Changes the list. The change is visible after `delayMs`. */
+  setVirtualMachines(list: readonly VirtualMachine[]): void {
+    if (this.delayMs === 0) this.#visibleList = list;
+    else setTimeout(() => this.#visibleList = list, this.delayMs).unref();
   }
 
   #createApplication(): Hono {
--- a/standins/plain_service_stand_in.ts
+++ b/standins/plain_service_stand_in.ts
@@ -19,9 +19,9 @@
   /** Number of upcoming runs whose connection is closed instead of an answer. */
   lostAnswers: number;
   /** Number of upcoming answers that end before their declared length. */
-  lyingLengths: number;
+  truncatedAnswers: number;
   /** Whether requests run but are never answered. */
-  isStuck: boolean;
+  isUnresponsive: boolean;
 }
 
 /** Stand-in for a plain service. */
@@ -29,8 +29,8 @@
   readonly faults: PlainServiceFaults = {
     delayMs: 0,
     lostAnswers: 0,
-    lyingLengths: 0,
-    isStuck: false,
+    truncatedAnswers: 0,
+    isUnresponsive: false,
   };
   readonly #name: string;
   readonly #runsByKey = new Map<string, number>();
@@ -51,12 +51,12 @@
   }
 
   /** Number of requests whose connection closed before the end of the answer. */
-  get broken(): number {
+  get cancelled(): number {
     return this.#cancelled;
   }
 
   /** Returns the number of runs of an idempotency key. */
-  runsOf(key: string): number {
+  getRunCount(key: string): number {
     return this.#runsByKey.get(key) ?? 0;
   }
 
@@ -81,7 +81,7 @@
     response.once("close", () => {
       if (!response.writableFinished) this.#cancelled++;
     });
-    if (this.faults.isStuck) return;
+    if (this.faults.isUnresponsive) return;
     if (this.faults.delayMs > 0) await sleep(this.faults.delayMs);
     if (this.faults.lostAnswers > 0) {
       this.faults.lostAnswers--;
@@ -95,7 +95,7 @@
     this.#runs++;
     const key = request.headers["idempotency-key"];
     if (typeof key !== "string") return;
-    this.#runsByKey.set(key, this.runsOf(key) + 1);
+    this.#runsByKey.set(key, this.getRunCount(key) + 1);
   }
 
   #answer(
@@ -111,8 +111,8 @@
       received: received.toString(),
     });
     response.setHeader("content-type", "application/json");
-    if (this.faults.lyingLengths > 0) {
-      this.faults.lyingLengths--;
+    if (this.faults.truncatedAnswers > 0) {
+      this.faults.truncatedAnswers--;
       response.setHeader("content-length", Buffer.byteLength(body) + 1);
       response.write(body);
       response.destroy();
--- a/standins/rank_group_stand_in.ts
+++ b/standins/rank_group_stand_in.ts
@@ -49,17 +49,17 @@
   }
 
   /** Number of maps that were used in a step. */
-  get versions(): number {
+  get usedMapCount(): number {
     return this.#versions.size;
   }
 
   /** Steps in which ranks used different maps. */
-  get faults(): readonly string[] {
+  get mixedMapSteps(): readonly string[] {
     return this.#mixedMapSteps;
   }
 
   /** Returns the incarnation of a rank's engine, which numbers its lock-step runs. */
-  incarnationOf(rank: number): number {
+  getIncarnation(rank: number): number {
     return this.#getEngine(rank).state.incarnation;
   }
 
@@ -76,7 +76,7 @@
   }
 
   /** Replaces a rank's engine by one without a map. */
-  replace(rank: number): void {
+  replaceEngine(rank: number): void {
     this.#engines[rank] = new FakeEngine(false);
   }
 
