--- a/src/testing/back_end_runs.ts
+++ b/src/testing/back_end_runs.ts
@@ -1,6 +1,6 @@
 /**
- * The runs of a back end in a world of tests: each answers with a head, some parts and
- * an end, one at a time as a test wants it.
+ * Simulates the runs of a back end. Each run answers with a head, several chunks and an
+ * end, and advances only when the test says so.
  *
  * @module
  */
@@ -16,44 +16,49 @@
   part: number;
 }
 
-/** The runs of one back end. */
+/** Holds the unfinished runs of one back end. */
 export class BackEndRuns {
   readonly #isStreamed: boolean;
   #runs: BackEndRun[] = [];
 
-  /** Begins without runs; `isStreamed`: answers are event streams. */
+  /** Creates an empty set of runs; with `isStreamed`, answers are event streams. */
   constructor(isStreamed: boolean) {
     this.#isStreamed = isStreamed;
   }
 
-  /** Runs that have not ended. */
+  /** The number of unfinished runs. */
   get size(): number {
     return this.#runs.length;
   }
 
-  /** A run begins. */
+  /** Starts a run. */
   start(runId: number, submission: Submission): void {
     this.#runs.push({ runId, submission, part: 0 });
   }
 
-  /** All runs are lost with their target. */
+  /** Drops all runs, as after a crash of their target. */
   clear(): void {
     this.#runs = [];
   }
 
-  /** One of the runs gets on; what its target hears of it. */
+  /**
+   * Advances one of the runs. Returns the event that its target receives, if there is a
+   * run.
+   */
   tryProgress(choice: number, now: number): TargetEvent | undefined {
     const run = this.#choose(choice);
     return run && this.#progress(run, now);
   }
 
-  /** One of the runs breaks off; what its target hears of it. */
+  /**
+   * Fails one of the runs. Returns the event that its target receives, if there is a run.
+   */
   tryFail(choice: number, now: number): TargetEvent | undefined {
     const run = this.#choose(choice);
     return run && this.end(run.runId, now);
   }
 
-  /** A run ends without a whole answer; what its target hears of it. */
+  /** Ends a run without a complete answer. Returns the event that its target receives. */
   end(runId: number, now: number): TargetEvent {
     this.#forget(runId);
     return { kind: "back_end_failed", now, runId, failure: "broken" };
--- a/src/testing/burst_callers.ts
+++ b/src/testing/burst_callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of three urgencies and many organisations, in virtual time: they come back once
- * after a refusal, and leave a connection that stays silent.
+ * Simulates callers of three priorities and many organisations, in virtual time. A caller
+ * retries once after a refusal, and disconnects when no chunk arrives in time.
  *
  * @module
  */
@@ -19,15 +19,17 @@
 } from "./burst_types.ts";
 import type { EventQueue } from "./event_queue.ts";
 
-/** Milliseconds after which a caller leaves a connection that stays silent. */
+/** Milliseconds after which a caller disconnects if it has received no chunk. */
 const SILENCE_LIMIT_MS = 2000;
-/** Callers honour a time to return up to this part of what their deadline leaves. */
+/**
+ * Callers honour a retry delay up to this fraction of the time left until their deadline.
+ */
 const HONOURED_PART = 1 / 3;
 const MS_PER_SECOND = 1000;
-/** Shares of the two large organisations. */
+/** Fractions of all requests that the two large organisations send. */
 const LARGE_SHARES = [1 / 3, 1 / 6] as const;
 
-/** A caller on its way. */
+/** A caller's request that has not ended. */
 interface Call {
   readonly kind: number;
   readonly organisation: number;
@@ -38,44 +40,44 @@
   longestPauseMs: number;
 }
 
-/** What {@link BurstCallers} work with. */
+/** Options of {@link BurstCallers}. */
 export interface BurstCallersOptions {
   readonly events: EventQueue;
   readonly random: RandomSource;
   readonly perSecond: number;
   readonly burst: Burst;
-  /** Gives a request to some entry. */
+  /** Sends a request to one of the entries. */
   readonly send: (request: CallerRequest) => void;
-  /** The caller closed its connection. */
+  /** Called when the caller closes its connection. */
   readonly leave: (requestId: number) => void;
 }
 
-/** Name of an organisation's access key. */
+/** Returns the SHA-256 of an organisation's access key, in hexadecimal. */
 export function keyOf(organisation: number): string {
   return organisation.toString(16).padStart(64, "0");
 }
 
-/** Callers in virtual time. */
+/** Callers that send requests at random intervals in virtual time. */
 export class BurstCallers {
   readonly ended: EndedCall[] = [];
   readonly #options: BurstCallersOptions;
-  /** By the id of the request that is under way. */
+  /** Current calls by the id of their request. */
   readonly #calls = new Map<number, Call>();
   #lastId = 0;
 
-  /** Calls from now on. */
+  /** Starts sending requests immediately. */
   constructor(options: BurstCallersOptions) {
     this.#options = options;
     for (const kind of KINDS.keys()) this.#planNext(kind);
   }
 
-  /** When the oldest call began that waits for an answer or the end of one. */
+  /** When the oldest unfinished call was sent; the current time if there is none. */
   get oldestSentAt(): number {
     const times = [...this.#calls.values()].map(({ sentAt }) => sentAt);
     return Math.min(this.#options.events.now, ...times);
   }
 
-  /** An entry did something for a request. */
+  /** Processes an effect of an entry that concerns a caller. */
   perform(effect: EntryEffect): void {
     switch (effect.kind) {
       case "continue_answer":
@@ -95,7 +97,7 @@
     }
   }
 
-  /** The entry of these requests has ended. */
+  /** Ends the calls of an entry that has stopped. */
   lose(requestIds: readonly number[]): void {
     for (const id of requestIds) this.#end(id, "unserved");
   }
--- a/src/testing/burst_cases.ts
+++ b/src/testing/burst_cases.ts
@@ -1,5 +1,6 @@
 /**
- * The two bursts by which admission by priority is judged, and means over runs of them.
+ * The two bursts that test admission by priority, with functions that run them and
+ * average the scores of several runs.
  *
  * @module
  */
@@ -11,20 +12,26 @@
   PriorityBurstWorld,
 } from "./priority_burst_world.ts";
 
-/** Seeds over which bursts are judged: single ones differ by when costs jump. */
+/**
+ * Seeds of the runs. Several are needed, as runs differ by when the cost of a request
+ * jumps.
+ */
 export const SEEDS = [1, 2, 3, 4, 5, 6] as const;
 /** When bursts begin, in virtual milliseconds. */
 export const BURST_FROM_MS = 10_000;
-/** Calls that begin right after a burst meet what it has left. */
+/**
+ * Calls that begin within this time after a burst are scored, too, as its backlog affects
+ * them.
+ */
 const TAIL_MS = 1000;
-/** All calls that are scored have ended after that. */
+/** Milliseconds after which every scored call has ended. */
 export const LONGEST_CALL_MS = 9000;
 
-/** A burst, with the rate at which 40 to 50% of all answers are late without the part. */
+/** A burst, with a rate at which 40 to 50% of all answers are late without priorities. */
 export interface BurstCase {
   readonly name: string;
   readonly perSecond: number;
-  /** Place in {@link KINDS}. */
+  /** Index in {@link KINDS}. */
   readonly kind: number;
   readonly factor: number;
   readonly lastsMs: number;
@@ -47,12 +54,15 @@
   lastsMs: 3000,
 };
 
-/** What of a run differs from 41 entries before services that differ in priority. */
+/**
+ * Options that differ from the default of 41 entries and services of different
+ * priorities.
+ */
 export type Changes =
   & Partial<BurstWorldOptions>
   & Pick<BurstWorldOptions, "seed">;
 
-/** The world in which a burst is played. */
+/** Creates the simulation in which a burst is run. */
 export function createWorld(
   { perSecond, kind, factor, lastsMs }: BurstCase,
   changes: Changes,
@@ -67,7 +77,7 @@
   });
 }
 
-/** Plays a burst and scores the calls that meet it. */
+/** Runs a burst and scores the calls that it affects. */
 export function play(burst: BurstCase, changes: Changes): BurstScore {
   const until = BURST_FROM_MS + burst.lastsMs;
   const world = createWorld(burst, changes);
@@ -82,9 +92,9 @@
   return scores.reduce((sum, score) => sum + read(score), 0) / scores.length;
 }
 
-/** What callers of each kind got, and what it was worth. */
+/** Mean results of several runs; fractions are listed in the order of {@link KINDS}. */
 export interface MeanScore {
-  /** Part of all answers that were late. */
+  /** Fraction of all answers that were late. */
   readonly late: number;
   readonly worth: number;
   readonly onTime: readonly number[];
@@ -92,7 +102,7 @@
   readonly leastOfOrganisation: number;
 }
 
-/** Means over runs; of organisations the least of any run. */
+/** Computes means over runs, and the minimum of all runs for organisations. */
 export function meanScore(scores: readonly BurstScore[]): MeanScore {
   const ofKinds = (read: (score: KindScore) => number) =>
     KINDS.map((_, kind) =>
@@ -110,7 +120,8 @@
 }
 
 /**
- * What a burst is to be like with admission by priority, against without it.
+ * Asserts that admission by priority improves the results of a burst: the most urgent
+ * kind and the total benefit gain, and no kind or organisation starves.
  *
  * @throws AssertionError when it is not
  */
--- a/src/testing/burst_score.ts
+++ b/src/testing/burst_score.ts
@@ -1,34 +1,40 @@
 /**
- * What callers got in a burst, by kind and by organisation.
+ * Scores what callers received in a burst, by kind and by organisation.
  *
  * @module
  */
 import { type EndedCall, KINDS, ORGANISATIONS } from "./burst_types.ts";
 
-/** What the callers of one kind got. */
+/** Results of the callers of one kind. */
 export interface KindScore {
   readonly sent: number;
-  /** Parts of all that were sent. */
+  /** Fractions of all calls that were sent. */
   readonly onTime: number;
   readonly served: number;
 }
 
-/** What all callers got. */
+/** Results of all callers. */
 export interface BurstScore {
   /** In the order of {@link KINDS}. */
   readonly kinds: readonly KindScore[];
-  /** Sum of worth over what answers on time to all would be worth. */
+  /**
+   * Total benefit of the answers, divided by the benefit if every call were answered on
+   * time.
+   */
   readonly worth: number;
-  /** Part of all answers that were late. */
+  /** Fraction of all answers that were late. */
   readonly late: number;
-  /** Least part served of an organisation, over the part served of all. */
+  /**
+   * Lowest served fraction of any organisation, divided by the served fraction of all
+   * calls.
+   */
   readonly leastOfOrganisation: number;
 }
 
-/** Fewest requests by which an organisation is judged. */
+/** Organisations with fewer calls than this are not scored. */
 const FEWEST_JUDGED = 15;
 
-/** Scores the calls that were sent within a time. */
+/** Scores the calls that were sent within an interval. */
 export function scoreCalls(
   ended: readonly EndedCall[],
   { from, until }: { readonly from: number; readonly until: number },
--- a/src/testing/cold_targets.ts
+++ b/src/testing/cold_targets.ts
@@ -1,5 +1,6 @@
 /**
- * Targets as entries find them listed while they end, start again, and turn cold.
+ * Simulates the list of targets that entries read while targets end, restart and become
+ * cold.
  *
  * @module
  */
@@ -8,27 +9,27 @@
 import type { ColdPools } from "../policy/warm_up_limits.ts";
 import { createInstance } from "./fixtures.ts";
 
-/** What the list says of targets from a moment on. */
+/** A change of what the list reports about targets. */
 export interface ListChange {
-  /** Milliseconds since callers came. */
+  /** Milliseconds since callers started. */
   readonly at: number;
   /** Numbers of the targets, from 0. */
   readonly targets: readonly number[];
   /**
-   * They are gone, or another incarnation is listed that says whether it is cold or does
-   * not say so, or the same one says something else.
+   * `gone`: the targets are removed from the list. `started`: another incarnation is
+   * listed. `told`: the same incarnation reports another coldness.
    */
   readonly kind: "gone" | "started" | "told";
-  /** Undefined: it does not say. */
+  /** Undefined: the target does not report whether it is cold. */
   readonly isCold?: boolean;
 }
 
-/** How targets warm up, and who hears of it late. */
+/** How targets warm up, and which entries learn of changes late. */
 export interface ColdPlan {
   readonly perSecond: number;
   readonly startMs: number;
   readonly changes: readonly ListChange[];
-  /** Milliseconds by which some entries hear late, by their number. */
+  /** Milliseconds by which some entries learn of changes late, by their number. */
   readonly lateMs?: ReadonlyMap<number, number>;
 }
 
@@ -37,20 +38,20 @@
   readonly count: number;
   /** Undefined: no target can be cold. */
   readonly plan: ColdPlan | undefined;
-  /** When callers come, in milliseconds. */
+  /** When callers start, in milliseconds. */
   readonly startMs: number;
 }
 
-/** Targets as entries find them listed. */
+/** The targets as entries find them in the list. */
 export class ColdTargets {
   readonly #options: ColdTargetsOptions;
 
-  /** All targets are listed as warm, or without a word where none can be cold. */
+  /** Lists all targets as warm, or without a coldness report if none can be cold. */
   constructor(options: ColdTargetsOptions) {
     this.#options = options;
   }
 
-  /** What the settings say of cold targets. */
+  /** The settings of pools with cold targets. */
   get coldPools(): ColdPools | undefined {
     const { plan } = this.#options;
     if (plan === undefined) return undefined;
@@ -58,7 +59,7 @@
     return new Map([["confirm", { kind: "limited", perSecond, startMs }]]);
   }
 
-  /** The list that an entry hears. */
+  /** Returns the list as an entry reads it. */
   list(
     entry: number,
     now: number,
--- a/src/testing/crashing_pool.ts
+++ b/src/testing/crashing_pool.ts
@@ -1,6 +1,6 @@
 /**
- * A pool of targets before one entry, in virtual time: targets crash, fall silent, leave
- * and come back, as a test has it.
+ * Simulates a pool of targets behind one entry, in virtual time. A test makes targets
+ * crash, stop answering, leave and be replaced.
  *
  * @module
  */
@@ -28,7 +28,7 @@
   readonly target: string;
 }
 
-/** A pool of targets before one entry. */
+/** A pool of targets behind one entry. */
 export class CrashingPool {
   readonly entry = new EntryReducer({
     failureDomain: "a",
@@ -40,7 +40,9 @@
   #instances: readonly BackEndInstance[] = [];
   #effects: readonly EntryEffect[] = [];
 
-  /** Begins with so many targets that serve; lines are of the service's settings. */
+  /**
+   * Starts with a number of serving targets; `lines` are added to the service's settings.
+   */
   constructor(targets: number, lines: readonly string[] = []) {
     this.entry.reduce({
       kind: "settings_in_force",
@@ -51,12 +53,12 @@
     this.#list();
   }
 
-  /** Names of the targets that are listed. */
+  /** Names of the listed targets. */
   get targets(): readonly string[] {
     return this.#instances.map(({ id }) => id);
   }
 
-  /** Why the last event had a request refused, if it had. */
+  /** Why the last event made the entry refuse a request, if it did. */
   get refusedFor(): RefusalName | undefined {
     for (const effect of this.#effects) {
       if (effect.kind === "refuse_request") {
@@ -66,7 +68,7 @@
     return undefined;
   }
 
-  /** Attempts that the last event had sent. */
+  /** Attempts that the entry sent because of the last event. */
   get sent(): readonly SentAttempt[] {
     return this.#effects.flatMap((effect) => {
       if (effect.kind !== "send" || effect.message.kind !== "submit") return [];
@@ -75,18 +77,18 @@
     });
   }
 
-  /** What the entry remembers. */
+  /** The crashed requests that the entry has recorded. */
   get remembered(): readonly CrashedRequest[] {
     return this.entry.crashes.list();
   }
 
-  /** Time passes. */
+  /** Advances the virtual time. */
   pass(milliseconds: number): void {
     this.now += milliseconds;
     this.#reduce({ kind: "tick", now: this.now });
   }
 
-  /** A request with this body arrives; it must be sent on. */
+  /** Sends a request with this body to the entry, which must send an attempt. */
   send(body: string): SentAttempt {
     this.arrive(body);
     const [sent] = this.sent;
@@ -94,7 +96,7 @@
     return sent;
   }
 
-  /** A request with this body arrives. */
+  /** Sends a request with this body to the entry. */
   arrive(body: string): void {
     const request = createCallerRequest({
       id: ++this.#requests,
@@ -103,27 +105,27 @@
     this.#reduce({ kind: "request_arrived", now: this.now, request });
   }
 
-  /** The connection of an attempt breaks. */
+  /** Breaks the connection of an attempt. */
   break(sent: SentAttempt): void {
     this.#receive(sent, createRefused(sent, "BACK_END_FAILED"));
   }
 
-  /** Another instance answers in the place of an attempt's target. */
+  /** Answers an attempt as another instance at the target's address does. */
   misdirect(sent: SentAttempt): void {
     this.#receive(sent, createRefused(sent, "WRONG_INSTANCE"));
   }
 
-  /** An attempt is answered. */
+  /** Answers an attempt. */
   answer(sent: SentAttempt): void {
     for (const message of createEmptyAnswer(sent)) this.#receive(sent, message);
   }
 
-  /** The caller of an attempt leaves. */
+  /** Disconnects the caller of an attempt. */
   leave({ requestId }: SentAttempt): void {
     this.#reduce({ kind: "caller_gone", now: this.now, requestId });
   }
 
-  /** A target is gone, and another one has its address. */
+  /** Removes a target and adds another one at its address. */
   replace(target: string): void {
     const index = this.#instances.findIndex(({ id }) => id === target);
     this.#instances = this.#instances.filter(({ id }) => id !== target);
@@ -131,7 +133,7 @@
     this.#list();
   }
 
-  /** A target says that it leaves. */
+  /** Lists a target as leaving. */
   startLeaving(target: string): void {
     this.#instances = this.#instances.map((instance) =>
       instance.id === target ? { ...instance, state: "leaving" } : instance
@@ -139,13 +141,13 @@
     this.#list();
   }
 
-  /** A target says that it leaves, and is gone then. */
+  /** Lists a target as leaving, then replaces it. */
   retire(target: string): void {
     this.startLeaving(target);
     this.replace(target);
   }
 
-  /** Another entry tells what it remembers. */
+  /** Delivers the crashed requests that another entry has recorded. */
   tell(requests: readonly CrashedRequest[]): void {
     this.#reduce({ kind: "crashes_told", now: this.now, requests });
   }
--- a/src/testing/crashing_ranks.ts
+++ b/src/testing/crashing_ranks.ts
@@ -1,25 +1,28 @@
 /**
- * Rank groups whose ranks crash, in virtual time: under requests that crash each rank that
- * begins to run them, and for other reasons. A crash stops the whole group until the rank is
- * back; whatever runs at the others breaks when they notice.
+ * Simulates rank groups whose ranks crash, in virtual time: because of requests that
+ * crash each rank that runs them, and for other reasons. A crash stops the whole group
+ * until the rank has restarted; runs at the other ranks break when these notice the
+ * crash.
  *
  * @module
  */
 import type { EventQueue } from "./event_queue.ts";
 
-/** Milliseconds of a request until the rank that runs it crashes, or answers. */
+/** Milliseconds after which a running request crashes its rank, or is answered. */
 const CRASH_AFTER_MS = 100;
 const ANSWER_AFTER_MS = 500;
-/** Milliseconds until the other ranks of a group notice that one is gone. */
+/** Milliseconds until the other ranks of a group notice that a rank is gone. */
 const STALL_MS = 1500;
-/** Milliseconds until a rank that crashed runs again, and its group. */
+/**
+ * Milliseconds until a crashed rank has restarted, and then until its group has formed.
+ */
 const DOWN_MS = 3100;
 const FORM_MS = 1100;
 
 /** How a run at a rank ended. */
 export type RunEnd = "answered" | "broken" | "group lost";
 
-/** One start of a rank. */
+/** One incarnation of a rank. */
 export interface RankStart {
   readonly id: string;
   readonly address: string;
@@ -36,21 +39,21 @@
   readonly queue: EventQueue;
   readonly groups: number;
   readonly ranksPerGroup: number;
-  /** A group stopped or runs again. */
+  /** Called when a group stops or runs again. */
   readonly onGroup: (group: string, isOpen: boolean) => void;
 }
 
 /** Rank groups whose ranks crash. */
 export class CrashingRanks {
   readonly #options: CrashingRanksOptions;
-  /** The last start of each rank. */
+  /** The current or last incarnation of each rank. */
   #ranks: RankStart[] = [];
   readonly #runs = new Set<Run>();
   readonly #closedUntil = new Map<string, number>();
   #starts = 0;
   #crashes = 0;
 
-  /** All ranks run. */
+  /** Starts all ranks. */
   constructor(options: CrashingRanksOptions) {
     this.#options = options;
     const { groups, ranksPerGroup } = options;
@@ -62,17 +65,22 @@
     }
   }
 
-  /** The last start of each rank; one that crashed is listed until the next one. */
+  /**
+   * The last incarnation of each rank; a crashed one is listed until the rank has
+   * restarted.
+   */
   get listed(): readonly RankStart[] {
     return this.#ranks;
   }
 
-  /** Crashes under requests that crash ranks. */
+  /** Number of crashes caused by requests that crash ranks. */
   get crashes(): number {
     return this.#crashes;
   }
 
-  /** A request comes to a rank; `crashes` if it crashes each rank that runs it. */
+  /**
+   * Runs a request at a rank; with `crashes`, the request crashes each rank that runs it.
+   */
   run(
     id: string,
     request: { readonly crashes: boolean },
@@ -97,7 +105,7 @@
     });
   }
 
-  /** Ranks crash at once. */
+  /** Crashes several ranks at the same time. */
   crash(ranks: readonly RankStart[]): void {
     const { queue } = this.#options;
     const ids = new Set(ranks.map(({ id }) => id));
--- a/src/testing/drain_faults.ts
+++ b/src/testing/drain_faults.ts
@@ -1,10 +1,10 @@
 /**
- * What goes wrong in a fleet of entries that hear of a drain, and when.
+ * Faults of a fleet of entries that learn of a drain, and when they occur.
  *
  * @module
  */
 
-/** What happens to an entry, or to the store towards all of them. */
+/** A fault of an entry, or of the store as all entries see it. */
 export interface DrainFault {
   readonly kind:
     | "unstable_store"
@@ -12,20 +12,20 @@
     | "silent_watch"
     | "stands_still"
     | "cut_off";
-  /** Which entry, from 0; of the store's faults undefined. */
+  /** Number of the entry, from 0; undefined for faults of the store. */
   readonly entry?: number;
   readonly at: number;
   readonly forMs: number;
 }
 
-/** A kind of fault at a moment. */
+/** The kind, entry and time for which faults are looked up. */
 export interface FaultMoment extends Pick<DrainFault, "kind" | "entry"> {
   /** Virtual milliseconds. */
   readonly now: number;
 }
 
 /**
- * Whether something goes wrong at a moment.
+ * Returns whether a fault is active at a time.
  *
  * @example
  * ```ts
--- a/src/testing/drain_fleet.ts
+++ b/src/testing/drain_fleet.ts
@@ -1,7 +1,8 @@
 /**
- * Entries that hear of a drained failure domain from the platform's store or from each other,
- * and go on sending requests, in virtual time. The store is unstable or comes back from an
- * older copy, watches go silent, machines stand still or are cut off from the others.
+ * Simulates entries that learn of a drained failure domain from the platform's store or
+ * from each other while they send requests, in virtual time. The store becomes unstable
+ * or is restored from an older copy, watches get no answer, and VMs are frozen or cut off
+ * from the others.
  *
  * @module
  */
@@ -30,15 +31,18 @@
 export const DRAINED_AT_MS = 4000;
 /** The failure domain that is drained. */
 export const DRAINED_DOMAIN = "domain-1";
-/** Failure domains of the fleet, each with entries and targets. */
+/** Number of failure domains; each has entries and targets. */
 const DOMAINS = 3;
 const TARGETS_PER_DOMAIN = 4;
 const TURN_MS = 50;
-/** Share of settings of an age, over the leaving limit, up to which a reader is trusted. */
+/**
+ * A reader's answer is trusted if its settings are no older than this factor times the
+ * leaving limit.
+ */
 const OLDEST_SETTINGS_PART = 1.2;
 const MESSAGE_MS = { least: 1, usual: 12, late: 900, lateShare: 0.05 } as const;
 const WORK_MS = 120;
-/** Share of attempts that fail, so that requests are retried. */
+/** Fraction of attempts that fail, so that requests are retried. */
 const FAILED_SHARE = 0.2;
 
 const UNSERVED_REASONS: ReadonlySet<RefusalName> = new Set([
@@ -50,29 +54,31 @@
 export interface DrainFleetOptions {
   readonly seed: number;
   readonly entries: number;
-  /** Requests of all callers together. */
+  /** Request rate of all callers together. */
   readonly requestsPerSecond: number;
-  /** Milliseconds for which a back end that leaves may be sent work. */
+  /** Milliseconds for which requests may be sent to a back end that is leaving. */
   readonly leavingLimitMs: number;
   readonly faults: readonly DrainFault[];
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface DrainFleetResult {
   readonly requests: number;
-  /** Requests that reached drained targets before the operator had written. */
+  /**
+   * Requests that reached targets of the drained domain before the operator drained it.
+   */
   readonly arrivalsBefore: number;
   /**
-   * Milliseconds from the operator's writing to the last arrival at a drained target from an
-   * entry that did not stand still.
+   * Milliseconds from the operator's write to the last arrival at a drained target from
+   * an entry that was not frozen.
    */
   readonly lastArrivalMs: number;
   /**
-   * Milliseconds from there until the last such entry had the drain in force for good;
-   * infinite when one has not.
+   * Milliseconds from the operator's write until the last entry that was not frozen had
+   * the drain in force for good; infinite if one entry never had.
    */
   readonly lastInForceMs: number;
-  /** Requests that were refused for want of a target. */
+  /** Requests that were refused because no target was available. */
   readonly unserved: number;
 }
 
@@ -84,7 +90,7 @@
   readonly turns: ReaderTurns;
   readonly reducer: EntryReducer;
   readonly drains: DrainedDomains;
-  /** Those who ask this entry, with the revision of the drains that they have. */
+  /** Entries that query this entry, with the revision of the drains that each has. */
   readonly followers: Map<FleetEntry, number>;
   reader: string | undefined;
   inForce: string;
@@ -95,7 +101,7 @@
   hasListed: boolean;
 }
 
-/** Entries that hear of a drained failure domain. */
+/** A fleet of entries that learn of a drained failure domain. */
 export class DrainFleet {
   readonly #options: DrainFleetOptions;
   readonly #queue = new EventQueue();
@@ -109,7 +115,7 @@
   #lastArrivalMs = 0;
   #lastInForceMs = 0;
 
-  /** The same options give the same run. */
+  /** Creates the fleet; the same options give the same run. */
   constructor(options: DrainFleetOptions) {
     this.#options = options;
     this.#random = new RandomSource(options.seed);
@@ -134,7 +140,7 @@
     }
   }
 
-  /** Runs to a virtual time in milliseconds. */
+  /** Runs up to a virtual time in milliseconds. */
   run(untilMs: number): DrainFleetResult {
     this.#queue.runUntil(untilMs);
     return {
@@ -280,7 +286,9 @@
     return createNews(knowledge, { drainsRevision }, this.#now);
   }
 
-  /** Puts in force what was heard, and tells those who ask this entry. */
+  /**
+   * Puts the known drains in force and sends them to the entries that follow this one.
+   */
   #drainsChanged(entry: FleetEntry): void {
     const { drains, reducer } = entry;
     const failureDomains = drains.listInForce(this.#now);
@@ -312,7 +320,10 @@
     return entry.inForce === DRAINED_DOMAIN || this.#has(entry, "stands_still");
   }
 
-  /** What meets a machine that stands still waits there; what meets a cut is lost. */
+  /**
+   * Delivers a message after a random delay. Messages to a frozen VM wait there; messages
+   * to or from an entry that is cut off are lost.
+   */
   #cross(from: FleetEntry, to: FleetEntry, run: () => void): void {
     const { least, usual, late, lateShare } = MESSAGE_MS;
     const isLate = this.#random.nextFraction() < lateShare;
--- a/src/testing/drain_store_model.ts
+++ b/src/testing/drain_store_model.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's store as entries read the drained failure domains from it, in virtual time:
- * a listing, then watches, and a listing again after a call that failed.
+ * Simulates the platform's store from which entries read the drained failure domains, in
+ * virtual time. Entries list first, then watch, and list again after a failed call.
  *
  * @module
  */
@@ -9,15 +9,20 @@
 import type { EventQueue } from "./event_queue.ts";
 
 const STORE_MS = { least: 4, spread: 8 } as const;
-/** Share of calls that fail while the store is unstable. */
+/** Fraction of calls that fail while the store is unstable. */
 const FAILED_SHARE = 0.5;
 const RETRY_PAUSE_MS = 400;
-/** Milliseconds after which a call that gets no answer has failed, beyond its wait. */
+/**
+ * Milliseconds, beyond the wait of the call, after which an unanswered call has failed.
+ */
 const CALL_LIMIT_MS = 1500;
-/** Milliseconds between two looks of a machine that stands still, or is led. */
+/**
+ * Interval in milliseconds at which a reader whose VM is frozen checks whether it runs
+ * again.
+ */
 const LOOK_MS = 50;
 
-/** The drains, as a call read them. */
+/** The drains that a call has read. */
 export interface DrainsRead {
   readonly era: number;
   readonly revision: number;
@@ -26,7 +31,7 @@
   readonly askedAt: number;
 }
 
-/** One that follows the drains in the store. */
+/** A reader that follows the drains in the store. */
 export interface DrainReader {
   readonly isFollowing: () => boolean;
   readonly isRunning: () => boolean;
@@ -46,11 +51,11 @@
 
 interface Following {
   readonly reader: DrainReader;
-  /** Counts rounds that were broken off: answers of earlier ones are not heard. */
+  /** Number of the current round; answers to calls of earlier rounds are ignored. */
   round: number;
   failures: number;
   heard: string;
-  /** Ends the wait of its watch. */
+  /** Ends the wait of the reader's watch. */
   wake: (() => void) | undefined;
 }
 
@@ -62,19 +67,21 @@
   #revision = 1;
   #drained: ReadonlySet<string> = new Set();
 
-  /** Holds no drain. */
+  /** Creates a store without drains. */
   constructor(options: DrainStoreOptions) {
     this.#options = options;
   }
 
-  /** The operator drains a failure domain; the store has acknowledged it at once. */
+  /**
+   * Drains a failure domain as the operator does; the write is acknowledged immediately.
+   */
   drain(failureDomain: string): void {
     this.#drained = new Set([...this.#drained, failureDomain]);
     this.#revision++;
     this.#wakeAll();
   }
 
-  /** The store comes back from a copy without any drain. */
+  /** Restores the store from an older copy without any drain. */
   goBack(): void {
     this.#era++;
     this.#revision = 1;
@@ -82,7 +89,7 @@
     this.#wakeAll();
   }
 
-  /** Makes a call; tells whether it was answered. */
+  /** Makes a call and reports whether it was answered. */
   call(onOver: (isAnswered: boolean) => void): void {
     const { queue, random, isUnstable } = this.#options;
     const tookMs = STORE_MS.least + random.nextBelow(STORE_MS.spread);
@@ -91,7 +98,7 @@
     });
   }
 
-  /** Follows the drains from now on. */
+  /** Starts to follow the drains for a reader. */
   follow(number: number, reader: DrainReader): void {
     const wake = undefined;
     const one = { reader, round: 0, failures: 0, heard: "", wake };
@@ -99,7 +106,7 @@
     this.#list(one, one.round);
   }
 
-  /** Breaks off what one waits for, and lists. */
+  /** Cancels the current call of a reader and lists again. */
   readAnew(number: number): void {
     const one = this.#following.get(number);
     if (one !== undefined) this.#list(one, ++one.round);
@@ -119,7 +126,7 @@
     const { queue, watchWaitMs } = this.#options;
     const { reader } = one;
     if (!reader.isFollowing() || !reader.isRunning()) {
-      // One that is led reads anew when it is not led any more.
+      // A reader that follows another entry lists again when it stops following.
       if (reader.isFollowing()) {
         queue.after(LOOK_MS, () => this.#watch(one, round));
       }
--- a/src/testing/drifting_group.ts
+++ b/src/testing/drifting_group.ts
@@ -1,6 +1,7 @@
 /**
- * A group of many ranks whose popularity stands still for some seconds and then changes
- * at once, with maps that follow it as a decider's do, in steps of virtual time.
+ * Simulates a group of many ranks in steps of virtual time. The popularity of experts is
+ * constant for some seconds and then changes abruptly; maps follow it as a decider plans
+ * them.
  *
  * @module
  */
@@ -11,28 +12,31 @@
 import { tryPlanIncrement } from "../policy/placement/incremental_planner.ts";
 
 const SLOTS_PER_RANK = 5;
-/** As played days showed it: changes each 2.1 s, a sixth of all choices for one expert. */
+/**
+ * Changes occur every 2.1 s and one expert gets a sixth of all choices, as in recorded
+ * traffic.
+ */
 const CHANGE_INTERVAL_MS = 2100;
 const ZIPF_EXPONENT = 0.93;
 const CHOICES_PER_STEP = 20_000;
 const STEP_MS = 25;
-/** Milliseconds from a whole copy until the map is in force. */
+/** Milliseconds from the end of copying until the map is in force. */
 const SWITCH_MS = 150;
 const USUAL_PASS_MS = 60;
 
-/** A group and the machine that plans for it. */
+/** The size of a group and the time that its decider takes to plan and copy. */
 export interface GroupShape {
   readonly ranks: number;
   readonly layers: number;
   readonly experts: number;
   /** Milliseconds to load one expert. */
   readonly loadMs: number;
-  /** Milliseconds to plan a map, and for each copy in it. */
+  /** Milliseconds to plan a map, and additional milliseconds for each copy in it. */
   readonly planningMs: number;
   readonly planningMsPerCopy: number;
 }
 
-/** A group of 24 ranks, planned for by a machine whose time does not bind. */
+/** A group of 24 ranks with a short planning time. */
 const USUAL_SHAPE: GroupShape = {
   ranks: 24,
   layers: 4,
@@ -42,27 +46,30 @@
   planningMsPerCopy: 0,
 };
 
-/** What varies between runs. */
+/** Options of a {@link DriftingGroup}. */
 export interface DriftingGroupOptions {
   readonly seed: number;
   /** Milliseconds between two counts. */
   readonly countIntervalMs: number;
   /** 24 ranks by default. */
   readonly shape?: GroupShape;
-  /** Copies at a rank for one map; as a decider has them by default. */
+  /** New copies at a rank for one map; by default the number that a decider uses. */
   readonly copiesPerRank?: number;
 }
 
-/** What a run showed of the most loaded rank, over a mean one. */
+/** Load of the most loaded rank, divided by the mean load. */
 export interface DriftResult {
   readonly meanSkew: number;
-  /** Part of the time in which it had more than 2.5 times the mean. */
+  /**
+   * Fraction of the time in which the most loaded rank had more than 2.5 times the mean
+   * load.
+   */
   readonly partTooLong: number;
 }
 
 const LONG_PASS_SKEW = 2.5;
 
-/** A group whose popularity changes at once now and then. */
+/** A group whose popularity of experts changes abruptly. */
 export class DriftingGroup {
   readonly #options: DriftingGroupOptions;
   readonly #shape: GroupShape;
@@ -73,7 +80,7 @@
   #map: ExpertMap;
   #pending: { readonly map: ExpertMap; readonly at: number } | undefined;
 
-  /** The same options give the same run. */
+  /** Creates a group; the same options give the same run. */
   constructor(options: DriftingGroupOptions) {
     this.#options = options;
     this.#shape = options.shape ?? USUAL_SHAPE;
@@ -84,7 +91,7 @@
     this.#random = new RandomSource(options.seed);
   }
 
-  /** Runs for so many milliseconds. */
+  /** Runs for a number of virtual milliseconds. */
   run(untilMs: number): DriftResult {
     const skews: number[] = [];
     for (let now = 0; now < untilMs; now += STEP_MS) {
@@ -101,7 +108,7 @@
     };
   }
 
-  /** Other experts are in demand, in each layer by itself. */
+  /** Changes the popularity of experts, independently in each layer. */
   #change(): void {
     this.#shares = this.#createLayers(() => {
       const weights = Array.from(
--- a/src/testing/event_queue.ts
+++ b/src/testing/event_queue.ts
@@ -1,5 +1,5 @@
 /**
- * A queue of events in virtual time.
+ * Provides a queue of events in virtual time.
  *
  * @module
  */
@@ -16,17 +16,17 @@
   #now = 0;
   #order = 0;
 
-  /** Virtual milliseconds. */
+  /** The current virtual time in milliseconds. */
   get now(): number {
     return this.#now;
   }
 
-  /** Runs a callback after some virtual milliseconds. */
+  /** Schedules a callback after some virtual milliseconds. */
   after(milliseconds: number, run: () => void): void {
     this.#push({ at: this.#now + milliseconds, order: this.#order++, run });
   }
 
-  /** Runs all that is planned up to a time. */
+  /** Runs all callbacks that are scheduled up to a virtual time. */
   runUntil(end: number): void {
     while (this.#heap.length > 0 && (this.#heap[0] as PlannedEvent).at <= end) {
       const event = this.#pop();
--- a/src/testing/fake_engine.ts
+++ b/src/testing/fake_engine.ts
@@ -1,5 +1,5 @@
 /**
- * A fake of an engine in a rank group, for tests of the switch of maps.
+ * Provides a fake engine of a rank group, for tests of the switch of maps.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   VersionedMap,
 } from "../messages/group_types.ts";
 
-/** What a fresh engine has. */
+/** The state of a new engine. */
 const FRESH_ENGINE: EngineState = {
   incarnation: 0,
   step: 0,
@@ -22,23 +22,25 @@
   maps: [],
 };
 
-/** A fake engine; whether it checks fencing numbers is a choice. */
+/** A fake engine that optionally checks fencing numbers. */
 export class FakeEngine {
   #state: EngineState = FRESH_ENGINE;
   #fencingNumber = 0;
   readonly #checksFencing: boolean;
 
-  /** A fresh engine has no map and belongs to no run. */
+  /** Creates an engine without a map that belongs to no incarnation of the group. */
   constructor(checksFencing: boolean) {
     this.#checksFencing = checksFencing;
   }
 
-  /** What the engine says of itself. */
+  /** The state that the engine reports. */
   get state(): EngineState {
     return this.#state;
   }
 
-  /** The map of the next step; undefined when the engine may not begin it. */
+  /**
+   * Returns the map of the next step, or undefined if the engine may not begin the step.
+   */
   tryMapOfNextStep(): VersionedMap | undefined {
     const { holdBefore, step, maps } = this.#state;
     if (holdBefore !== undefined && step >= holdBefore) return undefined;
@@ -58,7 +60,7 @@
     };
   }
 
-  /** Carries out an order, or refuses it by its number. */
+  /** Executes an order, or ignores it if its fencing number is too low. */
   carryOut(order: EngineOrder, fencingNumber: number): void {
     if (this.#checksFencing && fencingNumber < this.#fencingNumber) return;
     this.#fencingNumber = Math.max(fencingNumber, this.#fencingNumber);
--- a/src/testing/fake_formed_engine.ts
+++ b/src/testing/fake_formed_engine.ts
@@ -1,5 +1,5 @@
 /**
- * A fake of the engine of one rank of a group that the platform forms.
+ * Provides a fake engine of one rank, for groups that the platform forms.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 
 const FIRST_MAP: LoadedMap = { version: 0, map: undefined };
 
-/** A fake engine; the group's passes are driven from outside. */
+/** A fake engine; the caller drives the group's passes. */
 export class FakeFormedEngine {
   readonly #rank: number;
   readonly #ranks: number;
@@ -31,13 +31,13 @@
   #armed: ArmedSwitch | undefined;
   #heldPass: number | undefined;
 
-  /** A rank of a group in its first epoch. */
+  /** Creates an engine of a group in its first epoch. */
   constructor(rank: number, ranks: number) {
     this.#rank = rank;
     this.#ranks = ranks;
   }
 
-  /** What the engine says of itself. */
+  /** The state that the engine reports. */
   get state(): RankState {
     return {
       group: "group",
@@ -56,12 +56,12 @@
     };
   }
 
-  /** The map that is used. */
+  /** The map in use. */
   get active(): LoadedMap {
     return this.#active;
   }
 
-  /** Whether the group may begin a pass. */
+  /** Returns whether the group may begin a pass. */
   mayBegin(pass: number): boolean {
     return this.#heldPass !== pass;
   }
@@ -76,12 +76,12 @@
     this.#armed = undefined;
   }
 
-  /** The copy of a map is whole. */
+  /** Completes the copy of a map. */
   finishLoading(version: number): void {
     if (this.#prepared?.version === version) this.#isLoaded = true;
   }
 
-  /** The group is formed anew. */
+  /** Forms the group again, which starts the next epoch. */
   reform(): void {
     this.#epoch++;
     this.#pass = 0;
@@ -92,7 +92,7 @@
     this.#heldPass = undefined;
   }
 
-  /** Carries out an order; false when it does not fit the state. */
+  /** Executes an order. Returns false if it does not fit the state. */
   carryOut(order: EngineOrder): boolean {
     if (order.epoch !== this.#epoch) return false;
     switch (order.kind) {
--- a/src/testing/fake_key_value_service.ts
+++ b/src/testing/fake_key_value_service.ts
@@ -1,5 +1,6 @@
 /**
- * A key-value service in memory, whose calls a test can delay, lose or refuse.
+ * Provides a key-value service in memory. A test can delay its calls, refuse them or lose
+ * their answers.
  *
  * @module
  */
@@ -11,14 +12,14 @@
   type SwapOutcome,
 } from "../external/key_value_service.ts";
 
-/** What becomes of one call. */
+/** The outcome of one call. */
 export type CallFate = "answered" | "refused" | "reply_lost";
 
 /** Options of a {@link FakeKeyValueService}. */
 export interface FakeKeyValueOptions {
   /** Called before and after each call takes effect; may wait. */
   readonly pass?: () => Promise<void>;
-  /** Decides what becomes of a call. */
+  /** Chooses the outcome of a call. */
   readonly fate?: (key: string) => CallFate;
 }
 
@@ -28,29 +29,29 @@
   #values = new Map<string, KeyValueEntry>();
   isDown = false;
 
-  /** Begins empty. */
+  /** Creates an empty service. */
   constructor(options: FakeKeyValueOptions = {}) {
     super();
     this.#options = options;
   }
 
-  /** A copy of all values. */
+  /** Returns a copy of all values. */
   backUp(): ReadonlyMap<string, KeyValueEntry> {
     return new Map(this.#values);
   }
 
-  /** Goes back to an older state; revisions of keys go on. */
+  /** Restores the values of a backup, with their revisions. */
   restore(values: ReadonlyMap<string, KeyValueEntry>): void {
     this.#values = new Map(values);
   }
 
-  /** Puts another value in place, past all rules. */
+  /** Overwrites a value unconditionally. */
   corrupt(key: string, value: string): void {
     const revision = this.#values.get(key)?.revision ?? 0;
     this.#values.set(key, { value, revision: revision + 1 });
   }
 
-  /** A value, past all faults. */
+  /** Returns a value regardless of simulated faults. */
   tryPeek(key: string): KeyValueEntry | undefined {
     return this.#values.get(key);
   }
--- a/src/testing/fixtures.ts
+++ b/src/testing/fixtures.ts
@@ -1,5 +1,6 @@
 /**
- * Messages and settings for tests, complete but for what a test is about.
+ * Creates messages and settings for tests. They are complete; a test overrides only the
+ * fields that it depends on.
  *
  * @module
  */
@@ -24,7 +25,7 @@
   readonly text: string;
 }
 
-/** A submit message. */
+/** Creates a submit message. */
 export function createSubmit(
   changes: Partial<SubmitMessage> = {},
 ): SubmitMessage {
@@ -46,7 +47,7 @@
   };
 }
 
-/** A back end that serves, named by its id, in the pool of {@link createRoutes}. */
+/** Creates a serving back end, named by its id, in the pool of {@link createRoutes}. */
 export function createInstance(
   id: string,
   changes: Partial<BackEndInstance> = {},
@@ -63,10 +64,13 @@
   };
 }
 
-/** Which attempt a message belongs to. */
+/** Identifies the attempt that a message belongs to. */
 export type AttemptPlace = Pick<AttemptMessage, "requestId" | "attempt">;
 
-/** What a back end says of itself with an answer, nothing unless given. */
+/**
+ * Creates the notice that a back end sends with an answer; each field is `none` by
+ * default.
+ */
 export function createNotice(
   changes: Partial<BackEndNotice> = {},
 ): BackEndNotice {
@@ -74,7 +78,7 @@
   return { rateLimit: none, backoff: none, leaving: none, ...changes };
 }
 
-/** The messages of a whole answer without a body, on a connection that ends with it. */
+/** Creates the messages of a complete answer without a body. */
 export function createEmptyAnswer(
   place: AttemptPlace,
 ): readonly AttemptMessage[] {
@@ -101,7 +105,7 @@
   ];
 }
 
-/** The message of an attempt that its back end did not answer. */
+/** Creates the message of an attempt that its back end did not answer. */
 export function createRefused(
   place: AttemptPlace,
   reason: RefusedMessage["reason"],
@@ -118,7 +122,7 @@
   };
 }
 
-/** A caller's request. */
+/** Creates a caller's request. */
 export function createCallerRequest(
   changes: Partial<CallerRequest> = {},
 ): CallerRequest {
@@ -132,7 +136,7 @@
   };
 }
 
-/** Checked documents; they must have no findings. */
+/** Checks documents; they must have no findings. */
 export function createDocuments(
   fixtures: readonly DocumentFixture[],
 ): ReadonlyMap<string, SettingsDocument> {
@@ -151,7 +155,7 @@
   readonly organisation?: readonly string[];
 }
 
-/** Routes with one organisation, `andamaq`, and one service at `/confirm`. */
+/** Creates routes with one organisation, `andamaq`, and one service at `/confirm`. */
 export function createRoutes(lines: RouteLines = {}): RoutingTable {
   const service = [
     "kind: service",
--- a/src/testing/formed_engine_fixture.ts
+++ b/src/testing/formed_engine_fixture.ts
@@ -1,5 +1,6 @@
 /**
- * A fake engine of a formed group, reached as processes reach the real one.
+ * Provides a fake engine of a formed group behind the interface through which processes
+ * reach a real engine.
  *
  * @module
  */
@@ -13,21 +14,21 @@
 } from "../messages/formed_group_types.ts";
 import { FakeFormedEngine } from "./fake_formed_engine.ts";
 
-/** Experts of the one layer that each rank of the fake group holds. */
+/** Experts that each rank of the fake group holds in its only layer. */
 const EXPERTS_PER_RANK = 1;
 
-/** An engine that carries out each order at once, and copies maps in no time. */
+/** An engine that executes each order immediately and copies maps without delay. */
 export class FormedEngineFixture extends FormedEngine {
   readonly fake: FakeFormedEngine;
   readonly given: EngineOrder[] = [];
-  /** Orders from now on that are not answered, and not carried out for the time being. */
+  /** Number of the next orders that are neither executed nor answered. */
   unanswered = 0;
-  /** Looks at the engine's state. */
+  /** Number of reads of the engine's state. */
   looks = 0;
   readonly #rank: number;
   readonly #ranks: number;
 
-  /** An engine of a group that has just been formed. */
+  /** Creates an engine of a group that has just been formed. */
   constructor(rank: number, ranks: number) {
     super();
     this.#rank = rank;
--- a/src/testing/formed_group_engines.ts
+++ b/src/testing/formed_group_engines.ts
@@ -1,6 +1,6 @@
 /**
- * The engines of a model of a formed group: their passes, the orders that they carry out
- * at once or late, and what is checked of each pass.
+ * Simulates the engines of a formed group: their passes, and the orders that they execute
+ * immediately or late. Records passes that began with more than one map.
  *
  * @module
  */
@@ -36,7 +36,7 @@
   #passes = 0;
   #switches = 0;
 
-  /** No pass has begun yet. */
+  /** Creates engines that have not begun a pass. */
   constructor(queue: EventQueue, random: RandomSource) {
     this.#queue = queue;
     this.#random = random;
@@ -47,22 +47,22 @@
     return this.#mixedPasses;
   }
 
-  /** Passes that began. */
+  /** Number of passes that began. */
   get passes(): number {
     return this.#passes;
   }
 
-  /** Maps that came into force. */
+  /** Number of maps that came into force. */
   get switches(): number {
     return this.#switches;
   }
 
-  /** What an engine says of itself. */
+  /** Returns the state that an engine reports. */
   stateOf(rank: number): RankState {
     return this.#engine(rank).state;
   }
 
-  /** The group is formed anew. */
+  /** Forms the group again. */
   reform(): void {
     for (const engine of this.#engines) engine.reform();
   }
@@ -82,13 +82,16 @@
     return true;
   }
 
-  /** The engine carries out an order 2 to 12 s later. */
+  /** Executes an order at an engine 2 to 12 s later. */
   applyLate(rank: number, message: RankOrderMessage): void {
     const lateMs = LATE_MIN_MS + this.#random.nextBelow(LATE_SPREAD_MS);
     this.#queue.after(lateMs, () => this.apply(rank, message));
   }
 
-  /** An engine that is fenced prepares a map without a copy, so at once. */
+  /**
+   * Executes an order at an engine. A fence prepares a map without copying, so it takes
+   * effect immediately.
+   */
   apply(rank: number, { order }: RankOrderMessage): boolean {
     const engine = this.#engine(rank);
     if (order.kind === "fence") {
--- a/src/testing/formed_group_faults.ts
+++ b/src/testing/formed_group_faults.ts
@@ -1,40 +1,45 @@
 /**
- * What goes wrong in a model of a formed group.
+ * Faults of a simulated formed group.
  *
  * @module
  */
 
-/** How often things go wrong, as shares from 0 to 1. */
+/** How often faults occur; fractions are numbers from 0 to 1. */
 export interface FormedGroupFaults {
-  /** Orders that are carried out 2 to 12 s later, without an answer. */
+  /** Fraction of orders that are executed 2 to 12 s later and not answered. */
   readonly lateOrders: number;
-  /** Orders that are carried out at once, without an answer. */
+  /** Fraction of orders that are executed immediately but not answered. */
   readonly lostAnswers: number;
-  /** Messages between processes that are lost with their connection. */
+  /** Fraction of messages between processes that are lost with their connection. */
   readonly lostMessages: number;
-  /** Milliseconds between two ends of the decider; 0: never. */
+  /** Mean milliseconds between two ends of the decider; 0: never. */
   readonly deciderLifeMs: number;
   /**
-   * Share of the decider's messages after which it stands still for four seconds,
-   * what arrives meanwhile being kept for it.
+   * Fraction of the decider's messages after which it is frozen for four seconds.
+   * Messages that arrive meanwhile are kept for it.
    */
   readonly deciderFreezes: number;
-  /** Mean milliseconds between two moments, any, at which it stands still; 0: never. */
+  /**
+   * Mean milliseconds between two random times at which the decider is frozen; 0: never.
+   */
   readonly freezesEveryMs: number;
-  /** Moments at which it stands still, in milliseconds. */
+  /** Times at which the decider is frozen, in milliseconds. */
   readonly freezesAt: readonly number[];
-  /** Whether only the order to hold a pass can be the last before it. */
+  /** Whether only an order to hold a pass can be the last message before a freeze. */
   readonly freezesAfterHoldsOnly: boolean;
   /**
-   * Share of the messages to a rank's process after which its machine stands still for
-   * four seconds. Its engine makes passes, but answers nobody.
+   * Fraction of the messages to a rank's sidecar after which the VM of the rank is frozen
+   * for four seconds. Its engine continues its passes but answers no requests.
    */
   readonly rankFreezes: number;
-  /** Share of the orders to a rank's process that are forgotten, as if it ended. */
+  /**
+   * Fraction of the orders to a rank's sidecar that are forgotten, as if the sidecar had
+   * ended.
+   */
   readonly forgottenOrders: number;
   /** Milliseconds between two formations of the group; 0: never. */
   readonly epochMs: number;
-  /** Milliseconds of each ten seconds in which there is no work. */
+  /** Milliseconds of each ten seconds in which there are no requests. */
   readonly idleMs: number;
 }
 
@@ -53,7 +58,7 @@
   idleMs: 0,
 };
 
-/** Nothing goes wrong but what is named. */
+/** Creates faults of which only the given ones occur. */
 export function createFormedGroupFaults(
   faults: Partial<FormedGroupFaults> = {},
 ): FormedGroupFaults {
--- a/src/testing/formed_group_orders.ts
+++ b/src/testing/formed_group_orders.ts
@@ -1,6 +1,6 @@
 /**
- * The processes beside the ranks of a model of a formed group: each gives its engine one
- * order at a time, and again until it is answered.
+ * Simulates the sidecars of the ranks of a formed group. Each sends its engine one order
+ * at a time, and repeats it until it is answered.
  *
  * @module
  */
@@ -15,13 +15,13 @@
 import type { FormedGroupFaults } from "./formed_group_faults.ts";
 
 const ORDER_LIMIT_MS = 40;
-/** Milliseconds after an engine has loaded a map until it answers, one tick. */
+/** Milliseconds from the end of loading a map until the engine answers; one tick. */
 const ANSWER_MS = 20;
 
-/** Tells whoever sent an order how the engine stands. */
+/** Reports the state of the engine to the sender of an order. */
 export type AnswerOrder = (report: RankReportMessage) => void;
 
-/** What the processes work with. */
+/** Options of {@link FormedGroupOrders}. */
 export interface FormedGroupOrdersOptions {
   readonly queue: EventQueue;
   readonly random: RandomSource;
@@ -29,17 +29,17 @@
   readonly engines: FormedGroupEngines;
 }
 
-/** The orders that the processes beside the ranks carry out. */
+/** The orders that the sidecars of the ranks execute. */
 export class FormedGroupOrders {
   readonly #parts: FormedGroupOrdersOptions;
   readonly #orders = new Map<number, RankOrderMessage>();
 
-  /** No order is under way yet. */
+  /** Creates sidecars without current orders. */
   constructor(options: FormedGroupOrdersOptions) {
     this.#parts = options;
   }
 
-  /** The rank's process gives an order, and gives it again unless answered. */
+  /** Sends an order to the engine of a rank, and repeats it until it is answered. */
   carryOut(answer: AnswerOrder, rank: number, message: RankOrderMessage): void {
     if (this.#orders.get(rank)?.orderId === message.orderId) return;
     const { random, faults } = this.#parts;
--- a/src/testing/formed_group_world.ts
+++ b/src/testing/formed_group_world.ts
@@ -1,7 +1,7 @@
 /**
- * A formed group, its ranks' processes and those that decide for it, in virtual time:
- * orders that engines answer late, lose or carry out seconds later, words that are lost
- * between processes, and machines and processes that stand still or end at any moment.
+ * Simulates a formed group, the sidecars of its ranks and its deciders, in virtual time.
+ * Engines answer orders late, lose them or execute them seconds later; messages between
+ * processes are lost; VMs are frozen and processes end at any time.
  *
  * @module
  */
@@ -33,38 +33,43 @@
 const FREEZE_MS = 4000;
 const FIRST_FREEZE_MS = 1000;
 const LOOK_MS = 100;
-/** Milliseconds until an engine shows another machine what an order did. */
+/** Milliseconds until an engine shows other VMs the effect of an order. */
 const REMOTE_LOOK_MS = 240;
 const ORDER_IDS_OF_SEAT = 2 ** 32;
 
-/** What a run showed. */
+/** Results of a run. */
 export interface FormedGroupResult {
   /** Passes that began with more than one map. */
   readonly mixedPasses: readonly number[];
   readonly passes: number;
-  /** Maps that came into force. */
+  /** Number of maps that came into force. */
   readonly switches: number;
   /** Longest time for which a pass was held, in milliseconds. */
   readonly longestHoldMs: number;
-  /** The same without the time in which nobody could tell what the decider's rank will do. */
+  /**
+   * The same without the time in which no process could know what the decider's rank will
+   * do.
+   */
   readonly longestAvoidableHoldMs: number;
-  /** Times that the decider's machine stood still. */
+  /** Number of freezes of the decider's VM. */
   readonly freezes: number;
-  /** Those of them in which the group waited since nobody could tell. */
+  /**
+   * Number of those freezes in which the group waited because no process could know that.
+   */
   readonly undecidableFreezes: number;
-  /** What had left the decider's machine as it stood still first. */
+  /** Messages that had left the decider's VM before its first freeze. */
   readonly saidBefore: readonly string[];
-  /** Whether its rank was armed then. */
+  /** Whether the decider's own rank was armed at that time. */
   readonly wasArmed: boolean;
 }
 
-/** A process that decides, or ends what was decided, beside a rank. */
+/** A process beside a rank that decides switches or recovers them. */
 interface Seat {
   readonly rank: number;
   decider: FormedGroupDecider | undefined;
   /** Grows with each decider, so that messages to an ended one are dropped. */
   number: number;
-  /** What arrived while the machine stood still. */
+  /** Events that arrived while the VM was frozen. */
   readonly kept: DeciderEvent[];
 }
 
@@ -82,21 +87,23 @@
   readonly #seat = createSeat(0);
   readonly #rescueSeat = createSeat(HOLDER);
   readonly #watch = new HeldPassWatch();
-  /** That rank 0 is armed, as the process beside the holder was told last. */
+  /** The last report to the holder's sidecar that rank 0 is armed. */
   #told: RankReportMessage | undefined;
-  /** Until when each machine stands still. */
+  /** Until when the VM of each rank is frozen. */
   readonly #frozenUntil = new Array<number>(RANKS).fill(0);
   readonly #holds = new HoldRecord();
   #freezes = 0;
-  /** Freezes of the decider's machine, by number, in which nobody could tell. */
+  /**
+   * Numbers of the freezes of the decider's VM during which the switch was undecidable.
+   */
   readonly #undecidable = new Set<number>();
-  /** What has left the decider's machine. */
+  /** Messages that have left the decider's VM. */
   readonly #said: string[] = [];
   #saidBefore: readonly string[] = [];
   #wasArmed = false;
   #proposals = 0;
 
-  /** The same seed gives the same run. */
+  /** Creates a group; the same seed gives the same run. */
   constructor(seed: number, faults: FormedGroupFaults) {
     this.#random = new RandomSource(seed);
     this.#faults = faults;
@@ -118,7 +125,8 @@
     this.#every(LOOK_MS, () => this.#lookForHold());
     if (faults.deciderLifeMs > 0) this.#planDeciderEnd();
     if (faults.freezesEveryMs > 0) {
-      // The first numbers of small seeds are much alike.
+      // Small seeds give similar first random numbers, so the first freeze is scheduled
+      // later.
       this.#queue.after(FIRST_FREEZE_MS, () => this.#planFreeze());
     }
     for (const at of faults.freezesAt) {
@@ -129,7 +137,7 @@
     }
   }
 
-  /** Runs to a virtual time in milliseconds. */
+  /** Runs up to a virtual time in milliseconds. */
   run(untilMs: number): FormedGroupResult {
     this.#queue.runUntil(untilMs);
     return {
@@ -186,7 +194,7 @@
   }
 
   #pass(): void {
-    // Nobody waits for a pass that is held while there is no work.
+    // A hold during a time without requests delays nobody.
     if (this.#isIdle || this.#engines.tryPass()) return this.#holds.end();
     this.#countHold();
   }
@@ -223,7 +231,7 @@
     this.#reduce(this.#seat, { kind: "map_proposed", now: this.#now, map });
   }
 
-  /** The process beside the holder looks whether the group waits for a held pass. */
+  /** Checks, as the holder's sidecar, whether the group waits for a held pass. */
   #lookForHold(): void {
     if (this.#isFrozen(HOLDER)) return;
     const seat = this.#rescueSeat;
@@ -272,7 +280,7 @@
     if (effect.kind === "send_query") return this.#ask(seat, effect.rank);
     if (effect.kind !== "send_order") return;
     const { rank, orderId, order, isRepeated } = effect;
-    // What goes to the rank's own engine does not leave the machine.
+    // Messages to the rank's own engine do not leave the VM.
     if (seat === this.#seat && rank !== 0) {
       this.#said.push(`${this.#now} ${order.kind} ${rank}`);
     }
@@ -287,7 +295,9 @@
     );
   }
 
-  /** What is asked beside the holder, the looks at its own engine answer. */
+  /**
+   * Queries a rank. The holder's sidecar needs no queries, as it reads its own engine.
+   */
   #ask(seat: Seat, rank: number): void {
     if (seat === this.#rescueSeat) return;
     this.#deliver(seat, rank, () =>
@@ -307,8 +317,8 @@
   }
 
   /**
-   * Given to the engine itself, as the rank's process does not answer. A machine that
-   * stands still takes its engine's interface with it.
+   * Sends an order directly to the engine because the rank's sidecar does not answer. The
+   * engine of a frozen VM cannot be reached.
    */
   #giveRemotely(seat: Seat, { rank, orderId, order }: SendOrder): void {
     if (this.#isFrozen(rank)) return;
@@ -326,7 +336,10 @@
     });
   }
 
-  /** Messages take some milliseconds, wait for a machine, or are lost. */
+  /**
+   * Delivers a message after some milliseconds, when the VM is not frozen, unless it is
+   * lost.
+   */
   #deliver(seat: Seat, rank: number, run: () => void): void {
     const { number } = seat;
     const { lostMessages, rankFreezes } = this.#faults;
--- a/src/testing/free_address.ts
+++ b/src/testing/free_address.ts
@@ -1,10 +1,10 @@
 /**
- * Free addresses for processes that tests start.
+ * Finds free addresses for processes that tests start.
  *
- * The system's own choice of a free port is free only at that moment: before the
- * started process listens, an outgoing connection of another test may have it.
- * So each test process holds one port of a block below the system's range while
- * it lives, which makes the rest of the block its own.
+ * A port that the system chooses is free only at that time: an outgoing connection of
+ * another test may take it before the started process listens. So each test process keeps
+ * listening on the first port of a block below the system's range while it runs, which
+ * reserves the rest of the block.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 const BLOCKS = 200;
 const BLOCK_PORTS = 100;
 
-/** Ports of the block that this process holds. */
+/** The ports of the block that this process has reserved. */
 class PortBlock {
   readonly #first: number;
   #next = 1;
@@ -34,7 +34,7 @@
 
 let currentBlock: Promise<PortBlock> | undefined;
 
-/** An address that nobody else is given. */
+/** Returns an address that no other caller receives. */
 export async function findFreeAddress(): Promise<string> {
   while (true) {
     currentBlock ??= holdBlock();
--- a/src/testing/group_world.ts
+++ b/src/testing/group_world.ts
@@ -1,6 +1,6 @@
 /**
- * A rank group whose members, decider and engines exchange messages in any order:
- * processes restart, ranks are replaced or cut off, and every step is checked to
+ * Simulates a rank group whose members, decider and engines exchange messages in any
+ * order. Processes restart, and ranks are replaced or cut off; every step is checked to
  * have run with one map.
  *
  * @module
@@ -18,11 +18,11 @@
 
 /** Ranks of the group. */
 export const RANKS = 3;
-/** Steps that the group runs at least once everything works again. */
+/** Minimum number of steps that the group runs after all faults have ended. */
 export const STEPS_AFTER_HEALING = 40;
 const HEALING_ROUNDS = 400;
 
-/** One thing that happens to the group. */
+/** One event of the simulation. */
 export interface Action {
   readonly kind:
     | "deliver"
@@ -68,12 +68,12 @@
   }
 }
 
-/** What varies between runs. */
+/** Options of a {@link GroupWorld}. */
 export interface WorldOptions {
   readonly checksFencing: boolean;
 }
 
-/** A group, its messages under way, and what its steps saw. */
+/** A group, its undelivered messages, and the map of each step. */
 export class GroupWorld {
   readonly ranks: Rank[] = [];
   readonly versionByStep = new Map<string, number>();
@@ -125,7 +125,10 @@
     }
   }
 
-  /** Fair from here on; ends when the group steps and nothing is open. */
+  /**
+   * Ends all faults and delivers all messages; returns when the group runs steps and no
+   * switch is open.
+   */
   heal(): void {
     for (let rank = 0; rank < RANKS; rank++) this.#join(rank);
     const wanted = this.versionByStep.size + STEPS_AFTER_HEALING;
@@ -159,7 +162,8 @@
       ranks: RANKS,
       decider: `process-${this.#coordinatorId}`,
       firstMap: createMap(0),
-      // As a clock that stands still over restarts would give it.
+      // The same epoch after a restart, as from a clock that does not advance over
+      // restarts.
       firstEpoch: 1 + this.#replaced,
       marginSteps: 1,
     });
@@ -237,7 +241,10 @@
     );
   }
 
-  /** Lock-step: no rank begins a step before all have ended the one before. */
+  /**
+   * Runs a step in lock-step: no rank begins a step before all have ended the previous
+   * one.
+   */
   #step(rank: number): void {
     const { engine } = this.#rank(rank);
     const { incarnation, step } = engine.state;
@@ -287,7 +294,10 @@
     }));
   }
 
-  /** The engine goes on; an order under way reaches it now, or never. */
+  /**
+   * Restarts a member while its engine continues; a current order reaches the engine now
+   * or never.
+   */
   #restartMember(rank: number, choice: number): void {
     const one = this.#rank(rank);
     if (one.given !== undefined && choice % 2 === 0) {
@@ -298,7 +308,7 @@
     if (rank === 0) this.#reconnectAll();
   }
 
-  /** Messages of the earlier decider that are under way stay under way. */
+  /** Undelivered messages of the previous decider stay undelivered. */
   #reconnectAll(): void {
     for (let other = 1; other < RANKS; other++) this.#connect(other);
   }
@@ -311,7 +321,7 @@
     if (rank === 0) this.#reconnectAll();
   }
 
-  /** Everything under way gets on by one, but for one rank. */
+  /** Advances every undelivered message and step by one, except for one rank. */
   #flow(choice: number): void {
     const left = choice % (RANKS + 1);
     for (let rank = 0; rank < RANKS; rank++) {
--- a/src/testing/hold_record.ts
+++ b/src/testing/hold_record.ts
@@ -1,30 +1,32 @@
 /**
- * How long the passes of a model of a formed group were held, and whether anybody could have
- * ended the hold.
+ * Measures how long passes of a simulated formed group were held, and for how much of
+ * that time a process could have ended the hold.
  *
  * @module
  */
 import type { RankState } from "../messages/formed_group_types.ts";
 
-/** A look at a group that waits before a held pass. */
+/** An observation of a group that waits for a held pass. */
 export interface HoldLook {
   readonly now: number;
-  /** Milliseconds since the look before, for which the group is taken to have waited. */
+  /**
+   * Milliseconds since the previous observation, counted as time that the group waited.
+   */
   readonly lookMs: number;
-  /** Whether nobody could tell then what to do. */
+  /** Whether no process could know at that time how to end the hold. */
   readonly isUndecidable: boolean;
 }
 
-/** What is known of a held switch beside its holder. */
+/** What is known about a held switch beside its holder. */
 export interface HeldSwitchView {
-  /** Whether the decider's machine stands still. */
+  /** Whether the decider's VM is frozen. */
   readonly isDeciderFrozen: boolean;
   readonly holder: RankState;
-  /** The last word that the decider's own rank is armed. */
+  /** The last report that the decider's own rank is armed. */
   readonly told: RankState | undefined;
 }
 
-/** How long passes were held. */
+/** The times for which passes were held. */
 export class HoldRecord {
   #since: number | undefined;
   #avoidableMs = 0;
@@ -36,12 +38,12 @@
     return this.#longestMs;
   }
 
-  /** The same without the time in which nobody could tell what to do. */
+  /** The same without the time in which no process could know how to end the hold. */
   get longestAvoidableMs(): number {
     return this.#longestAvoidableMs;
   }
 
-  /** The group waits before a held pass. */
+  /** Records that the group waits for a held pass. */
   observe({ now, lookMs, isUndecidable }: HoldLook): void {
     this.#since ??= now;
     this.#longestMs = Math.max(this.#longestMs, now - this.#since);
@@ -53,7 +55,7 @@
     );
   }
 
-  /** The group waits no more. */
+  /** Records that the group no longer waits. */
   end(): void {
     this.#since = undefined;
     this.#avoidableMs = 0;
@@ -61,8 +63,9 @@
 }
 
 /**
- * Whether the decider's machine stands still after the switch was decided, and no word has
- * left it that its own rank is armed: it may be or not, and others see the same.
+ * Returns whether the decider's VM is frozen after the switch was committed and before it
+ * reported that its own rank is armed. The rank may be armed or not, and other processes
+ * observe the same in both cases.
  *
  * @example
  * ```ts
--- a/src/testing/joint_pass_group.ts
+++ b/src/testing/joint_pass_group.ts
@@ -1,6 +1,6 @@
 /**
- * A rank group that runs passes together, in virtual time: each running request makes
- * every pass longer, and what one costs jumps now and then.
+ * Simulates a rank group that runs joint passes, in virtual time. Each running request
+ * makes every pass longer, and the cost of a request jumps from time to time.
  *
  * @module
  */
@@ -8,25 +8,28 @@
 import type { RankLoadRow } from "../messages/formed_group_types.ts";
 import type { EventQueue } from "./event_queue.ts";
 
-/** Ranks of the group, and requests that each runs at once: 224 slots. */
+/** Ranks of the group, and concurrent requests of each: 224 slots in total. */
 export const RANKS = 32;
 export const SLOTS_PER_RANK = 7;
 /** Milliseconds of a pass without requests. */
 export const IDLE_PASS_MS = 36;
 /** Milliseconds by which each running request makes a pass longer. */
 const COST_MS = 0.46;
-/** While the map does not follow the popularity of experts, a request costs more. */
+/**
+ * While the map does not match the popularity of experts, requests cost more by a random
+ * factor.
+ */
 const JUMP = { least: 1.3, most: 2, lastsMs: 800, leastMs: 2500, mostMs: 4000 };
-/** Weight of the newest pass in the mean that is reported. */
+/** Weight of the newest pass in the reported mean. */
 const PASS_SMOOTHING = 0.3;
 
 /** One attempt at a rank. */
 export interface RankWork {
-  /** Names the attempt. */
+  /** Identifies the attempt. */
   readonly key: string;
-  /** 0 first. */
+  /** Lower numbers run first. */
   readonly priority: number;
-  /** Pieces of the answer; one pass makes one. */
+  /** Chunks of the answer; each pass produces one. */
   readonly pieces: number;
   readonly onPiece: (isLast: boolean) => void;
 }
@@ -41,13 +44,13 @@
   queued: RankWork[];
 }
 
-/** What the group's decider knows at a moment. */
+/** What the group's decider knows at a time. */
 export interface GroupSnapshot {
   readonly passMs: number;
   readonly loads: readonly RankLoadRow[];
 }
 
-/** Host and port of a rank's engine. */
+/** Returns the host and port of a rank's engine. */
 export function addressOf(rank: number): string {
   return `rank-${rank}:80`;
 }
@@ -63,7 +66,7 @@
   #costFactor = 1;
   #passMs = IDLE_PASS_MS;
 
-  /** Runs passes from now on. */
+  /** Starts running passes. */
   constructor(events: EventQueue, random: RandomSource) {
     this.#events = events;
     this.#random = random;
@@ -71,12 +74,12 @@
     this.#runPass();
   }
 
-  /** A rank gets an attempt; it runs from the next pass on that has a slot for it. */
+  /** Queues an attempt at a rank; it runs from the next pass that has a free slot. */
   submit(rank: number, work: RankWork): void {
     this.#ranks[rank]?.queued.push(work);
   }
 
-  /** Nobody waits for an attempt any more. */
+  /** Removes an attempt that its caller no longer waits for. */
   cancel(rank: number, key: string): void {
     const place = this.#ranks[rank];
     if (place === undefined) return;
@@ -84,7 +87,7 @@
     place.queued = place.queued.filter((work) => work.key !== key);
   }
 
-  /** How all ranks stand now. */
+  /** Returns the current load of all ranks. */
   observe(): GroupSnapshot {
     return {
       passMs: this.#passMs,
--- a/src/testing/limited_entries.ts
+++ b/src/testing/limited_entries.ts
@@ -1,6 +1,7 @@
 /**
- * Entries before targets that say something of themselves, in virtual time. Entries hear of it,
- * of lists and of permits with delays, stand still, restart, and are cut off from each other.
+ * Simulates entries before targets that announce limits, backoffs and that they leave, in
+ * virtual time. Entries receive these notices, lists and permits with delays; they
+ * restart and are cut off from each other.
  *
  * @module
  */
@@ -13,28 +14,30 @@
 import { type NoticePlan, SpokenNotices } from "./spoken_notices.ts";
 import { createCallerRequest, createRoutes } from "./fixtures.ts";
 
-/** Milliseconds that a message between entries takes: least, and spread. */
+/** Delay of a message between entries in milliseconds: minimum and random addition. */
 const MESSAGE_MS = { least: 2, spread: 30 } as const;
-/** Milliseconds in which an entry hears that another one has come or gone. */
+/** Milliseconds within which an entry learns that another entry was added or removed. */
 const LISTED_WITHIN_MS = 2000;
 /** Mean milliseconds from a request to the head of its answer. */
 const WORK_MS = 250;
 const TICK_MS = 50;
 /** Milliseconds between two lists of the targets. */
 const LIST_MS = 1000;
-/** Milliseconds before the callers come. */
+/** Milliseconds before callers start. */
 const START_MS = 6000;
 
-/** Something happens to an entry for a while. */
+/** A temporary fault of an entry. */
 export interface EntryTrouble {
   readonly at: number;
   readonly forMs: number;
   /**
-   * Whether it loses all that it knows, leaves the list, or is cut off from other entries
-   * though not from callers and targets.
+   * `restart`: the entry loses its state. `leave`: it also leaves the list of entries.
+   * `cut`: it is cut off from other entries, but not from callers and targets.
    */
   readonly kind: "restart" | "leave" | "cut";
-  /** Number of the entry; undefined: the one that gives permits for the first target. */
+  /**
+   * Number of the entry; undefined: the primary issuer of permits for the first target.
+   */
   readonly entry?: number;
 }
 
@@ -43,38 +46,38 @@
   readonly seed: number;
   readonly entries: number;
   readonly targets: number;
-  /** Requests of all callers together. */
+  /** Request rate of all callers together. */
   readonly requestsPerSecond: number;
   readonly troubles: readonly EntryTrouble[];
-  /** Lists of the targets change, and targets in them warm up. */
+  /** Changes of the list of targets, and how targets warm up. */
   readonly cold?: ColdPlan;
 }
 
-/** A request reached a target. */
+/** A request that reached a target. */
 export interface Arrival {
-  /** Milliseconds since callers came. */
+  /** Milliseconds since callers started. */
   readonly at: number;
   readonly target: number;
   readonly entry: number;
 }
 
-/** A request was refused. */
+/** A request that was refused. */
 export interface Refusal {
   readonly at: number;
   readonly reason: string;
-  /** Milliseconds for which it was held. */
+  /** Milliseconds for which the entry held the request. */
   readonly heldMs: number;
   readonly retryAfterSeconds: number | undefined;
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface LimitedEntriesResult {
   readonly requests: number;
   readonly arrivals: readonly Arrival[];
   readonly refusals: readonly Refusal[];
-  /** Questions for permits. */
+  /** Number of permit requests. */
   readonly questions: number;
-  /** Times that an entry told the others of changes. */
+  /** Number of times that an entry sent changes to the others. */
   readonly told: number;
 }
 
@@ -85,7 +88,7 @@
   isCut: boolean;
 }
 
-/** Entries before targets that name limits. */
+/** Entries before targets that announce limits. */
 export class LimitedEntries {
   readonly #options: LimitedEntriesOptions;
   readonly #queue = new EventQueue();
@@ -100,7 +103,7 @@
   #questions = 0;
   #told = 0;
 
-  /** Begins at rest, all entries known to each other. */
+  /** Creates entries that know each other and have no requests. */
   constructor(options: LimitedEntriesOptions) {
     this.#options = options;
     this.#random = new RandomSource(options.seed);
@@ -119,7 +122,7 @@
   }
 
   /**
-   * Runs for some milliseconds.
+   * Runs for a number of virtual milliseconds.
    *
    * @example
    * ```ts
@@ -161,7 +164,10 @@
     return reducer;
   }
 
-  /** The store tells lists to entries that are cut off from the others, too. */
+  /**
+   * Schedules lists of the targets. The store also answers entries that are cut off from
+   * others.
+   */
   #planList(entry: EntryState, afterMs: number): void {
     this.#queue.after(afterMs, () => {
       this.#reduce(entry, this.#targets.list(entry.number, this.#queue.now));
@@ -177,7 +183,7 @@
     this.#reduce(entry, { kind: "entries_listed", entries, now });
   }
 
-  /** Each entry hears of the new list at its own time. */
+  /** Each entry learns of the new list after a random delay. */
   #listChanged(): void {
     for (const entry of this.#entries) {
       this.#queue.after(
@@ -215,7 +221,7 @@
     });
   }
 
-  /** Memories that differ are told to each other. */
+  /** Exchanges replicated state that differs, as after a reconnection. */
   #reconcile(entry: EntryState): void {
     const other = this.#entries.find((one) =>
       one !== entry && !one.isDown && !one.isCut
@@ -224,7 +230,7 @@
     this.#tellLimits(entry);
   }
 
-  /** The entry that gives the permits for the first target. */
+  /** Returns the number of the primary issuer of permits for the first target. */
   #findGiver(): number {
     const giver = this.#entries.find(({ reducer }) =>
       reducer.permits.isFirstOf("target-0")
@@ -289,7 +295,7 @@
     const at = this.#queue.now - START_MS;
     this.#arrivals.push({ at, target, entry: entry.number });
     this.#queue.after(this.#random.nextExponential(WORK_MS), () => {
-      // A process that ended meanwhile hears no answer.
+      // A process that has ended meanwhile receives no answer.
       if (entry.reducer !== reducer) return;
       const now = this.#queue.now - START_MS;
       for (const message of this.#notices.answer(place, target, now)) {
--- a/src/testing/linked_group_world.ts
+++ b/src/testing/linked_group_world.ts
@@ -1,6 +1,7 @@
 /**
- * A decider of a formed group and its ranks' processes in virtual time, behind the link
- * of a small machine: what arrives there waits until all before it has crossed.
+ * Simulates a decider of a formed group and the sidecars of the ranks, in virtual time.
+ * The decider's VM has a slow link: a message is received after all earlier ones have
+ * crossed the link.
  *
  * @module
  */
@@ -21,39 +22,39 @@
 import { FakeFormedEngine } from "./fake_formed_engine.ts";
 
 const TICK_MS = 25;
-/** Milliseconds until a rank's process has read its engine, with the way there. */
+/** Milliseconds until a rank's sidecar has received a query and read its engine. */
 const ANSWER_MS = 6;
-/** Bytes of headers around a small frame. */
+/** Bytes of headers of a small frame. */
 const FRAME_OVERHEAD_BYTES = 70;
-/** Largest count that a rank adds between two questions. */
+/** Maximum that a rank adds to a count between two queries. */
 const MOST_ADDED = 100;
 
-/** A group and the machine of its decider. */
+/** A group and the link of its decider's VM. */
 export interface LinkedGroupOptions {
   readonly ranks: number;
   readonly layers: number;
   readonly experts: number;
   readonly slotsPerRank: number;
   readonly linkBytesPerSecond: number;
-  /** Ranks whose processes never answer. */
+  /** Ranks whose sidecars never answer. */
   readonly silentRanks?: ReadonlySet<number>;
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface LinkedGroupResult {
-  /** When the decider knew what every rank holds; undefined: never. */
+  /** When the decider first knew which experts every rank holds; undefined: never. */
   readonly settledAt: number | undefined;
   /** Longest time for which an answer waited for the link, in milliseconds. */
   readonly longestWaitMs: number;
-  /** Part of the run in which the link was in use. */
+  /** Fraction of the run in which the link was in use. */
   readonly linkUse: number;
-  /** Ranks whose counts came in each second, at the mean. */
+  /** Mean number of ranks whose counts were received each second. */
   readonly countsPerSecond: number;
-  /** Longest time since a rank's state was told, at the end of the run. */
+  /** Longest time since a rank last reported its state, at the end of the run. */
   readonly oldestStateMs: number;
 }
 
-/** A decider behind a link of bounded width. */
+/** A decider behind a link of limited bandwidth. */
 export class LinkedGroupWorld {
   readonly #options: LinkedGroupOptions;
   readonly #queue = new EventQueue();
@@ -69,7 +70,7 @@
   #settledAt: number | undefined;
   #counts = 0;
 
-  /** Begins as the decider starts. */
+  /** Starts the decider. */
   constructor(options: LinkedGroupOptions) {
     this.#options = options;
     const { ranks, linkBytesPerSecond } = options;
@@ -92,7 +93,7 @@
     this.#tick();
   }
 
-  /** Runs to a virtual time in milliseconds. */
+  /** Runs up to a virtual time in milliseconds. */
   run(untilMs: number): LinkedGroupResult {
     this.#queue.runUntil(untilMs);
     const { silentRanks } = this.#options;
@@ -129,7 +130,9 @@
     this.#queue.after(ANSWER_MS, () => this.#cross(this.#answer(question)));
   }
 
-  /** The decider's own rank is on its machine. */
+  /**
+   * Sends a report over the link; the decider's own rank is on its VM and needs no link.
+   */
   #cross(report: RankReportMessage): void {
     const { now } = this.#queue;
     if (report.state.rank === 0) return this.#take(report);
--- a/src/testing/listed_store.ts
+++ b/src/testing/listed_store.ts
@@ -1,5 +1,5 @@
 /**
- * A store that gives some listings, one after the other.
+ * Provides a store that returns given listings one after the other.
  *
  * @module
  */
@@ -11,11 +11,11 @@
   WatchedStore,
 } from "../external/watched_store.ts";
 
-/** A store that gives some listings, one after the other, and answers nothing else. */
+/** A store that returns given listings one after the other and fails all other calls. */
 export class ListedStore extends WatchedStore {
   readonly #listings: StoreListing[];
 
-  /** Takes the listings in the order in which they are given. */
+  /** Creates a store that returns the listings in this order. */
   constructor(listings: readonly StoreListing[]) {
     super();
     this.#listings = [...listings];
--- a/src/testing/poison_fleet.ts
+++ b/src/testing/poison_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Entries before rank groups, in virtual time: callers who come back, requests that crash
- * each rank that runs them, and ranks that crash for other reasons. Entries hear of lists,
- * groups and each other's crashes with the delays that were seen on machines.
+ * Simulates entries before rank groups, in virtual time: callers that retry, requests
+ * that crash each rank that runs them, and ranks that crash for other reasons. Entries
+ * receive lists, states of groups and each other's crashes with realistic delays.
  *
  * @module
  */
@@ -27,15 +27,20 @@
 } from "./fixtures.ts";
 
 const CLIENT_DEADLINE_MS = 8000;
-/** Milliseconds after which a caller that got no answer comes back. */
+/** Milliseconds after which a caller without an answer retries. */
 const RETURN_MS = 400;
 const CALLER_ATTEMPTS = 3;
 const LIST_INTERVAL_MS = 700;
 const GROUP_HEARD_MS = 150;
-/** Milliseconds until entries have told each other of a crash: least, and spread. */
+/**
+ * Delay in milliseconds until other entries receive a crash: minimum and random addition.
+ */
 const TOLD_MS = { least: 20, spread: 300 } as const;
 const TICK_MS = 100;
-/** Times that an entry tells of changes, after which it is given up as endless. */
+/**
+ * Updates that an entry sends before the simulation stops delivering them, as they would
+ * never end.
+ */
 const TOLD_LIMIT = 120;
 
 /** Options of a {@link PoisonFleet}. */
@@ -44,34 +49,34 @@
   readonly entries: number;
   readonly groups: number;
   readonly ranksPerGroup: number;
-  /** Other requests each second. */
+  /** Rate of requests that crash no ranks. */
   readonly requestsPerSecond: number;
-  /** Requests that crash ranks. */
+  /** Number of poison requests. */
   readonly poisons: number;
-  /** Milliseconds between two comings of each of them. */
+  /** Milliseconds between two arrivals of each poison request. */
   readonly poisonEveryMs: number;
-  /** Ranks that crash at once by themselves, at some times. */
+  /** Ranks that crash at the same time for other reasons. */
   readonly losses: readonly RankLoss[];
 }
 
-/** Ranks that crash at once for a reason of their own. */
+/** Ranks that crash at the same time for reasons other than a request. */
 export interface RankLoss {
   readonly at: number;
-  /** Part of all ranks. */
+  /** Fraction of all ranks. */
   readonly share: number;
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface PoisonFleetResult {
-  /** Ranks that crashed under requests that crash them. */
+  /** Crashes of ranks caused by poison requests. */
   readonly crashes: number;
-  /** Other requests. */
+  /** Requests that crash no ranks. */
   readonly innocent: number;
-  /** Those of them that were refused as if they crashed ranks. */
+  /** Number of those that were refused as if they crashed ranks. */
   readonly refusedInnocent: number;
-  /** Those that were answered. */
+  /** Number of those that were answered. */
   readonly served: number;
-  /** Most times that one entry told the others of changes. */
+  /** Maximum number of times that one entry sent changes to the others. */
   readonly mostTold: number;
 }
 
@@ -96,7 +101,7 @@
   readonly #told = new Map<EntryReducer, number>();
   readonly #refusedInnocent = new Set<string>();
 
-  /** Begins at rest. */
+  /** Creates entries without requests. */
   constructor(options: PoisonFleetOptions) {
     this.#options = options;
     this.#random = new RandomSource(options.seed);
@@ -113,7 +118,7 @@
   }
 
   /**
-   * Runs for some milliseconds.
+   * Runs for a number of virtual milliseconds.
    *
    * @example
    * ```ts
@@ -156,7 +161,7 @@
     return entry;
   }
 
-  /** Lists, ticks and words on groups, each entry at its own times. */
+  /** Schedules lists, ticks and states of groups, at random times for each entry. */
   #follow(entry: EntryReducer): void {
     this.#list(entry);
     const ranks = this.#ranks.listed.map(({ address, group }) => ({
@@ -240,7 +245,7 @@
     return { body, crashes, until, attempts: 0 };
   }
 
-  /** Asks a drawn entry. */
+  /** Sends a request to a random entry. */
   #call(call: Call): void {
     const leftMs = call.until - this.#queue.now;
     if (leftMs <= 0) return;
--- a/src/testing/priority_burst_world.ts
+++ b/src/testing/priority_burst_world.ts
@@ -1,6 +1,7 @@
 /**
- * Entries before one rank group in virtual time, without a network: callers, reports of
- * the group's decider that are some hundred milliseconds old, and restarts of both.
+ * Simulates entries before one rank group, in virtual time and without a network:
+ * callers, reports of the group's decider that are some hundred milliseconds old, and
+ * restarts of entries and decider.
  *
  * @module
  */
@@ -38,12 +39,12 @@
 const POOL = "ranks";
 const GROUP = "group";
 const REPORT_INTERVAL_MS = 200;
-/** Age of a report as an entry gets it, in milliseconds. */
+/** Age in milliseconds of a report when an entry receives it. */
 const REPORT_AGE = { least: 200, most: 500 };
 /** Steps of a pass. */
 const STRIDE = 8;
 const TICK_MS = 40;
-/** Pieces of an answer: 17 in the mean. */
+/** Chunks of an answer; the mean is 17. */
 const PIECES = { least: 12, spread: 11 };
 const STREAM_HEAD = [["content-type", "text/event-stream"]] as const;
 
@@ -53,20 +54,20 @@
   readonly until: number;
 }
 
-/** What varies between runs. */
+/** Options of a {@link PriorityBurstWorld}. */
 export interface BurstWorldOptions {
   readonly seed: number;
   readonly entries: number;
-  /** Requests a second of all kinds, outside of a burst. */
+  /** Request rate of all kinds outside of a burst. */
   readonly perSecond: number;
   readonly burst: Burst;
-  /** Whether the services differ in priority; otherwise each has the usual one. */
+  /** Whether the services differ in priority; otherwise each has the default priority. */
   readonly isPrioritised: boolean;
-  /** The decider restarts. */
+  /** When the decider restarts. */
   readonly silence?: Silence;
   /** When all entries restart. */
   readonly restartAt?: number;
-  /** Whether entries know the settings of the rank group; they do unless given. */
+  /** Whether entries know the settings of the rank group; true by default. */
   readonly knowsGroup?: boolean;
   /** Called for each effect of an entry. */
   readonly onEffect?: (effect: EntryEffect) => void;
@@ -74,7 +75,7 @@
 
 interface Entry {
   reducer: EntryReducer;
-  /** When its last report arrived; reports keep their order. */
+  /** When the entry's last report arrives; later reports do not overtake it. */
   heardAt: number;
   readonly requests: Set<number>;
 }
@@ -87,10 +88,10 @@
   readonly #group: JointPassGroup;
   readonly #callers: BurstCallers;
   readonly #entries: Entry[];
-  /** Entry of each request, by its id. */
+  /** The entry of each request, by the request's id. */
   readonly #entryOf = new Map<number, Entry>();
 
-  /** The same options give the same run. */
+  /** Starts callers and entries; the same options give the same run. */
   constructor(options: BurstWorldOptions) {
     this.#options = options;
     const { seed, perSecond, burst } = options;
@@ -117,13 +118,13 @@
     }
   }
 
-  /** Runs until a virtual time; returns the calls that have ended. */
+  /** Runs up to a virtual time. Returns the calls that have ended. */
   run(untilMs: number): readonly EndedCall[] {
     this.#events.runUntil(untilMs);
     return this.#callers.ended;
   }
 
-  /** Virtual milliseconds since the oldest call began that has not ended. */
+  /** Virtual milliseconds since the oldest unfinished call was sent. */
   get oldestCallMs(): number {
     return this.#events.now - this.#callers.oldestSentAt;
   }
@@ -195,7 +196,7 @@
       priority: message.priority,
       pieces: PIECES.least + this.#random.nextBelow(PIECES.spread),
       onPiece: (isLast) => {
-        // An entry that has restarted hears no answers of its earlier run.
+        // A restarted entry receives no answers to its earlier requests.
         if (entry.reducer !== reducer) return;
         const say = (told: AnswerPart) =>
           this.#dispatch(entry, {
@@ -308,7 +309,10 @@
   return new TextEncoder().encode(`id: ${sequence}\ndata: x\n\n`);
 }
 
-/** Bytes of the events before a sequence number; the first has number 1. */
+/**
+ * Returns the total bytes of the events before a sequence number; the first event has
+ * number 1.
+ */
 function sumOfEvents(end: number): number {
   let sum = 0;
   for (let sequence = 1; sequence < end; sequence++) {
--- a/src/testing/process_cluster.ts
+++ b/src/testing/process_cluster.ts
@@ -1,6 +1,6 @@
 /**
- * Entries and targets as real processes before stand-ins of the platform, for
- * tests that kill, stop and signal them.
+ * Runs entries and targets as real processes with stand-ins of the platform, for tests
+ * that kill, stop and signal them.
  *
  * @module
  */
@@ -31,22 +31,22 @@
   readonly name: string;
   readonly role: "entry" | "target";
   readonly child: ChildProcess;
-  /** Where callers (entry) or entries (target) connect. */
+  /** Where callers (for an entry) or entries (for a target) connect. */
   readonly address: string;
-  /** The administration address of an entry, the address of a target. */
+  /** The administration address of an entry, or the address of a target. */
   readonly administrationAddress: string;
-  /** Everything that it logged. */
+  /** Returns everything that the process has logged. */
   readLog(): string;
 }
 
-/** What a finished command printed. */
+/** Exit code and output of a finished command. */
 export interface CommandResult {
   readonly code: number | null;
   readonly output: string;
   readonly errors: string;
 }
 
-/** Waits until `isTrue` says so; fails after a generous limit. */
+/** Waits until `isTrue` returns true; fails after 30 seconds. */
 export async function waitUntil(
   what: string,
   isTrue: () => boolean | Promise<boolean>,
@@ -58,7 +58,7 @@
   }
 }
 
-/** Entries and targets as real processes. */
+/** Entries and targets that run as real processes. */
 export class ProcessCluster {
   readonly keyValue = new KeyValueStandIn();
   readonly machineList = new MachineListStandIn();
@@ -84,7 +84,7 @@
     return cluster;
   }
 
-  /** Listens with a stand-in of a back end; it is closed with the cluster. */
+  /** Makes a stand-in of a back end listen; it is closed with the cluster. */
   async listen(
     backEnd: { listen(address: string): Promise<void>; close(): void },
   ): Promise<string> {
@@ -94,7 +94,7 @@
     return address;
   }
 
-  /** Starts an entry, and lists it. */
+  /** Starts an entry and adds it to the list of VMs. */
   async startEntry(
     name: string,
     changes: Readonly<Record<string, unknown>> = {},
@@ -112,7 +112,7 @@
     }, { address, administrationAddress });
   }
 
-  /** Starts a target, and lists it. */
+  /** Starts a target and adds it to the list of VMs. */
   async startTarget(
     name: string,
     backEndAddress: string,
@@ -130,14 +130,14 @@
     }, { address, administrationAddress: address });
   }
 
-  /** Writes a file of settings for the commands. */
+  /** Writes a settings file for a command. */
   writeFile(name: string, text: string): string {
     const file = join(this.#folder, name);
     writeFileSync(file, text);
     return file;
   }
 
-  /** Runs a command to its end. */
+  /** Runs a command until it exits. */
   async run(words: readonly string[]): Promise<CommandResult> {
     const child = spawnProgram(words);
     let output = "";
@@ -148,7 +148,10 @@
     return { code: code as number | null, output, errors };
   }
 
-  /** Applies a settings document through an entry; it must be accepted. */
+  /**
+   * Applies a settings document through an entry and returns its revision; it must be
+   * accepted.
+   */
   async apply(
     entry: RunningProcess,
     path: string,
@@ -172,7 +175,7 @@
     return body.revision;
   }
 
-  /** The state that an entry tells. */
+  /** Reads the status of an entry. */
   async readStatus(entry: RunningProcess): Promise<StatusBody> {
     const response = await request(
       `http://${entry.administrationAddress}/administration/v1/status`,
@@ -180,7 +183,7 @@
     return await response.body.json() as StatusBody;
   }
 
-  /** Waits until an entry has targets and settings to serve with. */
+  /** Waits until an entry reports that all these targets answered. */
   async waitForTargets(
     entry: RunningProcess,
     names: readonly string[],
@@ -200,7 +203,7 @@
     }
   }
 
-  /** Waits until every process has a revision in force. */
+  /** Waits until an entry and all its targets have a revision in force. */
   async waitForRevision(
     entry: RunningProcess,
     revision: number,
@@ -212,7 +215,7 @@
     });
   }
 
-  /** Changes what the machine list says of a machine. */
+  /** Changes the state of a VM in the list of VMs. */
   setState(name: string, state: VirtualMachine["state"]): void {
     this.#machines = this.#machines.map((machine) =>
       machine.name === name ? { ...machine, state } : machine
@@ -220,7 +223,7 @@
     this.machineList.setMachines(this.#machines);
   }
 
-  /** Ends whatever this cluster started. */
+  /** Ends all processes and stand-ins of the cluster. */
   async close(): Promise<void> {
     for (const { child } of this.#processes) {
       child.kill("SIGCONT");
@@ -290,7 +293,7 @@
   }
 }
 
-/** The part of an entry's status that tests read. */
+/** The fields of an entry's status that tests read. */
 export interface StatusBody {
   readonly revision: number;
   readonly inFlight: number;
@@ -303,7 +306,7 @@
   }[];
 }
 
-/** The exit code of a process, once it has one; null after a signal. */
+/** Waits until a process exits. Returns its exit code, or null after a signal. */
 export async function exitOf(child: ChildProcess): Promise<number | null> {
   if (child.exitCode !== null || child.signalCode !== null) {
     return child.exitCode;
@@ -313,8 +316,8 @@
 }
 
 /**
- * Starts the program: the sources, or what a variable names in their place, either
- * the binary or the folder of the programs that each hold one role.
+ * Starts the program from its sources; environment variables select the binary or the
+ * folder of the programs that each have one role instead.
  */
 export function spawnProgram(words: readonly string[]): ChildProcess {
   const [command, ...commandWords] = commandOf(words);
--- a/src/testing/rank_state.ts
+++ b/src/testing/rank_state.ts
@@ -1,11 +1,11 @@
 /**
- * States of ranks for tests.
+ * Creates states of ranks for tests.
  *
  * @module
  */
 import type { RankState } from "../messages/formed_group_types.ts";
 
-/** A rank of an open group of four with nothing under way, but for what is named. */
+/** Creates the state of a rank in an open group of four, without a switch in progress. */
 export function createRankState(changes: Partial<RankState> = {}): RankState {
   return {
     group: "group",
--- a/src/testing/reading_fleet.ts
+++ b/src/testing/reading_fleet.ts
@@ -1,7 +1,6 @@
 /**
- * Entries that read the platform's store for each other, in virtual time: machines that
- * stand still, that the store turns away or that are cut off from the others, and answers
- * that come late.
+ * Simulates entries that read the platform's store for each other, in virtual time. VMs
+ * are frozen, rejected by the store or cut off from the others, and answers arrive late.
  *
  * @module
  */
@@ -19,10 +18,10 @@
 const LATE_MS = 900;
 const USUAL_MS = 12;
 
-/** What happens to a machine. */
+/** A fault of an entry's VM. */
 export interface FleetFault {
   readonly kind: "stands_still" | "turned_away" | "cut_off";
-  /** Which entry, from 0. */
+  /** Number of the entry, from 0. */
   readonly entry: number;
   readonly at: number;
   readonly forMs: number;
@@ -33,27 +32,31 @@
   readonly seed: number;
   readonly domains: number;
   readonly entriesPerDomain: number;
-  /** Milliseconds for which a back end that leaves may be sent work. */
+  /** Milliseconds for which requests may be sent to a back end that is leaving. */
   readonly leavingLimitMs: number;
   readonly faults: readonly FleetFault[];
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface ReadingFleetResult {
-  /** Lists that were asked of the store. */
+  /** Number of lists that entries requested from the store. */
   readonly lists: number;
-  /** Greatest age of what an entry knew that had reached the store all the while. */
+  /**
+   * Maximum age of the state known to an entry that could reach the store all the time.
+   */
   readonly oldestMs: number;
 }
 
 interface Reader {
   readonly self: ListedEntry;
   readonly turns: ReaderTurns;
-  /** All that the store said until then is known here. */
+  /** The entry knows the state of the store as of this time. */
   knownAt: number;
-  /** Whether the store answered its last list. */
+  /** Whether the store answered the entry's last list. */
   isReached: boolean;
-  /** Until when what it knows may be old, as it did not reach the store. */
+  /**
+   * Until when the known state may be old, because the entry could not reach the store.
+   */
   excusedUntil: number;
 }
 
@@ -66,7 +69,7 @@
   #lists = 0;
   #oldestMs = 0;
 
-  /** The same options give the same run. */
+  /** Creates the entries; the same options give the same run. */
   constructor(options: ReadingFleetOptions) {
     this.#options = options;
     this.#random = new RandomSource(options.seed);
@@ -85,7 +88,7 @@
     }
   }
 
-  /** Runs to a virtual time in milliseconds. */
+  /** Runs up to a virtual time in milliseconds. */
   run(untilMs: number): ReadingFleetResult {
     this.#queue.runUntil(untilMs);
     return { lists: this.#lists, oldestMs: this.#oldestMs };
@@ -113,7 +116,7 @@
     if (turn.kind === "ask") this.#ask(reader, turn.address);
   }
 
-  /** An entry that the store turns away hears what another one knows. */
+  /** An entry that the store rejects receives the state that a random peer knows. */
   #hearPeers(reader: Reader): void {
     const peer = this.#readers[this.#random.nextBelow(this.#readers.length)];
     if (peer === undefined || this.#has(peer, "stands_still")) return;
@@ -148,7 +151,10 @@
     });
   }
 
-  /** What meets a machine that stands still waits there; what meets a cut is lost. */
+  /**
+   * Delivers a message after a random delay. Messages to a frozen VM wait there; messages
+   * to or from an entry that is cut off are lost.
+   */
   #cross(from: Reader, to: Reader, run: () => void): void {
     const isLate = this.#random.nextFraction() < LATE_SHARE;
     const latencyMs = 1 + this.#random.nextBelow(isLate ? LATE_MS : USUAL_MS);
--- a/src/testing/request_world.ts
+++ b/src/testing/request_world.ts
@@ -1,7 +1,7 @@
 /**
- * A small world around the reducers of entries and targets, for tests under
- * faults: messages under way, back ends that count runs, an owner table, and
- * callers that remember what they were told. Time is virtual.
+ * Simulates the reducers of entries and targets under faults, in virtual time:
+ * undelivered messages, back ends that count runs, an owner table, and callers that
+ * record their answers.
  *
  * @module
  */
@@ -22,13 +22,16 @@
 } from "./request_world_model.ts";
 export { GONE_GRACE_MS } from "./world_owner_table.ts";
 
-/** Entries, targets, back ends and callers, in virtual time, and what goes wrong. */
+/**
+ * Entries, targets, back ends and callers in virtual time, with methods that cause
+ * faults.
+ */
 export class RequestWorld {
   readonly #options: RequestWorldOptions;
   readonly #model: RequestWorldModel;
   readonly #table: WorldOwnerTable;
 
-  /** All processes are up and connected, and every slot has an owner. */
+  /** Starts and connects all processes and gives every slot an owner. */
   constructor(options: RequestWorldOptions) {
     this.#options = options;
     this.#model = new RequestWorldModel(options);
@@ -40,7 +43,7 @@
     this.settle();
   }
 
-  /** The callers, and what each was told. */
+  /** The callers with their submissions and outcomes. */
   get callers(): WorldCallers {
     return this.#model.callers;
   }
@@ -50,7 +53,7 @@
     return this.#model.now;
   }
 
-  /** Whether nobody can read or write the owner table now. */
+  /** Whether the owner table can be neither read nor written. */
   get isKeyValueDown(): boolean {
     return this.#table.isDown;
   }
@@ -59,7 +62,7 @@
     this.#table.isDown = isDown;
   }
 
-  /** A caller sends a request through an entry. */
+  /** Sends a caller's request to an entry. */
   submit(
     entry: number,
     request: {
@@ -86,7 +89,7 @@
     return submission;
   }
 
-  /** The caller of a submission closes its connection. */
+  /** Closes the connection of a submission's caller. */
   abandon(submission: Submission): void {
     if (submission.outcome !== undefined) return;
     this.#model.toEntry(submission.entry, {
@@ -96,80 +99,80 @@
     });
   }
 
-  /** Delivers the next message of a connection, picked by number. */
+  /** Delivers the next message of a connection, chosen by number. */
   deliver(choice: number): void {
     this.#model.deliver(choice);
   }
 
-  /** Delivers every message, but lets no run get on. */
+  /** Delivers every message without advancing any run. */
   deliverAll(): void {
     this.#model.deliverAll();
   }
 
-  /** Delivers everything and lets every run end. */
+  /** Delivers every message and completes every run. */
   settle(): void {
     this.#model.settle();
   }
 
-  /** Nothing gets through between these two for now. */
+  /** Stalls the connection between an entry and a target. */
   stallBetween(entry: number, target: number): void {
     const connection = this.#model.connections.tryBetween(entry, target);
     if (connection !== undefined) connection.isStalled = true;
   }
 
-  /** The slot of a key of this world's service. */
+  /** Returns the slot of a key of the simulated service. */
   slotOf(key: string): number {
     return this.#table.slotOf(key);
   }
 
-  /** The target that the owner table gives a key to. */
+  /** Returns the target that owns a key according to the owner table. */
   ownerOf(key: string): number | undefined {
     return this.#table.ownerOf(key);
   }
 
-  /** A back end gets on with one of its runs. */
+  /** Advances one of the runs of a back end. */
   progressRun(target: number, choice: number): void {
     this.#model.progressRun(target, choice);
   }
 
-  /** A back end breaks off one of its answers. */
+  /** Fails one of the runs of a back end. */
   failRun(target: number, choice: number): void {
     this.#model.failRun(target, choice);
   }
 
-  /** Time passes, in small steps, for all that are not paused. */
+  /** Advances time in small steps for all processes that are not paused. */
   tick(milliseconds: number): void {
     this.#model.tick(milliseconds);
   }
 
-  /** Does something once virtual time has come so far. */
+  /** Schedules a callback at a virtual time. */
   at(time: number, run: () => void): void {
     this.#model.at(time, run);
   }
 
-  /** The connection is lost; both sides notice. */
+  /** Closes a connection; both sides notice. */
   disconnect(choice: number): void {
     const connection = this.#model.connections.tryPick(choice);
     if (connection !== undefined) this.#model.disconnect(connection);
   }
 
-  /** Nothing gets through for now. */
+  /** Stalls a connection. */
   stall(choice: number): void {
     const connection = this.#model.connections.tryPick(choice);
     if (connection !== undefined) connection.isStalled = true;
   }
 
-  /** Everything that was stalled gets through again. */
+  /** Makes all stalled connections work again. */
   unstallAll(): void {
     this.#model.connections.unstallAll();
   }
 
-  /** Connections are made where there are none. */
+  /** Connects every entry and target that are not connected. */
   connectAll(): void {
     this.#model.connectAll();
   }
 
-  /** kill -9 of a target's process; what its back end runs goes on. */
+  /** Kills a target's process, as with `kill -9`. */
   kill(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp) return;
@@ -181,7 +184,7 @@
     }
   }
 
-  /** The process starts anew on the same machine, without memory. */
+  /** Restarts the process on the same VM with empty state. */
   restart(target: number): void {
     const process = this.#model.targets.get(target);
     if (process.isUp) this.kill(target);
@@ -189,74 +192,77 @@
     this.connectAll();
   }
 
-  /** SIGSTOP. */
+  /** Pauses a target's process, as SIGSTOP does. */
   pause(target: number): void {
     if (this.#model.targets.get(target).isUp) {
       this.#model.targets.get(target).isPaused = true;
     }
   }
 
-  /** SIGCONT. */
+  /** Resumes a target's process, as SIGCONT does. */
   wake(target: number): void {
     this.#model.targets.get(target).isPaused = false;
   }
 
-  /** The platform says that the machine is gone, rightly or not. */
+  /** Makes the platform list the VM as gone, even if it still runs. */
   listGone(target: number): void {
     this.#model.targets.get(target).goneAt ??= this.now;
   }
 
-  /** The platform says that the machine is there. */
+  /** Makes the platform list the VM as live. */
   listLive(target: number): void {
     this.#model.targets.get(target).goneAt = undefined;
   }
 
-  /** A target reads the owner table, and later takes in what it read. */
+  /** Reads the owner table for a target, which processes it in {@link finishLook}. */
   startLook(target: number): void {
     this.#table.startLook(target);
   }
 
-  /** A target claims by what it read: compare-and-swap, then its own use. */
+  /**
+   * Claims slots according to the table that was read: by compare-and-swap first, then in
+   * the target.
+   */
   finishLook(target: number): void {
     this.#table.finishLook(target);
   }
 
-  /** Reads the owner table and claims at once. */
+  /** Reads the owner table and claims slots immediately. */
   lookAtTable(target: number): void {
     this.#table.lookAtTable(target);
   }
 
-  /** A drained target gives back its slots, and waits for their new owners. */
+  /** Releases the slots of a drained target, which then waits for their new owners. */
   release(target: number): void {
     this.#table.release(target);
   }
 
-  /** A new owner asks for the keys of one slot that it took. */
+  /** Requests the keys of one slot that a new owner has claimed. */
   handOver(target: number): void {
     this.#table.handOver(target);
   }
 
-  /** A new owner asks for the keys of all slots that it took. */
+  /** Requests the keys of all slots that a new owner has claimed. */
   handOverAll(target: number): void {
     this.#table.handOverAll(target);
   }
 
-  /** Runs that a target has begun for an entry. */
+  /** Returns the number of runs that a target has started for an entry. */
   runsAt(target: number, entry: number): number {
     return this.#model.runLog.countAt(target, entry);
   }
 
-  /** When a target last began a run. */
+  /** Returns when a target last started a run. */
   lastRunAt(target: number): number {
     return this.#model.runLog.lastAt(target);
   }
 
-  /** The next message from a target to an entry is lost. */
+  /** Drops the next message from a target to an entry. */
   dropNext(entry: number, target: number): void {
     this.#model.connections.tryBetween(entry, target)?.toEntry.shift();
   }
 
-  /** The target learns from the list or the settings whether it is leaving. */
+  /** Sets whether a target is leaving, as it learns from the list or the settings. */
   setLeaving(target: number, isLeaving: boolean): void {
     this.#model.toTarget(target, {
       kind: "leaving_set",
@@ -265,7 +271,7 @@
     });
   }
 
-  /** Entries read in the list that a target is leaving. */
+  /** Makes entries read in the list that a target is leaving. */
   listLeaving(entries: readonly number[], target: number): void {
     for (const entry of entries) {
       this.#model.toEntry(entry, {
@@ -283,7 +289,7 @@
     }
   }
 
-  /** Entries take in settings by which a target is leaving. */
+  /** Applies settings to entries in which a target is leaving. */
   setLeavingBySettings(entries: readonly number[], target: number): void {
     for (const entry of entries) {
       this.#model.toEntry(entry, {
@@ -295,14 +301,14 @@
     }
   }
 
-  /** A target is told to end. */
+  /** Requests a target to drain and end. */
   drain(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp || process.isPaused) return;
     this.#model.toTarget(target, { kind: "drain_requested", now: this.now });
   }
 
-  /** What must hold at every moment. */
+  /** Checks the conditions that must hold at every moment. */
   checkInvariants(): void {
     this.callers.check();
   }
--- a/src/testing/request_world_model.ts
+++ b/src/testing/request_world_model.ts
@@ -1,6 +1,6 @@
 /**
- * The processes of a world under faults and what is under way between them: feeds events
- * to the reducers of entries and targets and performs their effects. Time is virtual.
+ * Holds the simulated processes and the undelivered messages between them. Feeds events
+ * to the reducers of entries and targets and performs their effects, in virtual time.
  *
  * @module
  */
@@ -23,17 +23,17 @@
   type WorldTargetsOptions,
 } from "./world_targets.ts";
 
-/** Wall-clock milliseconds at which every world begins. */
+/** Wall-clock milliseconds at which every simulation begins. */
 export const WORLD_EPOCH_MS = Date.UTC(2026, 11, 2);
 /** The pool of all targets. */
 export const WORLD_POOL = "confirm";
 
 const STEP_MS = 1000;
 
-/** Options of a world of requests. */
+/** Options of a simulation of requests. */
 export interface RequestWorldOptions extends WorldTargetsOptions {
   readonly entries: number;
-  /** Lines of the service's settings. */
+  /** Lines added to the service's settings. */
   readonly service?: readonly string[];
 }
 
@@ -48,7 +48,7 @@
   readonly #entries: EntryReducer[] = [];
   readonly #options: RequestWorldOptions;
 
-  /** All processes are up, but not connected. */
+  /** Starts all processes without connecting them. */
   constructor(options: RequestWorldOptions) {
     this.#options = options;
     for (let entry = 0; entry < options.entries; entry++) {
@@ -72,12 +72,12 @@
     return this.#now;
   }
 
-  /** Does something once virtual time has come so far. */
+  /** Schedules a callback at a virtual time. */
   at(time: number, run: () => void): void {
     this.#planned.push({ time, run });
   }
 
-  /** Time passes, in small steps, for all that are not paused. */
+  /** Advances time in small steps for all processes that are not paused. */
   tick(milliseconds: number): void {
     const end = this.#now + milliseconds;
     while (this.#now < end) this.#step(Math.min(STEP_MS, end - this.#now));
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Delivers the next message of a connection, picked by number. */
+  /** Delivers the next message of a connection, chosen by number. */
   deliver(choice: number): void {
     const open = this.connections.all().filter((one) =>
       this.#isOpen(one) && isBusy(one)
@@ -110,7 +110,7 @@
     else this.#deliverToEntry(connection);
   }
 
-  /** Delivers every message, but lets no run get on. */
+  /** Delivers every message without advancing any run. */
   deliverAll(): void {
     const open = this.connections.all().filter((one) => this.#isOpen(one));
     for (const connection of open) {
@@ -119,7 +119,7 @@
     }
   }
 
-  /** A back end gets on with one of its runs. */
+  /** Advances one of the runs of a back end. */
   progressRun(target: number, choice: number): void {
     const process = this.targets.get(target);
     if (process.isPaused) return;
@@ -127,7 +127,7 @@
     if (event !== undefined) this.toTarget(target, event);
   }
 
-  /** A back end breaks off one of its answers. */
+  /** Fails one of the runs of a back end. */
   failRun(target: number, choice: number): void {
     const process = this.targets.get(target);
     if (process.isPaused) return;
@@ -135,7 +135,7 @@
     if (event !== undefined) this.toTarget(target, event);
   }
 
-  /** Connections are made where there are none. */
+  /** Connects every entry and target that are not connected. */
   connectAll(): void {
     for (let entry = 0; entry < this.#options.entries; entry++) {
       for (let target = 0; target < this.#options.targets; target++) {
@@ -144,7 +144,7 @@
     }
   }
 
-  /** Delivers everything and lets every run end. */
+  /** Delivers every message and completes every run. */
   settle(): void {
     for (let round = 0; round < 10_000; round++) {
       const isQuiet = this.connections.all().every((one) =>
@@ -166,7 +166,7 @@
     assert.fail("The world does not come to rest");
   }
 
-  /** The connection is lost; both sides notice. */
+  /** Closes a connection; both sides notice. */
   disconnect(connection: Connection): void {
     this.connections.remove(connection);
     const process = this.targets.get(connection.target);
@@ -184,7 +184,7 @@
     });
   }
 
-  /** An entry takes in an event. */
+  /** Passes an event to an entry. */
   toEntry(entry: number, event: EntryEvent): void {
     const reducer = this.#entries[entry] as EntryReducer;
     for (const effect of reducer.reduce(event)) {
@@ -192,7 +192,7 @@
     }
   }
 
-  /** A target takes in an event. */
+  /** Passes an event to a target. */
   toTarget(target: number, event: TargetEvent): void {
     const process = this.targets.get(target);
     for (const effect of process.reducer.reduce(event)) {
@@ -200,7 +200,7 @@
     }
   }
 
-  /** Does what a target asks for. */
+  /** Performs an effect of a target. */
   performTarget(target: number, effect: TargetEffect): void {
     const process = this.targets.get(target);
     switch (effect.kind) {
@@ -238,7 +238,7 @@
     }
   }
 
-  /** Whether messages get through. */
+  /** Returns whether messages are delivered. */
   #isOpen({ isStalled, target }: Connection): boolean {
     return !isStalled && !this.targets.get(target).isPaused;
   }
--- a/src/testing/run_log.ts
+++ b/src/testing/run_log.ts
@@ -1,10 +1,10 @@
 /**
- * When targets began runs, and for which entries.
+ * Records when targets started runs, and for which entries.
  *
  * @module
  */
 
-/** One run that a target began. */
+/** One run that a target started. */
 export interface RunTime {
   readonly target: number;
   readonly entry: number;
@@ -12,23 +12,23 @@
   readonly at: number;
 }
 
-/** When targets began runs, and for which entries. */
+/** The runs that targets have started. */
 export class RunLog {
   readonly #times: RunTime[] = [];
 
-  /** A target began a run. */
+  /** Records the start of a run. */
   note(time: RunTime): void {
     this.#times.push(time);
   }
 
-  /** Runs that a target has begun for an entry. */
+  /** Returns the number of runs that a target has started for an entry. */
   countAt(target: number, entry: number): number {
     return this.#times.filter((one) =>
       one.target === target && one.entry === entry
     ).length;
   }
 
-  /** When a target last began a run. */
+  /** Returns when a target last started a run. */
   lastAt(target: number): number {
     const times = this.#times.filter((one) => one.target === target)
       .map((one) => one.at);
--- a/src/testing/spoken_notices.ts
+++ b/src/testing/spoken_notices.ts
@@ -1,6 +1,6 @@
 /**
- * What targets say of themselves with their answers over a run: limits, backoffs, and that they
- * leave.
+ * Plans the notices that targets send with their answers during a run: rate limits,
+ * backoffs, and that they leave.
  *
  * @module
  */
@@ -12,52 +12,55 @@
   createRefused,
 } from "./fixtures.ts";
 
-/** A target names another limit, or none. */
+/** A target announces another limit, or that it has none. */
 export interface LimitChange {
-  /** Milliseconds since callers came. */
+  /** Milliseconds since callers started. */
   readonly at: number;
   /** Number of the target, from 0. */
   readonly target: number;
-  /** Requests a second; undefined: its limit ends. */
+  /** Requests per second; undefined: the limit ends. */
   readonly perSecond: number | undefined;
 }
 
-/** A target turns all requests away for a while. */
+/** A time in which a target rejects all requests. */
 export interface Refusing {
-  /** Milliseconds since callers came. */
+  /** Milliseconds since callers started. */
   readonly from: number;
   readonly to: number;
   /** Number of the target, from 0. */
   readonly target: number;
-  /** Milliseconds of the backoff that it asks for. */
+  /** Milliseconds of the backoff that the target requests. */
   readonly askedMs: number;
 }
 
-/** A target says from a moment on that it leaves. */
+/** A time from which a target announces that it leaves. */
 export interface SaidLeaving {
-  /** Milliseconds since callers came. */
+  /** Milliseconds since callers started. */
   readonly at: number;
   /** Number of the target, from 0. */
   readonly target: number;
 }
 
-/** What targets say over a run. */
+/** The notices that targets send during a run. */
 export interface NoticePlan {
   readonly changes: readonly LimitChange[];
   readonly refusing?: readonly Refusing[];
   readonly leaving?: readonly SaidLeaving[];
 }
 
-/** Answers requests as targets that say something of themselves. */
+/** Answers requests with the notices of a plan. */
 export class SpokenNotices {
   readonly #plan: NoticePlan;
 
-  /** Says what the plan has. */
+  /** Creates answers according to the plan. */
   constructor(plan: NoticePlan) {
     this.#plan = plan;
   }
 
-  /** The messages with which a target answers; `at` in milliseconds since callers came. */
+  /**
+   * Returns the messages with which a target answers; `at` is in milliseconds since
+   * callers started.
+   */
   answer(
     place: AttemptPlace,
     target: number,
--- a/src/testing/submissions.ts
+++ b/src/testing/submissions.ts
@@ -1,16 +1,18 @@
 /**
- * What callers sent and were told, for tests under faults, and what must hold
- * of it.
+ * Records what callers sent and received in simulations, and checks the conditions that
+ * must hold for it.
  *
  * @module
  */
 import assert from "node:assert/strict";
 import type { ProblemDetails } from "../refusals/types.ts";
 
-/** What a caller was told in the end. */
+/** The final outcome that a caller received. */
 export interface CallerOutcome {
   readonly status: number;
-  /** Body of an answer; undefined when it was refused or cut. */
+  /**
+   * Body of the answer; undefined when the request was refused or the answer was cut off.
+   */
   readonly body?: string;
   readonly problem?: ProblemDetails;
   readonly isCut: boolean;
@@ -26,17 +28,17 @@
   outcome?: CallerOutcome;
   streamed: string;
   isStreamEnded: boolean;
-  /** Times that a back end ran it. */
+  /** Number of times that a back end ran the submission. */
   runs: number;
 }
 
-/** An answer that can be told from every other request's. */
+/** Returns the text of the answer, which is different for every request. */
 export function answerTo(submission: Submission): string {
   const what = submission.key ?? `submission ${submission.id}`;
   return `[answer to ${what} with ${submission.body}]`;
 }
 
-/** What must hold of one submission at every moment. */
+/** Checks the conditions that must hold for a submission at every moment. */
 export function checkSubmission(submission: Submission): void {
   const { outcome, key, method, runs } = submission;
   if (key === undefined && method === "POST") {
--- a/src/testing/switch_orders_world.ts
+++ b/src/testing/switch_orders_world.ts
@@ -1,7 +1,8 @@
 /**
- * A small formed group in which the next event is any of those that can happen: words
- * and orders arrive in any order, late, twice or never, processes end at any moment, and
- * passes begin whenever nothing holds them. Time plays no part.
+ * Simulates a small formed group in which the next event is chosen at random from all
+ * that can happen. Messages and orders arrive in any order, late, twice or never;
+ * processes end at any moment; passes begin whenever no engine holds them. Delays are not
+ * simulated.
  *
  * @module
  */
@@ -21,44 +22,44 @@
 import type { ExpertMap } from "../messages/group_types.ts";
 import { FakeFormedEngine } from "./fake_formed_engine.ts";
 
-/** What a run showed. */
+/** Results of a run. */
 export interface SwitchOrdersResult {
   /** Passes that began with more than one map. */
   readonly mixedPasses: readonly number[];
-  /** Maps that came into force. */
+  /** Number of maps that came into force. */
   readonly switches: number;
 }
 
 const RANKS = 3;
 const HOLDER = getHolderRank(RANKS);
-/** More than any order waits until it is sent again, in milliseconds. */
+/** Milliseconds; more than any order waits until it is sent again. */
 const TICK_MS = 1500;
-/** A proposal counts only while no switch is under way. */
+/** Probability of a proposal; it has an effect only while no switch is in progress. */
 const CHANCE_OF_PROPOSAL = 0.05;
 
-/** How often each kind of event is the next, drawn anew for each run. */
+/** Probability that each kind of event is the next one, chosen at random for each run. */
 interface Chances {
   readonly pass: number;
   readonly tick: number;
-  /** The process beside the holder takes a held pass for left behind. */
+  /** The holder's sidecar assumes that a held pass was abandoned. */
   readonly look: number;
   /** A process ends. */
   readonly end: number;
-  /** What is on its way is lost. */
+  /** An undelivered message is lost. */
   readonly loss: number;
-  /** What has arrived arrives once more. */
+  /** A delivered message arrives again. */
   readonly repeat: number;
 }
 
-/** A process that decides or ends what was decided. */
+/** A process that decides switches or recovers them. */
 interface Process {
   readonly rank: number;
   decider: FormedGroupDecider;
-  /** Grows with each life; words to an earlier one are dropped. */
+  /** Grows with each incarnation; messages to an earlier one are dropped. */
   life: number;
 }
 
-/** A small formed group in which the next event is any that can happen. */
+/** A small formed group in which the next event is chosen at random. */
 export class SwitchOrdersWorld {
   readonly #random: RandomSource;
   readonly #chances: Chances;
@@ -68,7 +69,7 @@
   );
   readonly #decider: Process;
   readonly #rescuer: Process;
-  /** Everything that is on its way. */
+  /** All undelivered messages. */
   readonly #pending: (() => void)[] = [];
   readonly #mixedPasses: number[] = [];
   #now = 0;
@@ -76,7 +77,7 @@
   #maps = 0;
   #switches = 0;
 
-  /** The same seed gives the same run. */
+  /** Creates a group; the same seed gives the same run. */
   constructor(seed: number) {
     this.#random = new RandomSource(seed);
     const upTo = (most: number) => most * this.#random.nextFraction();
@@ -92,7 +93,7 @@
     this.#rescuer = this.#createProcess(HOLDER);
   }
 
-  /** Lets so many events happen. */
+  /** Runs a number of events. */
   run(events: number): SwitchOrdersResult {
     for (let event = 0; event < events; event++) this.#next();
     return { mixedPasses: this.#mixedPasses, switches: this.#switches };
@@ -149,7 +150,10 @@
     this.#reduce(process, { kind: "tick", now: this.#now });
   }
 
-  /** The process beside the holder takes a held pass for left behind. */
+  /**
+   * Reports the held pass to the process that recovers switches, as the holder's sidecar
+   * does when it assumes that the pass was abandoned.
+   */
   #look(): void {
     const { state } = this.#engine(HOLDER);
     if (state.heldPass === undefined) return this.#restart(this.#rescuer);
@@ -195,7 +199,7 @@
     });
   }
 
-  /** The state is read now and told later. */
+  /** Reads the state now and reports it later. */
   #report(
     process: Process,
     rank: number,
--- a/src/testing/tcp_relay.ts
+++ b/src/testing/tcp_relay.ts
@@ -1,5 +1,5 @@
 /**
- * A relay between two processes that a test can cut, silence or slow down.
+ * Provides a TCP relay between two processes that a test can cut, freeze or slow down.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import { parseAddress } from "../process/address.ts";
 import { findFreeAddress } from "./free_address.ts";
 
-/** Which way bytes go through a relay. */
+/** The direction of bytes through a relay. */
 type Way = "to_target" | "from_target";
 
 /** A relay between two processes. */
@@ -29,7 +29,7 @@
     this.#server = createServer((socket) => this.#accept(socket, target));
   }
 
-  /** Listens on a free port and passes on to `target`. */
+  /** Listens on a free port and relays connections to `target`. */
   static async create(target: string): Promise<TcpRelay> {
     const address = await findFreeAddress();
     const relay = new TcpRelay(address, target);
@@ -39,39 +39,39 @@
     return relay;
   }
 
-  /** Where to connect to. */
+  /** The address on which the relay listens. */
   get address(): string {
     return this.#address;
   }
 
-  /** Breaks what is open and refuses what comes. */
+  /** Closes open connections and refuses new ones. */
   cut(): void {
     this.#isCut = true;
     this.reset();
   }
 
-  /** Breaks what is open; new connections work. */
+  /** Closes open connections; new ones work. */
   reset(): void {
     for (const socket of this.#all()) socket.destroy();
   }
 
-  /** Nothing gets through, and nobody is told. */
+  /** Stops relaying without closing connections. */
   freeze(): void {
     this.#freeze("to_target");
     this.#freeze("from_target");
   }
 
-  /** Requests get through, answers do not, and nobody is told. */
+  /** Stops relaying answers without closing connections; requests are still relayed. */
   freezeAnswers(): void {
     this.#freeze("from_target");
   }
 
-  /** Everything takes this much longer, in milliseconds. */
+  /** Delays all data by a number of milliseconds. */
   delay(delayMs: number): void {
     this.#delayMs = delayMs;
   }
 
-  /** Lets everything through again. */
+  /** Relays everything again. */
   join(): void {
     this.#isCut = false;
     this.#delayMs = 0;
@@ -79,7 +79,7 @@
     for (const socket of this.#all()) socket.resume();
   }
 
-  /** Closes. */
+  /** Closes the relay. */
   close(): void {
     this.cut();
     this.#server.close();
--- a/src/testing/unregistered_store.ts
+++ b/src/testing/unregistered_store.ts
@@ -1,11 +1,11 @@
 /**
- * A store with which nothing can be registered, for tests of what is read and watched.
+ * Provides a store that rejects registrations, for tests of lists and watches.
  *
  * @module
  */
 import { type StoreLease, WatchedStore } from "../external/watched_store.ts";
 
-/** A store with which nothing can be registered. */
+/** A store that rejects registrations. */
 export abstract class UnregisteredStore extends WatchedStore {
   override register(): Promise<StoreLease> {
     return Promise.reject(new Error("not here"));
--- a/src/testing/world_callers.ts
+++ b/src/testing/world_callers.ts
@@ -1,6 +1,6 @@
 /**
- * The callers of a world under faults: what each sent, how often it ran and what it was
- * told, and what must hold of that at every moment.
+ * Simulates callers: records what each sent, how often it ran and its outcome, and checks
+ * the conditions that must hold for these at every moment.
  *
  * @module
  */
@@ -21,17 +21,17 @@
   readonly body?: string;
 }
 
-/** The callers of a world. */
+/** The callers of a simulation. */
 export class WorldCallers {
   readonly submissions: Submission[] = [];
-  /** Times that a key's request began to run. */
+  /** Number of times that the request of a key started to run. */
   readonly runsByKey = new Map<string, number>();
-  /** Retries that entries made. */
+  /** Number of retries that entries made. */
   retries = 0;
-  /** Answers that entries cut. */
+  /** Number of answers that entries cut off. */
   cutAnswers = 0;
 
-  /** A caller sends a request. */
+  /** Adds a submission of a caller. */
   add({ entry, method, key, body }: NewSubmission): Submission {
     const submission: Submission = {
       id: this.submissions.length + 1,
@@ -47,12 +47,12 @@
     return submission;
   }
 
-  /** The submission with a number. */
+  /** Returns the submission with an id. */
   get(id: number): Submission {
     return this.submissions[id - 1] as Submission;
   }
 
-  /** A back end began to run it. */
+  /** Records that a back end started to run a submission. */
   countRun(submission: Submission): void {
     submission.runs++;
     const { key } = submission;
@@ -60,7 +60,7 @@
     this.runsByKey.set(key, (this.runsByKey.get(key) ?? 0) + 1);
   }
 
-  /** Takes in what an entry does towards callers. */
+  /** Records an effect of an entry that concerns a caller. */
   note(effect: EntryEffect): void {
     switch (effect.kind) {
       case "continue_answer":
@@ -98,7 +98,7 @@
     }
   }
 
-  /** What must hold at every moment. */
+  /** Checks the conditions that must hold at every moment. */
   check(): void {
     for (const [key, runs] of this.runsByKey) {
       assert.ok(runs <= 1, `Key ${key} ran ${runs} times`);
--- a/src/testing/world_connections.ts
+++ b/src/testing/world_connections.ts
@@ -1,6 +1,5 @@
 /**
- * Connections between the entries and targets of a world under faults, with the messages
- * on their way.
+ * Simulates connections between entries and targets, with their undelivered messages.
  *
  * @module
  */
@@ -13,43 +12,43 @@
   readonly target: number;
   readonly toTarget: Message[];
   readonly toEntry: Message[];
-  /** Nothing gets through, but neither side knows yet. */
+  /** Whether messages are not delivered although neither side has noticed a fault. */
   isStalled: boolean;
 }
 
-/** Connections between entries and targets, at most one a pair. */
+/** Connections between entries and targets, at most one for each pair. */
 export class WorldConnections {
   #connections: Connection[] = [];
   #nextId = 1;
 
-  /** All connections, the oldest first. */
+  /** Returns all connections, the oldest first. */
   all(): readonly Connection[] {
     return [...this.#connections];
   }
 
-  /** The connections of a target. */
+  /** Returns the connections of a target. */
   ofTarget(target: number): readonly Connection[] {
     return this.#connections.filter((one) => one.target === target);
   }
 
-  /** The connection between two, if there is one. */
+  /** Returns the connection between an entry and a target, if there is one. */
   tryBetween(entry: number, target: number): Connection | undefined {
     return this.#connections.find((one) =>
       one.entry === entry && one.target === target
     );
   }
 
-  /** The connection with a number, if it is still there. */
+  /** Returns the connection with an id, if it still exists. */
   tryGet(id: number): Connection | undefined {
     return this.#connections.find((one) => one.id === id);
   }
 
-  /** One of all, picked by any number. */
+  /** Returns one of the connections, chosen by any number. */
   tryPick(choice: number): Connection | undefined {
     return this.#connections[choice % Math.max(1, this.#connections.length)];
   }
 
-  /** Connects two. */
+  /** Connects an entry and a target. */
   add(entry: number, target: number): Connection {
     const connection: Connection = {
       id: this.#nextId++,
@@ -63,18 +62,18 @@
     return connection;
   }
 
-  /** The connection is lost, with what was on its way. */
+  /** Removes a connection and its undelivered messages. */
   remove(connection: Connection): void {
     this.#connections = this.#connections.filter((one) => one !== connection);
   }
 
-  /** Everything that was stalled gets through again. */
+  /** Makes all stalled connections work again. */
   unstallAll(): void {
     for (const connection of this.#connections) connection.isStalled = false;
   }
 }
 
-/** Whether a connection has something on its way. */
+/** Returns whether a connection has undelivered messages. */
 export function isBusy({ toTarget, toEntry }: Connection): boolean {
   return toTarget.length > 0 || toEntry.length > 0;
 }
--- a/src/testing/world_owner_table.ts
+++ b/src/testing/world_owner_table.ts
@@ -1,6 +1,5 @@
 /**
- * The owner table of a world under faults: targets read it, claim, release and hand over
- * key slots.
+ * Simulates the owner table: targets read it, and claim, release and hand over key slots.
  *
  * @module
  */
@@ -20,26 +19,26 @@
 } from "./request_world_model.ts";
 import { nameOf } from "./world_targets.ts";
 
-/** Milliseconds for which a machine must be gone before it loses its slots. */
+/** Milliseconds for which a VM must be gone before it loses its slots. */
 export const GONE_GRACE_MS = 60_000;
 
-/** Number of no entry's connection. */
+/** A connection id that no entry has. */
 const SUCCESSOR_LINK = -1;
 const SERVICE = "/organisations/andamaq/services/confirm";
 
-/** The owner table, and what targets do with it. */
+/** The owner table, with the actions of targets on it. */
 export class WorldOwnerTable {
-  /** Whether nobody can read or write the table now. */
+  /** Whether the table can be neither read nor written. */
   isDown = false;
   #table: OwnerTable = createOwnerTable(WORLD_EPOCH_MS);
   readonly #model: RequestWorldModel;
 
-  /** No slot has an owner yet. */
+  /** Creates a table in which no slot has an owner. */
   constructor(model: RequestWorldModel) {
     this.#model = model;
   }
 
-  /** The slot of a key of this world's service. */
+  /** Returns the slot of a key of the simulated service. */
   slotOf(key: string): number {
     return slotOf(fingerprintOf({
       organisation: "andamaq",
@@ -48,21 +47,24 @@
     }));
   }
 
-  /** The target that the owner table gives a key to. */
+  /** Returns the target that owns a key according to the table. */
   ownerOf(key: string): number | undefined {
     const state = this.#table.slots[this.slotOf(key)];
     if (state?.kind !== "taken") return undefined;
     return this.#model.targets.findNumber(state.targetName);
   }
 
-  /** A target reads the owner table, and later takes in what it read. */
+  /** Reads the owner table for a target, which processes it in {@link finishLook}. */
   startLook(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp || process.isPaused || this.isDown) return;
     process.read = { table: this.#table, askedAt: this.#model.now };
   }
 
-  /** A target claims by what it read: compare-and-swap, then its own use. */
+  /**
+   * Claims slots according to the table that was read: by compare-and-swap first, then in
+   * the target.
+   */
   finishLook(target: number): void {
     const process = this.#model.targets.get(target);
     const { read } = process;
@@ -95,13 +97,13 @@
     });
   }
 
-  /** Reads the owner table and claims at once. */
+  /** Reads the owner table and claims slots immediately. */
   lookAtTable(target: number): void {
     this.startLook(target);
     this.finishLook(target);
   }
 
-  /** A drained target gives back its slots, and waits for their new owners. */
+  /** Releases the slots of a drained target, which then waits for their new owners. */
   release(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp || process.isPaused || !process.isDrained) return;
@@ -115,7 +117,7 @@
     if (next !== undefined) this.#table = next;
   }
 
-  /** A new owner asks for the keys of one slot that it took. */
+  /** Requests the keys of one slot that a new owner has claimed. */
   handOver(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp || process.isPaused) return;
@@ -144,7 +146,7 @@
     }
   }
 
-  /** A new owner asks for the keys of all slots that it took. */
+  /** Requests the keys of all slots that a new owner has claimed. */
   handOverAll(target: number): void {
     while (this.#model.targets.get(target).taken.length > 0) {
       this.handOver(target);
--- a/src/testing/world_targets.ts
+++ b/src/testing/world_targets.ts
@@ -1,6 +1,5 @@
 /**
- * The target processes of a world under faults: which are up, paused or gone, and what
- * each has of its own.
+ * Simulates target processes: which are up, paused or gone, and the state of each.
  *
  * @module
  */
@@ -8,18 +7,21 @@
 import { TargetReducer } from "../target/target_reducer.ts";
 import { BackEndRuns } from "./back_end_runs.ts";
 
-/** One process of a target; a restart makes another. */
+/** One process of a target; a restart replaces it. */
 export interface TargetProcess {
   reducer: TargetReducer;
   incarnation: number;
   isUp: boolean;
   isPaused: boolean;
   goneAt: number | undefined;
-  /** A read of the owner table that is under way. */
+  /** The read of the owner table that is in progress. */
   read: { readonly table: OwnerTable; readonly askedAt: number } | undefined;
   readonly runs: BackEndRuns;
   isDrained: boolean;
-  /** Slots taken from one who released them, whose keys were not asked for. */
+  /**
+   * Slots claimed after their previous owner released them, whose keys have not been
+   * requested yet.
+   */
   taken: ReleasedSlot[];
 }
 
@@ -28,16 +30,16 @@
   readonly targets: number;
   readonly concurrency?: number;
   readonly queueLength?: number;
-  /** Whether answers are streamed rather than held until whole. */
+  /** Whether answers are streamed rather than held until complete. */
   readonly isStreamed?: boolean;
 }
 
-/** The target processes of a world. */
+/** The target processes of a simulation. */
 export class WorldTargets {
   readonly #options: WorldTargetsOptions;
   readonly #processes: TargetProcess[] = [];
 
-  /** All are up; `now` is in milliseconds of the virtual clock. */
+  /** Starts all processes; `now` is in milliseconds of the virtual clock. */
   constructor(options: WorldTargetsOptions, now: number) {
     this.#options = options;
     for (let target = 0; target < options.targets; target++) {
@@ -50,17 +52,17 @@
     return this.#processes;
   }
 
-  /** The process of a target. */
+  /** Returns the process of a target. */
   get(target: number): TargetProcess {
     return this.#processes[target] as TargetProcess;
   }
 
-  /** A target's number by its name, or -1. */
+  /** Returns a target's number by its name, or -1. */
   findNumber(name: string | undefined): number {
     return this.#processes.findIndex((_, target) => nameOf(target) === name);
   }
 
-  /** A process without memory takes the place of a target's one before. */
+  /** Replaces the process of a target by a new one with empty state. */
   restart(target: number, now: number): void {
     const { incarnation } = this.get(target);
     this.#processes[target] = this.#create(incarnation + 1, now);
@@ -91,7 +93,7 @@
   }
 }
 
-/** The name of a target, which is also its address. */
+/** Returns the name of a target, which is also its address. */
 export function nameOf(target: number): string {
   return `target-${target}`;
 }
