--- a/src/testing/back_end_runs.ts
+++ b/src/testing/back_end_runs.ts
@@ -8,12 +8,12 @@
 import type { TargetEvent } from "../target/types.ts";
 import { answerTo, type Submission } from "./submissions.ts";
 
-const ANSWER_PARTS = 3;
+const ANSWER_CHUNKS = 3;
 
 interface BackEndRun {
   readonly runId: number;
   readonly submission: Submission;
-  part: number;
+  nextPart: number;
 }
 
 /** Holds the unfinished runs of one back end. */
@@ -33,7 +33,7 @@
 
   /** Starts a run. */
   start(runId: number, submission: Submission): void {
-    this.#runs.push({ runId, submission, part: 0 });
+    this.#runs.push({ runId, submission, nextPart: 0 });
   }
 
   /** Drops all runs, as after a crash of their target. */
@@ -60,7 +60,7 @@
 
   /** Ends a run without a complete answer. Returns the event that its target receives. */
   end(runId: number, now: number): TargetEvent {
-    this.#forget(runId);
+    this.#remove(runId);
     return { kind: "back_end_failed", now, runId, failure: "broken" };
   }
 
@@ -71,13 +71,13 @@
   #progress(run: BackEndRun, now: number): TargetEvent {
     const { runId } = run;
     const body = answerTo(run.submission);
-    const part = run.part++;
+    const part = run.nextPart++;
     if (part === 0) return this.#createHead(runId, body.length, now);
-    if (part > ANSWER_PARTS) {
-      this.#forget(runId);
+    if (part > ANSWER_CHUNKS) {
+      this.#remove(runId);
       return { kind: "back_end_end", now, runId };
     }
-    const size = Math.ceil(body.length / ANSWER_PARTS);
+    const size = Math.ceil(body.length / ANSWER_CHUNKS);
     const start = (part - 1) * size;
     const bytes = Buffer.from(body.slice(start, start + size));
     return { kind: "back_end_data", now, runId, bytes };
@@ -95,7 +95,7 @@
     };
   }
 
-  #forget(runId: number): void {
+  #remove(runId: number): void {
     this.#runs = this.#runs.filter((one) => one.runId !== runId);
   }
 }
--- a/src/testing/burst_callers.ts
+++ b/src/testing/burst_callers.ts
@@ -15,7 +15,7 @@
   KINDS,
   OBJECTIVE_MS,
   ORGANISATIONS,
-  PAUSE_MS,
+  PAUSE_OBJECTIVE_MS,
 } from "./burst_types.ts";
 import type { EventQueue } from "./event_queue.ts";
 
@@ -24,7 +24,7 @@
 /**
  * Callers honour a retry delay up to this fraction of the time left until their deadline.
  */
-const HONOURED_PART = 1 / 3;
+const HONOURED_FRACTION = 1 / 3;
 const MS_PER_SECOND = 1000;
 /** Fractions of all requests that the two large organisations send. */
 const LARGE_SHARES = [1 / 3, 1 / 6] as const;
@@ -34,9 +34,9 @@
   readonly kind: number;
   readonly organisation: number;
   readonly sentAt: number;
-  hasReturned: boolean;
-  firstPieceMs: number | undefined;
-  pieceAt: number;
+  hasRetried: boolean;
+  firstChunkMs: number | undefined;
+  lastChunkAt: number;
   longestPauseMs: number;
 }
 
@@ -49,17 +49,17 @@
   /** Sends a request to one of the entries. */
   readonly send: (request: CallerRequest) => void;
   /** Called when the caller closes its connection. */
-  readonly leave: (requestId: number) => void;
+  readonly disconnect: (requestId: number) => void;
 }
 
 /** Returns the SHA-256 of an organisation's access key, in hexadecimal. */
-export function keyOf(organisation: number): string {
+export function getAccessKeyHash(organisation: number): string {
   return organisation.toString(16).padStart(64, "0");
 }
 
 /** Callers that send requests at random intervals in virtual time. */
 export class BurstCallers {
-  readonly ended: EndedCall[] = [];
+  readonly endedCalls: EndedCall[] = [];
   readonly #options: BurstCallersOptions;
   /** Current calls by the id of their request. */
   readonly #calls = new Map<number, Call>();
@@ -68,7 +68,7 @@
   /** Starts sending requests immediately. */
   constructor(options: BurstCallersOptions) {
     this.#options = options;
-    for (const kind of KINDS.keys()) this.#planNext(kind);
+    for (const kind of KINDS.keys()) this.#scheduleNext(kind);
   }
 
   /** When the oldest unfinished call was sent; the current time if there is none. */
@@ -78,10 +78,10 @@
   }
 
   /** Processes an effect of an entry that concerns a caller. */
-  perform(effect: EntryEffect): void {
+  handleEffect(effect: EntryEffect): void {
     switch (effect.kind) {
       case "continue_answer":
-        return this.#onPiece(effect.requestId);
+        return this.#onChunk(effect.requestId);
       case "finish_answer":
       case "whole_answer":
         return this.#onEnd(effect.requestId);
@@ -98,46 +98,46 @@
   }
 
   /** Ends the calls of an entry that has stopped. */
-  lose(requestIds: readonly number[]): void {
+  endCalls(requestIds: readonly number[]): void {
     for (const id of requestIds) this.#end(id, "unserved");
   }
 
-  #planNext(kind: number): void {
+  #scheduleNext(kind: number): void {
     const { events, random, perSecond, burst } = this.#options;
     const share = KINDS[kind]?.share ?? 0;
     const isBurst = kind === burst.kind && events.now >= burst.from &&
       events.now < burst.until;
     const rate = perSecond * share * (isBurst ? burst.factor : 1);
     events.after(random.nextExponential(MS_PER_SECOND / rate), () => {
-      this.#planNext(kind);
+      this.#scheduleNext(kind);
       this.#send({
         kind,
-        organisation: this.#drawOrganisation(),
+        organisation: this.#sampleOrganisation(),
         sentAt: events.now,
-        hasReturned: false,
-        firstPieceMs: undefined,
-        pieceAt: 0,
+        hasRetried: false,
+        firstChunkMs: undefined,
+        lastChunkAt: 0,
         longestPauseMs: 0,
       });
     });
   }
 
-  #drawOrganisation(): number {
+  #sampleOrganisation(): number {
     const { random } = this.#options;
-    let drawn = random.nextFraction();
+    let remaining = random.nextFraction();
     for (const [organisation, share] of LARGE_SHARES.entries()) {
-      if (drawn < share) return organisation;
-      drawn -= share;
+      if (remaining < share) return organisation;
+      remaining -= share;
     }
-    const small = ORGANISATIONS - LARGE_SHARES.length;
-    return LARGE_SHARES.length + random.nextBelow(small);
+    const smallCount = ORGANISATIONS - LARGE_SHARES.length;
+    return LARGE_SHARES.length + random.nextBelow(smallCount);
   }
 
   #send(call: Call): void {
     const { events, send } = this.#options;
     const id = ++this.#lastId;
     this.#calls.set(id, call);
-    events.after(SILENCE_LIMIT_MS, () => this.#leaveIfSilent(id));
+    events.after(SILENCE_LIMIT_MS, () => this.#disconnectIfSilent(id));
     send({
       id,
       method: "POST",
@@ -145,33 +145,34 @@
       headers: [],
       body: Buffer.alloc(0),
       deadlineMs: Math.floor(call.sentAt + DEADLINE_MS - events.now),
-      accessKeySha256: keyOf(call.organisation),
+      accessKeySha256: getAccessKeyHash(call.organisation),
     });
   }
 
-  #leaveIfSilent(id: number): void {
+  #disconnectIfSilent(id: number): void {
     const call = this.#calls.get(id);
-    if (call === undefined || call.firstPieceMs !== undefined) return;
+    if (call === undefined || call.firstChunkMs !== undefined) return;
     this.#end(id, "unserved");
-    this.#options.leave(id);
+    this.#options.disconnect(id);
   }
 
-  #onPiece(id: number): void {
+  #onChunk(id: number): void {
     const call = this.#calls.get(id);
     if (call === undefined) return;
     const { now } = this.#options.events;
-    if (call.firstPieceMs === undefined) call.firstPieceMs = now - call.sentAt;
+    if (call.firstChunkMs === undefined) call.firstChunkMs = now - call.sentAt;
     else {
-      const pauseMs = now - call.pieceAt;
+      const pauseMs = now - call.lastChunkAt;
       call.longestPauseMs = Math.max(call.longestPauseMs, pauseMs);
     }
-    call.pieceAt = now;
+    call.lastChunkAt = now;
   }
 
   #onEnd(id: number): void {
-    const { firstPieceMs = Infinity, longestPauseMs = 0 } =
+    const { firstChunkMs = Infinity, longestPauseMs = 0 } =
       this.#calls.get(id) ?? {};
-    const isOnTime = firstPieceMs <= OBJECTIVE_MS && longestPauseMs <= PAUSE_MS;
+    const isOnTime = firstChunkMs <= OBJECTIVE_MS &&
+      longestPauseMs <= PAUSE_OBJECTIVE_MS;
     this.#end(id, isOnTime ? "on_time" : "late");
   }
 
@@ -179,15 +180,15 @@
     const call = this.#calls.get(id);
     if (call === undefined) return;
     const { events } = this.#options;
-    const leftMs = call.sentAt + DEADLINE_MS - events.now;
-    const waitMs = Math.min(
+    const remainingMs = call.sentAt + DEADLINE_MS - events.now;
+    const retryDelayMs = Math.min(
       retryAfterSeconds * MS_PER_SECOND,
-      HONOURED_PART * leftMs,
+      HONOURED_FRACTION * remainingMs,
     );
-    if (call.hasReturned) return this.#end(id, "unserved");
+    if (call.hasRetried) return this.#end(id, "unserved");
     this.#calls.delete(id);
-    call.hasReturned = true;
-    events.after(waitMs, () => this.#send(call));
+    call.hasRetried = true;
+    events.after(retryDelayMs, () => this.#send(call));
   }
 
   #end(id: number, outcome: CallOutcome): void {
@@ -195,6 +196,6 @@
     if (call === undefined) return;
     this.#calls.delete(id);
     const { kind, organisation, sentAt } = call;
-    this.ended.push({ kind, organisation, sentAt, outcome });
+    this.endedCalls.push({ kind, organisation, sentAt, outcome });
   }
 }
--- a/src/testing/burst_cases.ts
+++ b/src/testing/burst_cases.ts
@@ -58,16 +58,16 @@
  * Options that differ from the default of 41 entries and services of different
  * priorities.
  */
-export type Changes =
+export type BurstOptionChanges =
   & Partial<BurstWorldOptions>
   & Pick<BurstWorldOptions, "seed">;
 
 /** Creates the simulation in which a burst is run. */
 export function createWorld(
-  { perSecond, kind, factor, lastsMs }: BurstCase,
-  changes: Changes,
+  { perSecond, kind, factor, lastsMs: durationMs }: BurstCase,
+  changes: BurstOptionChanges,
 ): PriorityBurstWorld {
-  const until = BURST_FROM_MS + lastsMs;
+  const until = BURST_FROM_MS + durationMs;
   return new PriorityBurstWorld({
     entries: 41,
     perSecond,
@@ -78,14 +78,17 @@
 }
 
 /** Runs a burst and scores the calls that it affects. */
-export function play(burst: BurstCase, changes: Changes): BurstScore {
+export function play(
+  burst: BurstCase,
+  changes: BurstOptionChanges,
+): BurstScore {
   const until = BURST_FROM_MS + burst.lastsMs;
-  const world = createWorld(burst, changes);
-  const ended = world.run(until + TAIL_MS + LONGEST_CALL_MS);
+  const simulation = createWorld(burst, changes);
+  const ended = simulation.run(until + TAIL_MS + LONGEST_CALL_MS);
   return scoreCalls(ended, { from: BURST_FROM_MS, until: until + TAIL_MS });
 }
 
-function meanOf(
+function computeMean(
   scores: readonly BurstScore[],
   read: (score: BurstScore) => number,
 ): number {
@@ -96,25 +99,25 @@
 export interface MeanScore {
   /** Fraction of all answers that were late. */
   readonly late: number;
-  readonly worth: number;
+  readonly benefit: number;
   readonly onTime: readonly number[];
-  readonly served: readonly number[];
-  readonly leastOfOrganisation: number;
+  readonly servedFractions: readonly number[];
+  readonly minOrganisationShare: number;
 }
 
 /** Computes means over runs, and the minimum of all runs for organisations. */
 export function meanScore(scores: readonly BurstScore[]): MeanScore {
-  const ofKinds = (read: (score: KindScore) => number) =>
+  const meanByKind = (read: (score: KindScore) => number) =>
     KINDS.map((_, kind) =>
-      meanOf(scores, ({ kinds }) => read(kinds[kind] as KindScore))
+      computeMean(scores, ({ kinds }) => read(kinds[kind] as KindScore))
     );
   return {
-    late: meanOf(scores, ({ late }) => late),
-    worth: meanOf(scores, ({ worth }) => worth),
-    onTime: ofKinds(({ onTime }) => onTime),
-    served: ofKinds(({ served }) => served),
-    leastOfOrganisation: Math.min(
-      ...scores.map(({ leastOfOrganisation }) => leastOfOrganisation),
+    late: computeMean(scores, ({ lateFraction }) => lateFraction),
+    benefit: computeMean(scores, ({ benefit }) => benefit),
+    onTime: meanByKind(({ onTimeFraction }) => onTimeFraction),
+    servedFractions: meanByKind(({ served: servedFraction }) => servedFraction),
+    minOrganisationShare: Math.min(
+      ...scores.map(({ minOrganisationShare }) => minOrganisationShare),
     ),
   };
 }
@@ -125,15 +128,24 @@
  *
  * @throws AssertionError when it is not
  */
-export function assertBetter(without: MeanScore, with_: MeanScore): void {
-  const seen = JSON.stringify({ without, with: with_ });
-  const [first = 0, middle = 0, last = 0] = with_.served;
-  const [firstOnTime = 0] = with_.onTime;
+export function assertBetter(
+  without: MeanScore,
+  withPriorities: MeanScore,
+): void {
+  const scores = JSON.stringify({ without, with: withPriorities });
+  const [first = 0, middle = 0, last = 0] = withPriorities.servedFractions;
+  const [firstOnTime = 0] = withPriorities.onTime;
   const [firstBefore = 1] = without.onTime;
-  assert.ok(firstOnTime > firstBefore + 0.15, `most urgent: ${seen}`);
-  assert.ok(with_.worth > without.worth + 0.05, `worth: ${seen}`);
+  assert.ok(firstOnTime > firstBefore + 0.15, `most urgent: ${scores}`);
+  assert.ok(
+    withPriorities.benefit > without.benefit + 0.05,
+    `worth: ${scores}`,
+  );
   const isInOrder = first >= middle - 0.05 && middle >= last - 0.05;
-  assert.ok(isInOrder, `less urgent served more often: ${seen}`);
-  assert.ok(last >= 0.25, `least urgent starved: ${seen}`);
-  assert.ok(with_.leastOfOrganisation >= 0.25, `organisation: ${seen}`);
+  assert.ok(isInOrder, `less urgent served more often: ${scores}`);
+  assert.ok(last >= 0.25, `least urgent starved: ${scores}`);
+  assert.ok(
+    withPriorities.minOrganisationShare >= 0.25,
+    `organisation: ${scores}`,
+  );
 }
--- a/src/testing/burst_score.ts
+++ b/src/testing/burst_score.ts
@@ -9,7 +9,7 @@
 export interface KindScore {
   readonly sent: number;
   /** Fractions of all calls that were sent. */
-  readonly onTime: number;
+  readonly onTimeFraction: number;
   readonly served: number;
 }
 
@@ -21,18 +21,18 @@
    * Total benefit of the answers, divided by the benefit if every call were answered on
    * time.
    */
-  readonly worth: number;
+  readonly benefit: number;
   /** Fraction of all answers that were late. */
-  readonly late: number;
+  readonly lateFraction: number;
   /**
    * Lowest served fraction of any organisation, divided by the served fraction of all
    * calls.
    */
-  readonly leastOfOrganisation: number;
+  readonly minOrganisationShare: number;
 }
 
 /** Organisations with fewer calls than this are not scored. */
-const FEWEST_JUDGED = 15;
+const MIN_SCORED_CALLS = 15;
 
 /** Scores the calls that were sent within an interval. */
 export function scoreCalls(
@@ -42,22 +42,22 @@
   const calls = ended.filter(({ sentAt }) => sentAt >= from && sentAt < until);
   const answered = calls.filter(({ outcome }) => outcome !== "unserved");
   const late = answered.filter(({ outcome }) => outcome === "late");
-  const worth = calls.reduce((sum, call) => sum + worthOf(call), 0);
-  const most = calls.reduce((sum, { kind }) => sum + getWorth(kind), 0);
-  const all = servedPart(calls);
-  const parts = Array.from(
+  const benefit = calls.reduce((sum, call) => sum + computeBenefit(call), 0);
+  const maxBenefit = calls.reduce((sum, { kind }) => sum + getBenefit(kind), 0);
+  const servedFraction = getServedFraction(calls);
+  const organisationFractions = Array.from(
     { length: ORGANISATIONS },
     (_, organisation) =>
       calls.filter((call) => call.organisation === organisation),
   )
-    .filter(({ length }) => length >= FEWEST_JUDGED).map(servedPart);
+    .filter(({ length }) => length >= MIN_SCORED_CALLS).map(getServedFraction);
   return {
     kinds: KINDS.map((_, kind) =>
       scoreKind(calls.filter((call) => call.kind === kind))
     ),
-    worth: worth / most,
-    late: late.length / answered.length,
-    leastOfOrganisation: Math.min(...parts) / all,
+    benefit: benefit / maxBenefit,
+    lateFraction: late.length / answered.length,
+    minOrganisationShare: Math.min(...organisationFractions) / servedFraction,
   };
 }
 
@@ -65,22 +65,24 @@
   const onTime = calls.filter(({ outcome }) => outcome === "on_time");
   return {
     sent: calls.length,
-    onTime: onTime.length / calls.length,
-    served: servedPart(calls),
+    onTimeFraction: onTime.length / calls.length,
+    served: getServedFraction(calls),
   };
 }
 
-function servedPart(calls: readonly EndedCall[]): number {
+function getServedFraction(calls: readonly EndedCall[]): number {
   const served = calls.filter(({ outcome }) => outcome !== "unserved");
   return served.length / calls.length;
 }
 
-function getWorth(kind: number): number {
-  return KINDS[kind]?.worth ?? 0;
+function getBenefit(kind: number): number {
+  return KINDS[kind]?.benefit ?? 0;
 }
 
-function worthOf({ kind, outcome }: EndedCall): number {
+function computeBenefit({ kind, outcome }: EndedCall): number {
   if (outcome === "unserved") return 0;
-  const part = outcome === "late" ? KINDS[kind]?.lateWorth ?? 0 : 1;
-  return part * getWorth(kind);
+  const fraction = outcome === "late"
+    ? KINDS[kind]?.lateBenefitFraction ?? 0
+    : 1;
+  return fraction * getBenefit(kind);
 }
--- a/src/testing/burst_types.ts
+++ b/src/testing/burst_types.ts
@@ -11,9 +11,27 @@
  * answer has.
  */
 export const KINDS = [
-  { name: "first", priority: 3, share: 0.28, worth: 3.1, lateWorth: 0.3 },
-  { name: "middle", priority: 5, share: 0.34, worth: 1.6, lateWorth: 0.41 },
-  { name: "last", priority: 7, share: 0.38, worth: 0.8, lateWorth: 0.3 },
+  {
+    name: "first",
+    priority: 3,
+    share: 0.28,
+    benefit: 3.1,
+    lateBenefitFraction: 0.3,
+  },
+  {
+    name: "middle",
+    priority: 5,
+    share: 0.34,
+    benefit: 1.6,
+    lateBenefitFraction: 0.41,
+  },
+  {
+    name: "last",
+    priority: 7,
+    share: 0.38,
+    benefit: 0.8,
+    lateBenefitFraction: 0.3,
+  },
 ] as const;
 
 /**
@@ -21,7 +39,7 @@
  * total.
  */
 export const OBJECTIVE_MS = 400;
-export const PAUSE_MS = 150;
+export const PAUSE_OBJECTIVE_MS = 150;
 export const DEADLINE_MS = 8000;
 
 /**
--- a/src/testing/cold_targets.ts
+++ b/src/testing/cold_targets.ts
@@ -30,7 +30,7 @@
   readonly startMs: number;
   readonly changes: readonly ListChange[];
   /** Milliseconds by which some entries learn of changes late, by their number. */
-  readonly lateMs?: ReadonlyMap<number, number>;
+  readonly delayMsByEntry?: ReadonlyMap<number, number>;
 }
 
 /** Options of {@link ColdTargets}. */
@@ -65,24 +65,24 @@
     now: number,
   ): InstancesListed {
     const { count, plan, startMs } = this.#options;
-    const heardAt = now - startMs - (plan?.lateMs?.get(entry) ?? 0);
+    const receivedAt = now - startMs - (plan?.delayMsByEntry?.get(entry) ?? 0);
     const instances = Array.from(
       { length: count },
-      (_, target) => this.#instanceAt(target, heardAt),
+      (_, target) => this.#getInstanceAt(target, receivedAt),
     ).flatMap((instance) => instance === undefined ? [] : [instance]);
     return { kind: "instances_listed", now, instances };
   }
 
-  #instanceAt(target: number, at: number): BackEndInstance | undefined {
+  #getInstanceAt(target: number, at: number): BackEndInstance | undefined {
     const { plan } = this.#options;
     const changes = (plan?.changes ?? []).filter((change) =>
       change.at <= at && change.targets.includes(target)
     );
-    const last = changes.at(-1);
-    if (last?.kind === "gone") return undefined;
-    const starts = changes.filter(({ kind }) => kind === "started").length;
-    const id = `target-${target}${starts === 0 ? "" : `@${starts}`}`;
-    const isCold = last === undefined ? plan && false : last.isCold;
+    const lastChange = changes.at(-1);
+    if (lastChange?.kind === "gone") return undefined;
+    const restarts = changes.filter(({ kind }) => kind === "started").length;
+    const id = `target-${target}${restarts === 0 ? "" : `@${restarts}`}`;
+    const isCold = lastChange === undefined ? plan && false : lastChange.isCold;
     return createInstance(id, { isCold });
   }
 }
--- a/src/testing/crashing_pool.ts
+++ b/src/testing/crashing_pool.ts
@@ -35,8 +35,8 @@
     random: new RandomSource(1),
   });
   now = 0;
-  #requests = 0;
-  #starts = 0;
+  #lastRequestId = 0;
+  #startedTargets = 0;
   #instances: readonly BackEndInstance[] = [];
   #effects: readonly EntryEffect[] = [];
 
@@ -49,8 +49,8 @@
       now: 0,
       routes: createRoutes({ service: ["retryShare: 1", ...lines] }),
     });
-    for (let number = 0; number < targets; number++) this.#add(number);
-    this.#list();
+    for (let number = 0; number < targets; number++) this.#addTarget(number);
+    this.#publishInstances();
   }
 
   /** Names of the listed targets. */
@@ -99,7 +99,7 @@
   /** Sends a request with this body to the entry. */
   arrive(body: string): void {
     const request = createCallerRequest({
-      id: ++this.#requests,
+      id: ++this.#lastRequestId,
       body: Buffer.from(body),
     });
     this.#reduce({ kind: "request_arrived", now: this.now, request });
@@ -107,17 +107,19 @@
 
   /** Breaks the connection of an attempt. */
   break(sent: SentAttempt): void {
-    this.#receive(sent, createRefused(sent, "BACK_END_FAILED"));
+    this.#receiveMessage(sent, createRefused(sent, "BACK_END_FAILED"));
   }
 
   /** Answers an attempt as another instance at the target's address does. */
   misdirect(sent: SentAttempt): void {
-    this.#receive(sent, createRefused(sent, "WRONG_INSTANCE"));
+    this.#receiveMessage(sent, createRefused(sent, "WRONG_INSTANCE"));
   }
 
   /** Answers an attempt. */
   answer(sent: SentAttempt): void {
-    for (const message of createEmptyAnswer(sent)) this.#receive(sent, message);
+    for (const message of createEmptyAnswer(sent)) {
+      this.#receiveMessage(sent, message);
+    }
   }
 
   /** Disconnects the caller of an attempt. */
@@ -129,8 +131,8 @@
   replace(target: string): void {
     const index = this.#instances.findIndex(({ id }) => id === target);
     this.#instances = this.#instances.filter(({ id }) => id !== target);
-    this.#add(index);
-    this.#list();
+    this.#addTarget(index);
+    this.#publishInstances();
   }
 
   /** Lists a target as leaving. */
@@ -138,7 +140,7 @@
     this.#instances = this.#instances.map((instance) =>
       instance.id === target ? { ...instance, state: "leaving" } : instance
     );
-    this.#list();
+    this.#publishInstances();
   }
 
   /** Lists a target as leaving, then replaces it. */
@@ -152,13 +154,13 @@
     this.#reduce({ kind: "crashes_told", now: this.now, requests });
   }
 
-  #add(number: number): void {
-    const id = `target-${++this.#starts}`;
+  #addTarget(number: number): void {
+    const id = `target-${++this.#startedTargets}`;
     const instance = createInstance(id, { address: `address-${number}:80` });
     this.#instances = [...this.#instances, instance];
   }
 
-  #receive({ target }: SentAttempt, message: AttemptMessage): void {
+  #receiveMessage({ target }: SentAttempt, message: AttemptMessage): void {
     this.#reduce({
       kind: "message_received",
       now: this.now,
@@ -167,7 +169,7 @@
     });
   }
 
-  #list(): void {
+  #publishInstances(): void {
     const instances = this.#instances;
     this.#reduce({ kind: "instances_listed", now: this.now, instances });
   }
--- a/src/testing/crashing_ranks.ts
+++ b/src/testing/crashing_ranks.ts
@@ -12,26 +12,26 @@
 const CRASH_AFTER_MS = 100;
 const ANSWER_AFTER_MS = 500;
 /** Milliseconds until the other ranks of a group notice that a rank is gone. */
-const STALL_MS = 1500;
+const CRASH_DETECTION_MS = 1500;
 /**
  * Milliseconds until a crashed rank has restarted, and then until its group has formed.
  */
-const DOWN_MS = 3100;
-const FORM_MS = 1100;
+const RESTART_MS = 3100;
+const GROUP_FORMATION_MS = 1100;
 
 /** How a run at a rank ended. */
-export type RunEnd = "answered" | "broken" | "group lost";
+export type RunOutcome = "answered" | "broken" | "group lost";
 
 /** One incarnation of a rank. */
-export interface RankStart {
+export interface RankIncarnation {
   readonly id: string;
   readonly address: string;
   readonly group: string;
 }
 
-interface Run {
-  readonly rank: RankStart;
-  readonly onEnd: (end: RunEnd) => void;
+interface RankRun {
+  readonly rank: RankIncarnation;
+  readonly onEnd: (end: RunOutcome) => void;
 }
 
 /** Options of {@link CrashingRanks}. */
@@ -40,18 +40,18 @@
   readonly groups: number;
   readonly ranksPerGroup: number;
   /** Called when a group stops or runs again. */
-  readonly onGroup: (group: string, isOpen: boolean) => void;
+  readonly onGroupChanged: (group: string, isOpen: boolean) => void;
 }
 
 /** Rank groups whose ranks crash. */
 export class CrashingRanks {
   readonly #options: CrashingRanksOptions;
   /** The current or last incarnation of each rank. */
-  #ranks: RankStart[] = [];
-  readonly #runs = new Set<Run>();
+  #ranks: RankIncarnation[] = [];
+  readonly #runs = new Set<RankRun>();
   readonly #closedUntil = new Map<string, number>();
-  #starts = 0;
-  #crashes = 0;
+  #incarnations = 0;
+  #crashCount = 0;
 
   /** Starts all ranks. */
   constructor(options: CrashingRanksOptions) {
@@ -69,13 +69,13 @@
    * The last incarnation of each rank; a crashed one is listed until the rank has
    * restarted.
    */
-  get listed(): readonly RankStart[] {
+  get listed(): readonly RankIncarnation[] {
     return this.#ranks;
   }
 
   /** Number of crashes caused by requests that crash ranks. */
   get crashes(): number {
-    return this.#crashes;
+    return this.#crashCount;
   }
 
   /**
@@ -84,21 +84,21 @@
   run(
     id: string,
     request: { readonly crashes: boolean },
-    onEnd: (end: RunEnd) => void,
+    onEnd: (end: RunOutcome) => void,
   ): void {
     const rank = this.#ranks.find((one) => one.id === id);
     const { queue } = this.#options;
     if (rank === undefined) return queue.after(1, () => onEnd("broken"));
     if (this.#isClosed(rank.group)) {
-      return queue.after(STALL_MS, () => onEnd("group lost"));
+      return queue.after(CRASH_DETECTION_MS, () => onEnd("group lost"));
     }
-    const run: Run = { rank, onEnd };
+    const run: RankRun = { rank, onEnd };
     this.#runs.add(run);
     const after = request.crashes ? CRASH_AFTER_MS : ANSWER_AFTER_MS;
     queue.after(after, () => {
       if (this.#isClosed(rank.group) || !this.#runs.has(run)) return;
       if (request.crashes) {
-        this.#crashes++;
+        this.#crashCount++;
         return this.crash([rank]);
       }
       this.#end(run, "answered");
@@ -106,7 +106,7 @@
   }
 
   /** Crashes several ranks at the same time. */
-  crash(ranks: readonly RankStart[]): void {
+  crash(ranks: readonly RankIncarnation[]): void {
     const { queue } = this.#options;
     const ids = new Set(ranks.map(({ id }) => id));
     for (const run of [...this.#runs]) {
@@ -116,22 +116,22 @@
       this.#stopGroup(group);
     }
     for (const rank of ranks) {
-      queue.after(DOWN_MS, () => this.#replace(rank));
+      queue.after(RESTART_MS, () => this.#replace(rank));
     }
   }
 
   #stopGroup(group: string): void {
-    const { queue, onGroup } = this.#options;
-    const until = queue.now + DOWN_MS + FORM_MS;
+    const { queue, onGroupChanged } = this.#options;
+    const until = queue.now + RESTART_MS + GROUP_FORMATION_MS;
     this.#closedUntil.set(group, until);
-    onGroup(group, false);
-    queue.after(STALL_MS, () => {
+    onGroupChanged(group, false);
+    queue.after(CRASH_DETECTION_MS, () => {
       for (const run of [...this.#runs]) {
         if (run.rank.group === group) this.#end(run, "broken");
       }
     });
-    queue.after(DOWN_MS + FORM_MS, () => {
-      if (this.#closedUntil.get(group) === until) onGroup(group, true);
+    queue.after(RESTART_MS + GROUP_FORMATION_MS, () => {
+      if (this.#closedUntil.get(group) === until) onGroupChanged(group, true);
     });
   }
 
@@ -139,17 +139,17 @@
     return (this.#closedUntil.get(group) ?? 0) > this.#options.queue.now;
   }
 
-  #end(run: Run, end: RunEnd): void {
+  #end(run: RankRun, end: RunOutcome): void {
     if (this.#runs.delete(run)) run.onEnd(end);
   }
 
-  #replace({ id, address, group }: RankStart): void {
+  #replace({ id, address, group }: RankIncarnation): void {
     this.#ranks = this.#ranks.map((one) =>
       one.id === id ? this.#start(address, group) : one
     );
   }
 
-  #start(address: string, group: string): RankStart {
-    return { id: `start-${++this.#starts}`, address, group };
+  #start(address: string, group: string): RankIncarnation {
+    return { id: `start-${++this.#incarnations}`, address, group };
   }
 }
--- a/src/testing/drain_faults.ts
+++ b/src/testing/drain_faults.ts
@@ -19,7 +19,7 @@
 }
 
 /** The kind, entry and time for which faults are looked up. */
-export interface FaultMoment extends Pick<DrainFault, "kind" | "entry"> {
+export interface FaultQuery extends Pick<DrainFault, "kind" | "entry"> {
   /** Virtual milliseconds. */
   readonly now: number;
 }
@@ -32,9 +32,9 @@
  * hasFault(faults, { kind: "cut_off", entry: 0, now: 4000 });
  * ```
  */
-export function hasFault(
+export function isFaultActive(
   faults: readonly DrainFault[],
-  { kind, entry, now }: FaultMoment,
+  { kind, entry, now }: FaultQuery,
 ): boolean {
   return faults.some((fault) =>
     fault.kind === kind && fault.entry === entry &&
--- a/src/testing/drain_fleet.ts
+++ b/src/testing/drain_fleet.ts
@@ -15,11 +15,11 @@
 import type { EntryEffect, EntryEvent } from "../entry/types.ts";
 import { joinRevision } from "../external/store_revision.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
-import { type DrainFault, hasFault } from "./drain_faults.ts";
+import { type DrainFault, isFaultActive } from "./drain_faults.ts";
 import { DrainStoreModel } from "./drain_store_model.ts";
 import { EventQueue } from "./event_queue.ts";
 import {
-  type AttemptPlace,
+  type AttemptIdentity,
   createCallerRequest,
   createEmptyAnswer,
   createInstance,
@@ -34,16 +34,21 @@
 /** Number of failure domains; each has entries and targets. */
 const DOMAINS = 3;
 const TARGETS_PER_DOMAIN = 4;
-const TURN_MS = 50;
+const ACTION_INTERVAL_MS = 50;
 /**
  * A reader's answer is trusted if its settings are no older than this factor times the
  * leaving limit.
  */
-const OLDEST_SETTINGS_PART = 1.2;
-const MESSAGE_MS = { least: 1, usual: 12, late: 900, lateShare: 0.05 } as const;
-const WORK_MS = 120;
+const MAX_SETTINGS_AGE_FACTOR = 1.2;
+const MESSAGE_DELAY_MS = {
+  min: 1,
+  normal: 12,
+  late: 900,
+  lateShare: 0.05,
+} as const;
+const MEAN_RUN_MS = 120;
 /** Fraction of attempts that fail, so that requests are retried. */
-const FAILED_SHARE = 0.2;
+const FAILURE_PROBABILITY = 0.2;
 
 const UNSERVED_REASONS: ReadonlySet<RefusalName> = new Set([
   "NO_TARGET",
@@ -87,7 +92,7 @@
   readonly name: string;
   readonly address: string;
   readonly failureDomain: string;
-  readonly turns: ReaderTurns;
+  readonly readerPolicy: ReaderTurns;
   readonly reducer: EntryReducer;
   readonly drains: DrainedDomains;
   /** Entries that query this entry, with the revision of the drains that each has. */
@@ -97,7 +102,7 @@
   checkedAt: number;
   listedAt: number;
   isReached: boolean;
-  isLed: boolean;
+  isFollowingReader: boolean;
   hasListed: boolean;
 }
 
@@ -110,8 +115,8 @@
   readonly #entries: readonly FleetEntry[];
   readonly #byAddress: ReadonlyMap<string, FleetEntry>;
   #requests = 0;
-  #unserved = 0;
-  #arrivalsBefore = 0;
+  #unservedRequests = 0;
+  #arrivalsBeforeDrain = 0;
   #lastArrivalMs = 0;
   #lastInForceMs = 0;
 
@@ -123,7 +128,7 @@
       queue: this.#queue,
       random: this.#random,
       watchWaitMs: options.leavingLimitMs / 2,
-      isUnstable: () => this.#has(undefined, "unstable_store"),
+      isUnstable: () => this.#hasFault(undefined, "unstable_store"),
     });
     this.#entries = Array.from(
       { length: options.entries },
@@ -131,11 +136,11 @@
     );
     this.#byAddress = new Map(this.#entries.map((one) => [one.address, one]));
     for (const entry of this.#entries) this.#start(entry);
-    this.#planCaller();
+    this.#scheduleRequest();
     this.#queue.after(DRAINED_AT_MS, () => this.#store.drain(DRAINED_DOMAIN));
     for (const { kind, at, forMs } of options.faults) {
       if (kind !== "store_goes_back") continue;
-      this.#queue.after(at, () => this.#store.goBack());
+      this.#queue.after(at, () => this.#store.restoreOlderCopy());
       this.#queue.after(at + forMs, () => this.#store.drain(DRAINED_DOMAIN));
     }
   }
@@ -145,12 +150,12 @@
     this.#queue.runUntil(untilMs);
     return {
       requests: this.#requests,
-      arrivalsBefore: this.#arrivalsBefore,
+      arrivalsBefore: this.#arrivalsBeforeDrain,
       lastArrivalMs: this.#lastArrivalMs,
       lastInForceMs: this.#entries.every((one) => this.#isInForceAt(one))
         ? this.#lastInForceMs
         : Number.POSITIVE_INFINITY,
-      unserved: this.#unserved,
+      unserved: this.#unservedRequests,
     };
   }
 
@@ -159,7 +164,7 @@
   }
 
   #createEntry(number: number): FleetEntry {
-    const failureDomain = domainOf(number);
+    const failureDomain = getFailureDomain(number);
     const name = `entry-${String(number).padStart(3, "0")}`;
     const { seed, leavingLimitMs } = this.#options;
     const random = new RandomSource(seed * 10_000 + number);
@@ -168,7 +173,7 @@
       name,
       address: `${name}:1`,
       failureDomain,
-      turns: new ReaderTurns(leavingLimitMs),
+      readerPolicy: new ReaderTurns(leavingLimitMs),
       reducer: new EntryReducer({ failureDomain, entryName: name, random }),
       drains: new DrainedDomains(),
       followers: new Map(),
@@ -177,101 +182,113 @@
       checkedAt: Number.NEGATIVE_INFINITY,
       listedAt: Number.NEGATIVE_INFINITY,
       isReached: false,
-      isLed: true,
+      isFollowingReader: true,
       hasListed: false,
     };
   }
 
   #start(entry: FleetEntry): void {
-    entry.turns.setCandidates(listReaderCandidates(this.#entries, entry));
+    entry.readerPolicy.setCandidates(
+      listReaderCandidates(this.#entries, entry),
+    );
     const service = ["idempotentMethods: [POST]", "retryShare: 1"];
     const routes = createRoutes({ service });
     this.#reduce(entry, { kind: "settings_in_force", now: 0, routes });
     const instances = Array.from(
       { length: DOMAINS * TARGETS_PER_DOMAIN },
       (_, target) =>
-        createInstance(`target-${target}`, { failureDomain: domainOf(target) }),
+        createInstance(`target-${target}`, {
+          failureDomain: getFailureDomain(target),
+        }),
     );
     this.#reduce(entry, { kind: "instances_listed", now: 0, instances });
     this.#store.follow(entry.number, {
-      isFollowing: () => !entry.isLed,
-      isRunning: () => !this.#has(entry, "stands_still"),
-      isSilent: () => this.#has(entry, "silent_watch"),
+      isFollowing: () => !entry.isFollowingReader,
+      isRunning: () => !this.#hasFault(entry, "stands_still"),
+      isSilent: () => this.#hasFault(entry, "silent_watch"),
       onRead: ({ revision, era, drained, askedAt }) => {
         entry.checkedAt = Math.max(entry.checkedAt, askedAt);
         const joined = joinRevision({ era, revision });
         const failureDomains = [...drained];
         entry.drains.take({ revision: joined, failureDomains }, this.#now);
-        this.#drainsChanged(entry);
+        this.#applyDrains(entry);
       },
     });
     this.#queue.after(
-      this.#random.nextBelow(TURN_MS),
-      () => this.#turn(entry),
+      this.#random.nextBelow(ACTION_INTERVAL_MS),
+      () => this.#runAction(entry),
     );
   }
 
-  #turn(entry: FleetEntry): void {
-    this.#queue.after(TURN_MS, () => this.#turn(entry));
-    if (this.#has(entry, "stands_still")) return;
+  #runAction(entry: FleetEntry): void {
+    this.#queue.after(ACTION_INTERVAL_MS, () => this.#runAction(entry));
+    if (this.#hasFault(entry, "stands_still")) return;
     if (entry.reducer.inFlight > 0) {
       this.#reduce(entry, { kind: "tick", now: this.#now });
     }
-    const turn = entry.turns.next(this.#now);
-    if (turn.kind === "list") this.#list(entry);
-    if (turn.kind === "ask") this.#ask(entry, turn.address);
+    const action = entry.readerPolicy.next(this.#now);
+    if (action.kind === "list") this.#listStore(entry);
+    if (action.kind === "ask") this.#query(entry, action.address);
   }
 
-  #list(entry: FleetEntry): void {
-    if (entry.hasListed) this.#setLed(entry, false);
+  #listStore(entry: FleetEntry): void {
+    if (entry.hasListed) this.#setFollowingReader(entry, false);
     entry.hasListed = true;
     const askedAt = this.#now;
     this.#store.call((isAnswered) => {
       entry.isReached = isAnswered;
       if (!isAnswered) return;
-      entry.turns.noteListed(askedAt);
+      entry.readerPolicy.noteListed(askedAt);
       entry.listedAt = Math.max(entry.listedAt, askedAt);
     });
   }
 
-  #setLed(entry: FleetEntry, isLed: boolean): void {
-    if (entry.isLed === isLed) return;
-    entry.isLed = isLed;
-    if (!isLed) this.#store.readAnew(entry.number);
+  #setFollowingReader(entry: FleetEntry, isFollowingReader: boolean): void {
+    if (entry.isFollowingReader === isFollowingReader) return;
+    entry.isFollowingReader = isFollowingReader;
+    if (!isFollowingReader) this.#store.listAgain(entry.number);
   }
 
-  #ask(asker: FleetEntry, address: string): void {
-    const asked = this.#byAddress.get(address);
-    if (asked === undefined) return;
-    asker.reader = address;
+  #query(querier: FleetEntry, address: string): void {
+    const peer = this.#byAddress.get(address);
+    if (peer === undefined) return;
+    querier.reader = address;
     const askedAt = this.#now;
-    this.#cross(asker, asked, () => this.#answer(asked, asker, askedAt));
+    this.#deliver(
+      querier,
+      peer,
+      () => this.#answerQuery(peer, querier, askedAt),
+    );
   }
 
-  #answer(asked: FleetEntry, asker: FleetEntry, askedAt: number): void {
-    const drainsRevision = asker.drains.stored?.revision;
-    const news = this.#createNews(asked, drainsRevision);
-    asked.followers.set(asker, asked.drains.stored?.revision ?? 0);
-    this.#cross(asked, asker, () => {
-      const { drains, settingsAgeMs = Infinity, isReading } = news;
-      if (drains !== undefined) asker.drains.take(drains, this.#now);
+  #answerQuery(peer: FleetEntry, querier: FleetEntry, askedAt: number): void {
+    const drainsRevision = querier.drains.stored?.revision;
+    const update = this.#createUpdate(peer, drainsRevision);
+    peer.followers.set(querier, peer.drains.stored?.revision ?? 0);
+    this.#deliver(peer, querier, () => {
+      const { drains, settingsAgeMs = Infinity, isReading } = update;
+      if (drains !== undefined) querier.drains.take(drains, this.#now);
       const checkedAt = askedAt - settingsAgeMs;
-      asker.checkedAt = Math.max(asker.checkedAt, checkedAt);
-      const oldestMs = this.#options.leavingLimitMs * OLDEST_SETTINGS_PART;
-      const isFit = isReading && settingsAgeMs <= oldestMs;
-      const ageMs = isFit ? news.directory?.ageMs : undefined;
-      asker.turns.noteAnswer(asked.address, { askedAt, ageMs }, this.#now);
+      querier.checkedAt = Math.max(querier.checkedAt, checkedAt);
+      const maxAgeMs = this.#options.leavingLimitMs * MAX_SETTINGS_AGE_FACTOR;
+      const isUsable = isReading && settingsAgeMs <= maxAgeMs;
+      const ageMs = isUsable ? update.directory?.ageMs : undefined;
+      querier.readerPolicy.noteAnswer(
+        peer.address,
+        { askedAt, ageMs },
+        this.#now,
+      );
       if (ageMs !== undefined) {
-        asker.listedAt = Math.max(asker.listedAt, askedAt - ageMs);
+        querier.listedAt = Math.max(querier.listedAt, askedAt - ageMs);
       }
-      if (asker.turns.isLed) this.#setLed(asker, true);
-      this.#drainsChanged(asker);
+      if (querier.readerPolicy.isLed) this.#setFollowingReader(querier, true);
+      this.#applyDrains(querier);
     });
   }
 
-  #createNews(entry: FleetEntry, drainsRevision: number | undefined) {
-    const knowledge = {
-      isReading: entry.turns.isLed || entry.isReached,
+  #createUpdate(entry: FleetEntry, drainsRevision: number | undefined) {
+    const knownState = {
+      isReading: entry.readerPolicy.isLed || entry.isReached,
       settings: undefined,
       settingsCheckedAt: entry.checkedAt,
       drains: entry.drains.stored,
@@ -283,13 +300,13 @@
       },
       processes: { revision: 0, processes: [] },
     };
-    return createNews(knowledge, { drainsRevision }, this.#now);
+    return createNews(knownState, { drainsRevision }, this.#now);
   }
 
   /**
    * Puts the known drains in force and sends them to the entries that follow this one.
    */
-  #drainsChanged(entry: FleetEntry): void {
+  #applyDrains(entry: FleetEntry): void {
     const { drains, reducer } = entry;
     const failureDomains = drains.listInForce(this.#now);
     if (failureDomains.join(" ") !== entry.inForce) {
@@ -300,50 +317,53 @@
       this.#perform(entry, reducer.reduce({ kind, now, failureDomains }));
       const end = drains.nextEnd;
       if (end !== undefined && end > now) {
-        this.#queue.after(end - now + 1, () => this.#drainsChanged(entry));
+        this.#queue.after(end - now + 1, () => this.#applyDrains(entry));
       }
     }
-    for (const [follower, known] of entry.followers) {
-      const news = this.#createNews(entry, known);
-      if (news.drains === undefined) continue;
-      const told = news.drains;
-      entry.followers.set(follower, told.revision);
+    for (const [follower, knownRevision] of entry.followers) {
+      const update = this.#createUpdate(entry, knownRevision);
+      if (update.drains === undefined) continue;
+      const updatedDrains = update.drains;
+      entry.followers.set(follower, updatedDrains.revision);
       if (follower.reader !== entry.address) continue;
-      this.#cross(entry, follower, () => {
-        follower.drains.take(told, this.#now);
-        this.#drainsChanged(follower);
+      this.#deliver(entry, follower, () => {
+        follower.drains.take(updatedDrains, this.#now);
+        this.#applyDrains(follower);
       });
     }
   }
 
   #isInForceAt(entry: FleetEntry): boolean {
-    return entry.inForce === DRAINED_DOMAIN || this.#has(entry, "stands_still");
+    return entry.inForce === DRAINED_DOMAIN ||
+      this.#hasFault(entry, "stands_still");
   }
 
   /**
    * Delivers a message after a random delay. Messages to a frozen VM wait there; messages
    * to or from an entry that is cut off are lost.
    */
-  #cross(from: FleetEntry, to: FleetEntry, run: () => void): void {
-    const { least, usual, late, lateShare } = MESSAGE_MS;
+  #deliver(from: FleetEntry, to: FleetEntry, run: () => void): void {
+    const { min, normal, late, lateShare } = MESSAGE_DELAY_MS;
     const isLate = this.#random.nextFraction() < lateShare;
-    const tookMs = least + this.#random.nextBelow(isLate ? late : usual);
-    if (this.#has(from, "cut_off") || this.#has(to, "cut_off")) return;
-    this.#queue.after(tookMs, () => this.#arrive(to, run));
+    const delayMs = min + this.#random.nextBelow(isLate ? late : normal);
+    if (this.#hasFault(from, "cut_off") || this.#hasFault(to, "cut_off")) {
+      return;
+    }
+    this.#queue.after(delayMs, () => this.#receive(to, run));
   }
 
-  #arrive(to: FleetEntry, run: () => void): void {
-    if (!this.#has(to, "stands_still")) return run();
-    this.#queue.after(TURN_MS, () => this.#arrive(to, run));
+  #receive(to: FleetEntry, run: () => void): void {
+    if (!this.#hasFault(to, "stands_still")) return run();
+    this.#queue.after(ACTION_INTERVAL_MS, () => this.#receive(to, run));
   }
 
-  #planCaller(): void {
+  #scheduleRequest(): void {
     const meanMs = 1000 / this.#options.requestsPerSecond;
     this.#queue.after(this.#random.nextExponential(meanMs), () => {
-      this.#planCaller();
+      this.#scheduleRequest();
       const number = this.#random.nextBelow(this.#entries.length);
       const entry = this.#entries[number] as FleetEntry;
-      if (this.#has(entry, "stands_still")) return;
+      if (this.#hasFault(entry, "stands_still")) return;
       const request = createCallerRequest({ id: ++this.#requests });
       const now = this.#now;
       this.#reduce(entry, { kind: "request_arrived", now, request });
@@ -358,7 +378,7 @@
     for (const effect of effects) {
       const isUnserved = effect.kind === "count_refusal" &&
         UNSERVED_REASONS.has(effect.reason);
-      if (isUnserved) this.#unserved++;
+      if (isUnserved) this.#unservedRequests++;
       const isSent = effect.kind === "send" && effect.message.kind === "submit";
       if (!isSent) continue;
       const { requestId, attempt } = effect.message;
@@ -366,15 +386,19 @@
     }
   }
 
-  #submit(entry: FleetEntry, targetName: string, place: AttemptPlace): void {
-    const { least, usual } = MESSAGE_MS;
-    this.#queue.after(least + this.#random.nextBelow(usual), () => {
-      this.#noteArrival(targetName);
-      const hasFailed = this.#random.nextFraction() < FAILED_SHARE;
+  #submit(
+    entry: FleetEntry,
+    targetName: string,
+    attemptId: AttemptIdentity,
+  ): void {
+    const { min, normal } = MESSAGE_DELAY_MS;
+    this.#queue.after(min + this.#random.nextBelow(normal), () => {
+      this.#recordArrival(targetName);
+      const hasFailed = this.#random.nextFraction() < FAILURE_PROBABILITY;
       const messages = hasFailed
-        ? [createRefused(place, "BACK_END_FAILED")]
-        : createEmptyAnswer(place);
-      this.#queue.after(this.#random.nextExponential(WORK_MS), () => {
+        ? [createRefused(attemptId, "BACK_END_FAILED")]
+        : createEmptyAnswer(attemptId);
+      this.#queue.after(this.#random.nextExponential(MEAN_RUN_MS), () => {
         for (const message of messages) {
           const now = this.#now;
           const kind = "message_received";
@@ -384,19 +408,23 @@
     });
   }
 
-  #noteArrival(targetName: string): void {
+  #recordArrival(targetName: string): void {
     const target = Number(targetName.slice("target-".length));
-    if (domainOf(target) !== DRAINED_DOMAIN) return;
-    if (this.#now < DRAINED_AT_MS) this.#arrivalsBefore++;
+    if (getFailureDomain(target) !== DRAINED_DOMAIN) return;
+    if (this.#now < DRAINED_AT_MS) this.#arrivalsBeforeDrain++;
     else this.#lastArrivalMs = this.#now - DRAINED_AT_MS;
   }
 
-  #has(entry: FleetEntry | undefined, kind: DrainFault["kind"]): boolean {
+  #hasFault(entry: FleetEntry | undefined, kind: DrainFault["kind"]): boolean {
     const { faults } = this.#options;
-    return hasFault(faults, { kind, entry: entry?.number, now: this.#now });
+    return isFaultActive(faults, {
+      kind,
+      entry: entry?.number,
+      now: this.#now,
+    });
   }
 }
 
-function domainOf(number: number): string {
+function getFailureDomain(number: number): string {
   return `domain-${number % DOMAINS}`;
 }
--- a/src/testing/drain_store_model.ts
+++ b/src/testing/drain_store_model.ts
@@ -8,9 +8,9 @@
 import { getRetryPauseMs } from "../direct/store_watch.ts";
 import type { EventQueue } from "./event_queue.ts";
 
-const STORE_MS = { least: 4, spread: 8 } as const;
+const STORE_DELAY_MS = { min: 4, spread: 8 } as const;
 /** Fraction of calls that fail while the store is unstable. */
-const FAILED_SHARE = 0.5;
+const FAILURE_PROBABILITY = 0.5;
 const RETRY_PAUSE_MS = 400;
 /**
  * Milliseconds, beyond the wait of the call, after which an unanswered call has failed.
@@ -20,7 +20,7 @@
  * Interval in milliseconds at which a reader whose VM is frozen checks whether it runs
  * again.
  */
-const LOOK_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 
 /** The drains that a call has read. */
 export interface DrainsRead {
@@ -49,20 +49,20 @@
   readonly isUnstable: () => boolean;
 }
 
-interface Following {
+interface Follower {
   readonly reader: DrainReader;
   /** Number of the current round; answers to calls of earlier rounds are ignored. */
   round: number;
   failures: number;
-  heard: string;
+  lastContent: string;
   /** Ends the wait of the reader's watch. */
-  wake: (() => void) | undefined;
+  endWait: (() => void) | undefined;
 }
 
 /** The platform's store with the drained failure domains. */
 export class DrainStoreModel {
   readonly #options: DrainStoreOptions;
-  readonly #following = new Map<number, Following>();
+  readonly #followers = new Map<number, Follower>();
   #era = 1;
   #revision = 1;
   #drained: ReadonlySet<string> = new Set();
@@ -78,57 +78,64 @@
   drain(failureDomain: string): void {
     this.#drained = new Set([...this.#drained, failureDomain]);
     this.#revision++;
-    this.#wakeAll();
+    this.#endAllWaits();
   }
 
   /** Restores the store from an older copy without any drain. */
-  goBack(): void {
+  restoreOlderCopy(): void {
     this.#era++;
     this.#revision = 1;
     this.#drained = new Set();
-    this.#wakeAll();
+    this.#endAllWaits();
   }
 
   /** Makes a call and reports whether it was answered. */
-  call(onOver: (isAnswered: boolean) => void): void {
+  call(onEnd: (isAnswered: boolean) => void): void {
     const { queue, random, isUnstable } = this.#options;
-    const tookMs = STORE_MS.least + random.nextBelow(STORE_MS.spread);
-    queue.after(tookMs, () => {
-      onOver(!isUnstable() || random.nextFraction() >= FAILED_SHARE);
+    const delayMs = STORE_DELAY_MS.min +
+      random.nextBelow(STORE_DELAY_MS.spread);
+    queue.after(delayMs, () => {
+      onEnd(!isUnstable() || random.nextFraction() >= FAILURE_PROBABILITY);
     });
   }
 
   /** Starts to follow the drains for a reader. */
   follow(number: number, reader: DrainReader): void {
-    const wake = undefined;
-    const one = { reader, round: 0, failures: 0, heard: "", wake };
-    this.#following.set(number, one);
-    this.#list(one, one.round);
+    const endWait = undefined;
+    const follower = {
+      reader,
+      round: 0,
+      failures: 0,
+      lastContent: "",
+      endWait,
+    };
+    this.#followers.set(number, follower);
+    this.#list(follower, follower.round);
   }
 
   /** Cancels the current call of a reader and lists again. */
-  readAnew(number: number): void {
-    const one = this.#following.get(number);
-    if (one !== undefined) this.#list(one, ++one.round);
+  listAgain(number: number): void {
+    const follower = this.#followers.get(number);
+    if (follower !== undefined) this.#list(follower, ++follower.round);
   }
 
-  #list(one: Following, round: number): void {
+  #list(follower: Follower, round: number): void {
     const askedAt = this.#options.queue.now;
     this.call((isAnswered) => {
-      if (round !== one.round) return;
-      if (!isAnswered) return this.#failed(one, round);
-      this.#read(one, askedAt);
-      this.#watch(one, round);
+      if (round !== follower.round) return;
+      if (!isAnswered) return this.#scheduleRetry(follower, round);
+      this.#read(follower, askedAt);
+      this.#watch(follower, round);
     });
   }
 
-  #watch(one: Following, round: number): void {
+  #watch(follower: Follower, round: number): void {
     const { queue, watchWaitMs } = this.#options;
-    const { reader } = one;
+    const { reader } = follower;
     if (!reader.isFollowing() || !reader.isRunning()) {
       // A reader that follows another entry lists again when it stops following.
       if (reader.isFollowing()) {
-        queue.after(LOOK_MS, () => this.#watch(one, round));
+        queue.after(CHECK_INTERVAL_MS, () => this.#watch(follower, round));
       }
       return;
     }
@@ -136,51 +143,51 @@
     let isOver = false;
     const end = (limitMs: number, isSilent: boolean) =>
       queue.after(limitMs, () => {
-        if (isOver || round !== one.round) return;
+        if (isOver || round !== follower.round) return;
         isOver = true;
-        if (isSilent) return this.#failed(one, round);
-        this.#answerWatch(one, { round, askedAt });
+        if (isSilent) return this.#scheduleRetry(follower, round);
+        this.#answerWatch(follower, { round, askedAt });
       });
     if (reader.isSilent()) return end(watchWaitMs + CALL_LIMIT_MS, true);
-    one.wake = () => end(0, false);
+    follower.endWait = () => end(0, false);
     end(watchWaitMs, false);
-    if (one.heard !== this.#content) one.wake();
+    if (follower.lastContent !== this.#content) follower.endWait();
   }
 
   #answerWatch(
-    one: Following,
+    follower: Follower,
     { round, askedAt }: { readonly round: number; readonly askedAt: number },
   ): void {
-    one.wake = undefined;
+    follower.endWait = undefined;
     this.call((isAnswered) => {
-      if (round !== one.round) return;
-      if (one.reader.isSilent()) {
+      if (round !== follower.round) return;
+      if (follower.reader.isSilent()) {
         const { queue, watchWaitMs } = this.#options;
         const limitAt = askedAt + watchWaitMs + CALL_LIMIT_MS;
         return queue.after(
           limitAt - queue.now,
-          () => this.#failed(one, round),
+          () => this.#scheduleRetry(follower, round),
         );
       }
-      if (!isAnswered) return this.#failed(one, round);
-      this.#read(one, askedAt);
-      this.#watch(one, round);
+      if (!isAnswered) return this.#scheduleRetry(follower, round);
+      this.#read(follower, askedAt);
+      this.#watch(follower, round);
     });
   }
 
-  #failed(one: Following, round: number): void {
-    if (round !== one.round) return;
-    const pauseMs = getRetryPauseMs(RETRY_PAUSE_MS, ++one.failures);
+  #scheduleRetry(follower: Follower, round: number): void {
+    if (round !== follower.round) return;
+    const pauseMs = getRetryPauseMs(RETRY_PAUSE_MS, ++follower.failures);
     this.#options.queue.after(pauseMs, () => {
-      if (round === one.round) this.#list(one, round);
+      if (round === follower.round) this.#list(follower, round);
     });
   }
 
-  #read(one: Following, askedAt: number): void {
-    one.failures = 0;
-    one.heard = this.#content;
-    if (!one.reader.isRunning()) return;
-    one.reader.onRead({
+  #read(follower: Follower, askedAt: number): void {
+    follower.failures = 0;
+    follower.lastContent = this.#content;
+    if (!follower.reader.isRunning()) return;
+    follower.reader.onRead({
       era: this.#era,
       revision: this.#revision,
       drained: this.#drained,
@@ -192,7 +199,7 @@
     return `${this.#era}.${this.#revision}`;
   }
 
-  #wakeAll(): void {
-    for (const { wake } of this.#following.values()) wake?.();
+  #endAllWaits(): void {
+    for (const { endWait } of this.#followers.values()) endWait?.();
   }
 }
--- a/src/testing/drifting_group.ts
+++ b/src/testing/drifting_group.ts
@@ -22,7 +22,7 @@
 const STEP_MS = 25;
 /** Milliseconds from the end of copying until the map is in force. */
 const SWITCH_MS = 150;
-const USUAL_PASS_MS = 60;
+const NORMAL_PASS_MS = 60;
 
 /** The size of a group and the time that its decider takes to plan and copy. */
 export interface GroupShape {
@@ -37,7 +37,7 @@
 }
 
 /** A group of 24 ranks with a short planning time. */
-const USUAL_SHAPE: GroupShape = {
+const DEFAULT_SHAPE: GroupShape = {
   ranks: 24,
   layers: 4,
   experts: 96,
@@ -83,7 +83,7 @@
   /** Creates a group; the same options give the same run. */
   constructor(options: DriftingGroupOptions) {
     this.#options = options;
-    this.#shape = options.shape ?? USUAL_SHAPE;
+    this.#shape = options.shape ?? DEFAULT_SHAPE;
     const none = new Array<number>(this.#shape.experts).fill(0);
     this.#shares = this.#createLayers(() => none);
     this.#counts = this.#createLayers(() => none);
@@ -95,46 +95,46 @@
   run(untilMs: number): DriftResult {
     const skews: number[] = [];
     for (let now = 0; now < untilMs; now += STEP_MS) {
-      if (now % CHANGE_INTERVAL_MS === 0) this.#change();
-      this.#count();
+      if (now % CHANGE_INTERVAL_MS === 0) this.#changePopularity();
+      this.#updateCounts();
       if (now % this.#options.countIntervalMs === 0) this.#plan(now);
-      this.#switch(now);
-      skews.push(this.#skew());
+      this.#trySwitch(now);
+      skews.push(this.#computeSkew());
     }
-    const tooLong = skews.filter((skew) => skew > LONG_PASS_SKEW);
+    const overloaded = skews.filter((skew) => skew > LONG_PASS_SKEW);
     return {
       meanSkew: skews.reduce((sum, skew) => sum + skew, 0) / skews.length,
-      partTooLong: tooLong.length / skews.length,
+      partTooLong: overloaded.length / skews.length,
     };
   }
 
   /** Changes the popularity of experts, independently in each layer. */
-  #change(): void {
+  #changePopularity(): void {
     this.#shares = this.#createLayers(() => {
       const weights = Array.from(
         { length: this.#shape.experts },
-        (_, place) => (place + 1) ** -ZIPF_EXPONENT,
+        (_, index) => (index + 1) ** -ZIPF_EXPONENT,
       );
       const total = weights.reduce((sum, weight) => sum + weight, 0);
       const shares = new Array<number>(this.#shape.experts).fill(0);
-      for (const expert of this.#shuffled()) {
+      for (const expert of this.#shuffleExperts()) {
         shares[expert] = (weights.pop() as number) / total;
       }
       return shares;
     });
   }
 
-  #shuffled(): readonly number[] {
+  #shuffleExperts(): readonly number[] {
     return Array.from({ length: this.#shape.experts }, (_, expert) => expert)
       .map((expert) => ({ expert, key: this.#random.nextFraction() }))
       .sort((left, right) => left.key - right.key)
       .map(({ expert }) => expert);
   }
 
-  #count(): void {
+  #updateCounts(): void {
     this.#counts = this.#counts.map((row, layer) =>
       row.map((count, expert) =>
-        count + CHOICES_PER_STEP * this.#share(layer, expert)
+        count + CHOICES_PER_STEP * this.#getShare(layer, expert)
       )
     );
   }
@@ -143,40 +143,41 @@
     this.#popularity.observe(0, this.#counts, now);
     if (this.#pending !== undefined || !this.#popularity.isKnown) return;
     const { ranks, loadMs, planningMs, planningMsPerCopy } = this.#shape;
-    const mostNewPerRank = this.#options.copiesPerRank ??
-      getCopiesPerRank({ loadMs, passMs: USUAL_PASS_MS, ranks });
+    const copiesPerRank = this.#options.copiesPerRank ??
+      getCopiesPerRank({ loadMs, passMs: NORMAL_PASS_MS, ranks });
     const plan = tryPlanIncrement({
       current: this.#map,
       tokens: this.#popularity.tokens,
       paces: new Array<number>(ranks).fill(1),
     }, {
       slotsPerRank: SLOTS_PER_RANK,
-      mostNewPerRank,
+      mostNewPerRank: copiesPerRank,
       mostNewPerLayer: 2,
       loadMs,
     });
     if (plan === undefined) return;
     const plannedMs = planningMs + planningMsPerCopy * plan.copies;
-    const at = now + plannedMs + mostNewPerRank * loadMs + SWITCH_MS;
+    const at = now + plannedMs + copiesPerRank * loadMs + SWITCH_MS;
     this.#pending = { map: plan.map, at };
   }
 
-  #switch(now: number): void {
+  #trySwitch(now: number): void {
     if (this.#pending === undefined || now < this.#pending.at) return;
     this.#map = this.#pending.map;
     this.#pending = undefined;
   }
 
-  #skew(): number {
+  #computeSkew(): number {
     const skews = this.#map.layers.map(({ experts }, layer) => {
-      const holders = new Array<number>(this.#shape.experts).fill(0);
+      const copyCounts = new Array<number>(this.#shape.experts).fill(0);
       for (const expert of experts.flat()) {
-        holders[expert] = (holders[expert] as number) + 1;
+        copyCounts[expert] = (copyCounts[expert] as number) + 1;
       }
       const loads = experts.map((held) =>
         held.reduce(
           (sum, expert) =>
-            sum + this.#share(layer, expert) / (holders[expert] as number),
+            sum +
+            this.#getShare(layer, expert) / (copyCounts[expert] as number),
           0,
         )
       );
@@ -185,7 +186,7 @@
     return skews.reduce((sum, skew) => sum + skew, 0) / this.#shape.layers;
   }
 
-  #share(layer: number, expert: number): number {
+  #getShare(layer: number, expert: number): number {
     return this.#shares[layer]?.[expert] ?? 0;
   }
 
@@ -198,7 +199,7 @@
     const held = Array.from({ length: ranks }, (_, rank) =>
       Array.from(
         { length: experts / ranks },
-        (_, place) => rank + place * ranks,
+        (_, index) => rank + index * ranks,
       ));
     return { layers: this.#createLayers(() => ({ experts: held })) };
   }
--- a/src/testing/event_queue.ts
+++ b/src/testing/event_queue.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-interface PlannedEvent {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
@@ -12,7 +12,7 @@
 
 /** Runs callbacks in the order of their virtual times. */
 export class EventQueue {
-  readonly #heap: PlannedEvent[] = [];
+  readonly #heap: ScheduledEvent[] = [];
   #now = 0;
   #order = 0;
 
@@ -28,7 +28,9 @@
 
   /** Runs all callbacks that are scheduled up to a virtual time. */
   runUntil(end: number): void {
-    while (this.#heap.length > 0 && (this.#heap[0] as PlannedEvent).at <= end) {
+    while (
+      this.#heap.length > 0 && (this.#heap[0] as ScheduledEvent).at <= end
+    ) {
       const event = this.#pop();
       this.#now = event.at;
       event.run();
@@ -36,27 +38,27 @@
     this.#now = end;
   }
 
-  #push(event: PlannedEvent): void {
+  #push(event: ScheduledEvent): void {
     this.#heap.push(event);
     let index = this.#heap.length - 1;
     while (index > 0) {
       const parent = (index - 1) >> 1;
       if (!this.#isBefore(index, parent)) return;
-      this.#exchange(index, parent);
+      this.#swap(index, parent);
       index = parent;
     }
   }
 
-  #pop(): PlannedEvent {
-    const first = this.#heap[0] as PlannedEvent;
-    const last = this.#heap.pop() as PlannedEvent;
+  #pop(): ScheduledEvent {
+    const first = this.#heap[0] as ScheduledEvent;
+    const last = this.#heap.pop() as ScheduledEvent;
     if (this.#heap.length === 0) return first;
     this.#heap[0] = last;
     let index = 0;
     while (true) {
       const child = this.#smallerChild(index);
       if (child === undefined || !this.#isBefore(child, index)) return first;
-      this.#exchange(index, child);
+      this.#swap(index, child);
       index = child;
     }
   }
@@ -70,15 +72,15 @@
   }
 
   #isBefore(left: number, right: number): boolean {
-    const one = this.#heap[left] as PlannedEvent;
-    const other = this.#heap[right] as PlannedEvent;
+    const one = this.#heap[left] as ScheduledEvent;
+    const other = this.#heap[right] as ScheduledEvent;
     return one.at < other.at ||
       (one.at === other.at && one.order < other.order);
   }
 
-  #exchange(left: number, right: number): void {
-    const one = this.#heap[left] as PlannedEvent;
-    this.#heap[left] = this.#heap[right] as PlannedEvent;
+  #swap(left: number, right: number): void {
+    const one = this.#heap[left] as ScheduledEvent;
+    this.#heap[left] = this.#heap[right] as ScheduledEvent;
     this.#heap[right] = one;
   }
 }
--- a/src/testing/fake_formed_engine.ts
+++ b/src/testing/fake_formed_engine.ts
@@ -62,12 +62,12 @@
   }
 
   /** Returns whether the group may begin a pass. */
-  mayBegin(pass: number): boolean {
+  mayBeginPass(pass: number): boolean {
     return this.#heldPass !== pass;
   }
 
   /** Begins a pass. */
-  begin(pass: number): void {
+  beginPass(pass: number): void {
     this.#pass = pass;
     if (this.#armed?.pass !== pass) return;
     this.#active = this.#prepared as LoadedMap;
@@ -82,7 +82,7 @@
   }
 
   /** Forms the group again, which starts the next epoch. */
-  reform(): void {
+  formAgain(): void {
     this.#epoch++;
     this.#pass = 0;
     this.#active = FIRST_MAP;
@@ -93,7 +93,7 @@
   }
 
   /** Executes an order. Returns false if it does not fit the state. */
-  carryOut(order: EngineOrder): boolean {
+  execute(order: EngineOrder): boolean {
     if (order.epoch !== this.#epoch) return false;
     switch (order.kind) {
       case "prepare":
--- a/src/testing/fake_key_value_service.ts
+++ b/src/testing/fake_key_value_service.ts
@@ -58,10 +58,10 @@
 
   override async tryRead(key: string): Promise<KeyValueEntry | undefined> {
     await this.#options.pass?.();
-    const fate = this.#fateOf(key);
+    const callOutcome = this.#getOutcome(key);
     const entry = this.#values.get(key);
     await this.#options.pass?.();
-    if (fate !== "answered") throw new KeyValueUnavailableError("Fault");
+    if (callOutcome !== "answered") throw new KeyValueUnavailableError("Fault");
     return entry;
   }
 
@@ -70,10 +70,12 @@
     options: SwapOptions,
   ): Promise<SwapOutcome> {
     await this.#options.pass?.();
-    const fate = this.#fateOf(key);
-    const outcome = fate === "refused" ? undefined : this.#swap(key, options);
+    const callOutcome = this.#getOutcome(key);
+    const outcome = callOutcome === "refused"
+      ? undefined
+      : this.#swap(key, options);
     await this.#options.pass?.();
-    if (outcome === undefined || fate === "reply_lost") {
+    if (outcome === undefined || callOutcome === "reply_lost") {
       return { kind: "unknown", cause: "Fault" };
     }
     return outcome;
@@ -83,7 +85,7 @@
     return await this.tryRead(key);
   }
 
-  #fateOf(key: string): CallFate {
+  #getOutcome(key: string): CallFate {
     if (this.isDown) return "refused";
     return this.#options.fate?.(key) ?? "answered";
   }
--- a/src/testing/fixtures.ts
+++ b/src/testing/fixtures.ts
@@ -65,7 +65,7 @@
 }
 
 /** Identifies the attempt that a message belongs to. */
-export type AttemptPlace = Pick<AttemptMessage, "requestId" | "attempt">;
+export type AttemptIdentity = Pick<AttemptMessage, "requestId" | "attempt">;
 
 /**
  * Creates the notice that a back end sends with an answer; each field is `none` by
@@ -80,9 +80,9 @@
 
 /** Creates the messages of a complete answer without a body. */
 export function createEmptyAnswer(
-  place: AttemptPlace,
+  attemptId: AttemptIdentity,
 ): readonly AttemptMessage[] {
-  const { requestId, attempt } = place;
+  const { requestId, attempt } = attemptId;
   return [
     {
       kind: "answer_head",
@@ -107,10 +107,10 @@
 
 /** Creates the message of an attempt that its back end did not answer. */
 export function createRefused(
-  place: AttemptPlace,
+  attemptId: AttemptIdentity,
   reason: RefusedMessage["reason"],
 ): RefusedMessage {
-  const { requestId, attempt } = place;
+  const { requestId, attempt } = attemptId;
   const submission = reason === "BACK_END_FAILED" ? "unknown" : "not-run";
   return {
     kind: "refused",
--- a/src/testing/formed_engine_fixture.ts
+++ b/src/testing/formed_engine_fixture.ts
@@ -56,7 +56,7 @@
       this.unanswered--;
       return Promise.resolve("unanswered");
     }
-    const isAccepted = this.fake.carryOut(order);
+    const isAccepted = this.fake.execute(order);
     if (isAccepted && order.kind === "prepare") {
       this.fake.finishLoading(order.version);
     }
--- a/src/testing/formed_group_engines.ts
+++ b/src/testing/formed_group_engines.ts
@@ -58,56 +58,58 @@
   }
 
   /** Returns the state that an engine reports. */
-  stateOf(rank: number): RankState {
-    return this.#engine(rank).state;
+  getState(rank: number): RankState {
+    return this.#getEngine(rank).state;
   }
 
   /** Forms the group again. */
-  reform(): void {
-    for (const engine of this.#engines) engine.reform();
+  formAgain(): void {
+    for (const engine of this.#engines) engine.formAgain();
   }
 
   /** Begins the next pass, unless an engine holds it. Returns whether it began. */
-  tryPass(): boolean {
-    const next = this.#engine(0).state.pass + 1;
-    if (this.#engines.some((engine) => !engine.mayBegin(next))) return false;
-    const before = this.#engine(0).active.version;
-    for (const engine of this.#engines) engine.begin(next);
+  tryBeginPass(): boolean {
+    const next = this.#getEngine(0).state.pass + 1;
+    if (this.#engines.some((engine) => !engine.mayBeginPass(next))) {
+      return false;
+    }
+    const before = this.#getEngine(0).active.version;
+    for (const engine of this.#engines) engine.beginPass(next);
     this.#passes++;
     const maps = new Set(
       this.#engines.map((engine) => JSON.stringify(engine.active)),
     );
     if (maps.size > 1) this.#mixedPasses.push(next);
-    if (this.#engine(0).active.version !== before) this.#switches++;
+    if (this.#getEngine(0).active.version !== before) this.#switches++;
     return true;
   }
 
   /** Executes an order at an engine 2 to 12 s later. */
-  applyLate(rank: number, message: RankOrderMessage): void {
-    const lateMs = LATE_MIN_MS + this.#random.nextBelow(LATE_SPREAD_MS);
-    this.#queue.after(lateMs, () => this.apply(rank, message));
+  executeLate(rank: number, message: RankOrderMessage): void {
+    const delayMs = LATE_MIN_MS + this.#random.nextBelow(LATE_SPREAD_MS);
+    this.#queue.after(delayMs, () => this.execute(rank, message));
   }
 
   /**
    * Executes an order at an engine. A fence prepares a map without copying, so it takes
    * effect immediately.
    */
-  apply(rank: number, { order }: RankOrderMessage): boolean {
-    const engine = this.#engine(rank);
+  execute(rank: number, { order }: RankOrderMessage): boolean {
+    const engine = this.#getEngine(rank);
     if (order.kind === "fence") {
       const map: ExpertMap = { layers: [] };
-      const isFenced = engine.carryOut({ ...order, kind: "prepare", map });
+      const isFenced = engine.execute({ ...order, kind: "prepare", map });
       if (isFenced) engine.finishLoading(order.version);
       return isFenced;
     }
-    const isAccepted = engine.carryOut(order);
+    const isAccepted = engine.execute(order);
     if (order.kind === "prepare" && isAccepted) {
       this.#queue.after(LOAD_MS, () => engine.finishLoading(order.version));
     }
     return isAccepted;
   }
 
-  #engine(rank: number): FakeFormedEngine {
+  #getEngine(rank: number): FakeFormedEngine {
     return this.#engines[rank] as FakeFormedEngine;
   }
 }
--- a/src/testing/formed_group_faults.ts
+++ b/src/testing/formed_group_faults.ts
@@ -43,7 +43,7 @@
   readonly idleMs: number;
 }
 
-const CALM: FormedGroupFaults = {
+const NO_FAULTS: FormedGroupFaults = {
   lateOrders: 0,
   lostAnswers: 0,
   lostMessages: 0,
@@ -62,5 +62,5 @@
 export function createFormedGroupFaults(
   faults: Partial<FormedGroupFaults> = {},
 ): FormedGroupFaults {
-  return { ...CALM, ...faults };
+  return { ...NO_FAULTS, ...faults };
 }
--- a/src/testing/formed_group_orders.ts
+++ b/src/testing/formed_group_orders.ts
@@ -14,12 +14,12 @@
 import { type FormedGroupEngines, LOAD_MS } from "./formed_group_engines.ts";
 import type { FormedGroupFaults } from "./formed_group_faults.ts";
 
-const ORDER_LIMIT_MS = 40;
+const ORDER_TIMEOUT_MS = 40;
 /** Milliseconds from the end of loading a map until the engine answers; one tick. */
-const ANSWER_MS = 20;
+const ANSWER_DELAY_MS = 20;
 
 /** Reports the state of the engine to the sender of an order. */
-export type AnswerOrder = (report: RankReportMessage) => void;
+export type SendReport = (report: RankReportMessage) => void;
 
 /** Options of {@link FormedGroupOrders}. */
 export interface FormedGroupOrdersOptions {
@@ -31,68 +31,72 @@
 
 /** The orders that the sidecars of the ranks execute. */
 export class FormedGroupOrders {
-  readonly #parts: FormedGroupOrdersOptions;
-  readonly #orders = new Map<number, RankOrderMessage>();
+  readonly #options: FormedGroupOrdersOptions;
+  readonly #currentOrders = new Map<number, RankOrderMessage>();
 
   /** Creates sidecars without current orders. */
   constructor(options: FormedGroupOrdersOptions) {
-    this.#parts = options;
+    this.#options = options;
   }
 
   /** Sends an order to the engine of a rank, and repeats it until it is answered. */
-  carryOut(answer: AnswerOrder, rank: number, message: RankOrderMessage): void {
-    if (this.#orders.get(rank)?.orderId === message.orderId) return;
-    const { random, faults } = this.#parts;
+  execute(
+    sendReport: SendReport,
+    rank: number,
+    message: RankOrderMessage,
+  ): void {
+    if (this.#currentOrders.get(rank)?.orderId === message.orderId) return;
+    const { random, faults } = this.#options;
     if (random.nextFraction() < faults.forgottenOrders) {
-      this.#orders.delete(rank);
+      this.#currentOrders.delete(rank);
       return;
     }
-    this.#orders.set(rank, message);
-    this.#give(answer, rank, message);
+    this.#currentOrders.set(rank, message);
+    this.#send(sendReport, rank, message);
   }
 
-  #give(answer: AnswerOrder, rank: number, message: RankOrderMessage): void {
-    if (this.#orders.get(rank) !== message) return;
-    const { queue, random, faults, engines } = this.#parts;
+  #send(sendReport: SendReport, rank: number, message: RankOrderMessage): void {
+    if (this.#currentOrders.get(rank) !== message) return;
+    const { queue, random, faults, engines } = this.#options;
     const { order } = message;
-    const draw = random.nextFraction();
+    const fraction = random.nextFraction();
     const { lateOrders, lostAnswers } = faults;
-    if (draw < lateOrders) {
-      engines.applyLate(rank, message);
+    if (fraction < lateOrders) {
+      engines.executeLate(rank, message);
       return queue.after(
-        ORDER_LIMIT_MS,
-        () => this.#settle(answer, rank, message, "unanswered"),
+        ORDER_TIMEOUT_MS,
+        () => this.#complete(sendReport, rank, message, "unanswered"),
       );
     }
-    const isAccepted = engines.apply(rank, message);
-    if (draw < lateOrders + lostAnswers) {
+    const isAccepted = engines.execute(rank, message);
+    if (fraction < lateOrders + lostAnswers) {
       return queue.after(
-        ORDER_LIMIT_MS,
-        () => this.#settle(answer, rank, message, "unanswered"),
+        ORDER_TIMEOUT_MS,
+        () => this.#complete(sendReport, rank, message, "unanswered"),
       );
     }
     const isLoading = order.kind === "prepare" && isAccepted &&
-      !isCarriedOut(order, engines.stateOf(rank));
+      !isCarriedOut(order, engines.getState(rank));
     queue.after(
-      isLoading ? LOAD_MS + ANSWER_MS : 2,
-      () => this.#settle(answer, rank, message, "answered"),
+      isLoading ? LOAD_MS + ANSWER_DELAY_MS : 2,
+      () => this.#complete(sendReport, rank, message, "answered"),
     );
   }
 
-  #settle(
-    answer: AnswerOrder,
+  #complete(
+    sendReport: SendReport,
     rank: number,
     message: RankOrderMessage,
     outcome: "answered" | "unanswered",
   ): void {
-    if (this.#orders.get(rank) !== message) return;
+    if (this.#currentOrders.get(rank) !== message) return;
     const { order, orderId } = message;
-    const state = this.#parts.engines.stateOf(rank);
+    const state = this.#options.engines.getState(rank);
     const isDone = isCarriedOut(order, state);
     const isSettled = isDone || outcome === "answered" ||
       state.epoch !== order.epoch;
-    if (!isSettled) return this.#give(answer, rank, message);
-    this.#orders.delete(rank);
-    answer({ kind: "rank_report", state, orderId, isDone });
+    if (!isSettled) return this.#send(sendReport, rank, message);
+    this.#currentOrders.delete(rank);
+    sendReport({ kind: "rank_report", state, orderId, isDone });
   }
 }
--- a/src/testing/formed_group_world.ts
+++ b/src/testing/formed_group_world.ts
@@ -133,7 +133,7 @@
       this.#queue.after(at, () => this.#freeze(0));
     }
     if (faults.epochMs > 0) {
-      this.#every(faults.epochMs, () => this.#engines.reform());
+      this.#every(faults.epochMs, () => this.#engines.formAgain());
     }
   }
 
@@ -171,7 +171,7 @@
   #startDecider(seat: Seat): void {
     seat.number++;
     seat.decider = new FormedGroupDecider({
-      state: this.#engines.stateOf(seat.rank),
+      state: this.#engines.getState(seat.rank),
       random: this.#random,
       now: this.#now,
       firstOrderId: seat.rank * ORDER_IDS_OF_SEAT + seat.number * 2 ** 20,
@@ -195,14 +195,14 @@
 
   #pass(): void {
     // A hold during a time without requests delays nobody.
-    if (this.#isIdle || this.#engines.tryPass()) return this.#holds.end();
+    if (this.#isIdle || this.#engines.tryBeginPass()) return this.#holds.end();
     this.#countHold();
   }
 
   #countHold(): void {
     const isStuck = isUndecidable({
       isDeciderFrozen: this.#isFrozen(0),
-      holder: this.#engines.stateOf(HOLDER),
+      holder: this.#engines.getState(HOLDER),
       told: this.#told?.state,
     });
     if (isStuck) this.#undecidable.add(this.#freezes);
@@ -235,7 +235,7 @@
   #lookForHold(): void {
     if (this.#isFrozen(HOLDER)) return;
     const seat = this.#rescueSeat;
-    const state = this.#engines.stateOf(HOLDER);
+    const state = this.#engines.getState(HOLDER);
     const awaitedMs = this.#watch.observe(state, this.#now);
     if (state.heldPass === undefined) return this.#endDecider(seat);
     if (awaitedMs === undefined) return;
@@ -261,7 +261,7 @@
     this.#freezes++;
     if (this.#freezes > 1) return;
     this.#saidBefore = [...this.#said];
-    this.#wasArmed = this.#engines.stateOf(0).armed !== undefined;
+    this.#wasArmed = this.#engines.getState(0).armed !== undefined;
   }
 
   #reduce(seat: Seat, event: DeciderEvent): void {
@@ -303,7 +303,7 @@
     this.#deliver(seat, rank, () =>
       this.#report(seat, rank, {
         kind: "rank_report",
-        state: this.#engines.stateOf(rank),
+        state: this.#engines.getState(rank),
         experts: [[rank]],
       }));
   }
@@ -325,12 +325,12 @@
     const message: RankOrderMessage = { kind: "rank_order", orderId, order };
     const draw = this.#random.nextFraction();
     if (draw < this.#faults.lateOrders) {
-      this.#engines.applyLate(rank, message);
+      this.#engines.executeLate(rank, message);
     } else {
-      this.#engines.apply(rank, message);
+      this.#engines.execute(rank, message);
     }
     this.#queue.after(REMOTE_LOOK_MS, () => {
-      const state = this.#engines.stateOf(rank);
+      const state = this.#engines.getState(rank);
       const isDone = isCarriedOut(order, state);
       this.#report(seat, rank, { kind: "rank_report", state, orderId, isDone });
     });
@@ -355,7 +355,7 @@
   }
 
   #carryOut(seat: Seat, rank: number, message: RankOrderMessage): void {
-    this.#orders.carryOut(
+    this.#orders.execute(
       (report) => this.#report(seat, rank, report),
       rank,
       message,
--- a/src/testing/poison_fleet.ts
+++ b/src/testing/poison_fleet.ts
@@ -13,12 +13,12 @@
 import type { RefusalName } from "../refusals/catalogue.ts";
 import {
   CrashingRanks,
-  type RankStart,
-  type RunEnd,
+  type RankIncarnation,
+  type RunOutcome,
 } from "./crashing_ranks.ts";
 import { EventQueue } from "./event_queue.ts";
 import {
-  type AttemptPlace,
+  type AttemptIdentity,
   createCallerRequest,
   createEmptyAnswer,
   createInstance,
@@ -109,7 +109,7 @@
       queue: this.#queue,
       groups: options.groups,
       ranksPerGroup: options.ranksPerGroup,
-      onGroup: (group, isOpen) => this.#tellGroup(group, isOpen),
+      onGroupChanged: (group, isOpen) => this.#tellGroup(group, isOpen),
     });
     this.#entries = Array.from(
       { length: options.entries },
@@ -234,7 +234,7 @@
       const lost = Math.ceil(all.length * share);
       const ranks = Array.from(
         { length: lost },
-        (_, number) => all[(first + number) % all.length] as RankStart,
+        (_, number) => all[(first + number) % all.length] as RankIncarnation,
       );
       this.#ranks.crash(ranks);
     });
@@ -337,8 +337,8 @@
 }
 
 function toMessages(
-  place: AttemptPlace,
-  end: RunEnd,
+  place: AttemptIdentity,
+  end: RunOutcome,
 ): readonly AttemptMessage[] {
   switch (end) {
     case "answered":
--- a/src/testing/priority_burst_world.ts
+++ b/src/testing/priority_burst_world.ts
@@ -15,7 +15,7 @@
   SendToTarget,
 } from "../entry/types.ts";
 import type { GroupSettings } from "../external/operator_settings.ts";
-import { BurstCallers, keyOf } from "./burst_callers.ts";
+import { BurstCallers, getAccessKeyHash } from "./burst_callers.ts";
 import {
   type Burst,
   DEADLINE_MS,
@@ -23,7 +23,7 @@
   KINDS,
   OBJECTIVE_MS,
   ORGANISATIONS,
-  PAUSE_MS,
+  PAUSE_OBJECTIVE_MS,
 } from "./burst_types.ts";
 import { EventQueue } from "./event_queue.ts";
 import { createDocuments, createInstance } from "./fixtures.ts";
@@ -109,7 +109,7 @@
       perSecond,
       burst,
       send: (request) => this.#send(request),
-      leave: (requestId) => this.#leave(requestId),
+      disconnect: (requestId) => this.#leave(requestId),
     });
     this.#planReport();
     for (const entry of this.#entries) this.#planTick(entry);
@@ -121,7 +121,7 @@
   /** Runs up to a virtual time. Returns the calls that have ended. */
   run(untilMs: number): readonly EndedCall[] {
     this.#events.runUntil(untilMs);
-    return this.#callers.ended;
+    return this.#callers.endedCalls;
   }
 
   /** Virtual milliseconds since the oldest unfinished call was sent. */
@@ -180,7 +180,7 @@
   #perform(entry: Entry, effect: EntryEffect): void {
     this.#options.onEffect?.(effect);
     if (effect.kind === "send") return this.#sendToRank(entry, effect);
-    this.#callers.perform(effect);
+    this.#callers.handleEffect(effect);
   }
 
   #sendToRank(entry: Entry, { targetName, message }: SendToTarget): void {
@@ -260,7 +260,7 @@
 
   #restartEntries(): void {
     for (const [index, entry] of this.#entries.entries()) {
-      this.#callers.lose([...entry.requests]);
+      this.#callers.endCalls([...entry.requests]);
       entry.requests.clear();
       entry.reducer = this.#createReducer(index);
     }
@@ -300,7 +300,7 @@
   slotsPerRank: 8,
   mostNewExperts: 2,
   loadMs: 300,
-  pauseObjectiveMs: PAUSE_MS,
+  pauseObjectiveMs: PAUSE_OBJECTIVE_MS,
   stepMs: IDLE_PASS_MS / STRIDE,
   stride: STRIDE,
 }]]);
@@ -324,7 +324,7 @@
 function createTable(isPrioritised: boolean): RoutingTable {
   const organisations = Array.from({ length: ORGANISATIONS }, (_, place) => ({
     path: `/organisations/org-${place}`,
-    text: `kind: organisation\naccessKeySha256: ["${keyOf(place)}"]`,
+    text: `kind: organisation\naccessKeySha256: ["${getAccessKeyHash(place)}"]`,
   }));
   const services = KINDS.map(({ priority }, kind) => ({
     path: `/organisations/org-0/services/kind-${kind}`,
@@ -339,7 +339,7 @@
       `defaultDeadlineMs: ${DEADLINE_MS}`,
       `longestDeadlineMs: ${DEADLINE_MS}`,
       `objectiveMs: ${OBJECTIVE_MS}`,
-      `pauseObjectiveMs: ${PAUSE_MS}`,
+      `pauseObjectiveMs: ${PAUSE_OBJECTIVE_MS}`,
       ...isPrioritised ? [`priority: ${priority}`] : [],
     ].join("\n"),
   }));
--- a/src/testing/spoken_notices.ts
+++ b/src/testing/spoken_notices.ts
@@ -6,7 +6,7 @@
  */
 import type { AttemptMessage } from "../messages/types.ts";
 import {
-  type AttemptPlace,
+  type AttemptIdentity,
   createEmptyAnswer,
   createNotice,
   createRefused,
@@ -62,7 +62,7 @@
    * callers started.
    */
   answer(
-    place: AttemptPlace,
+    place: AttemptIdentity,
     target: number,
     at: number,
   ): readonly AttemptMessage[] {
--- a/src/testing/switch_orders_world.ts
+++ b/src/testing/switch_orders_world.ts
@@ -136,9 +136,9 @@
 
   #pass(): void {
     const next = this.#engine(0).state.pass + 1;
-    if (this.#engines.some((engine) => !engine.mayBegin(next))) return;
+    if (this.#engines.some((engine) => !engine.mayBeginPass(next))) return;
     const before = this.#engine(0).active.version;
-    for (const engine of this.#engines) engine.begin(next);
+    for (const engine of this.#engines) engine.beginPass(next);
     const versions = new Set(this.#engines.map(({ active }) => active.version));
     if (versions.size > 1) this.#mixedPasses.push(next);
     if (this.#engine(0).active.version !== before) this.#switches++;
@@ -223,7 +223,7 @@
 
   #apply(rank: number, order: RankOrder): void {
     const engine = this.#engine(rank);
-    const isAccepted = engine.carryOut(engineOrderOf(order));
+    const isAccepted = engine.execute(engineOrderOf(order));
     if (!isAccepted || !("version" in order)) return;
     if (order.kind === "fence") return engine.finishLoading(order.version);
     if (order.kind !== "prepare") return;
