--- a/src/testing/back_end_runs.ts
+++ b/src/testing/back_end_runs.ts
@@ -6,7 +6,7 @@
  */
 import { Buffer } from "node:buffer";
 import type { TargetEvent } from "../target/types.ts";
-import { answerTo, type Submission } from "./submissions.ts";
+import { createAnswer, type Submission } from "./submissions.ts";
 
 const ANSWER_CHUNKS = 3;
 
@@ -70,7 +70,7 @@
 
   #progress(run: BackEndRun, now: number): TargetEvent {
     const { runId } = run;
-    const body = answerTo(run.submission);
+    const body = createAnswer(run.submission);
     const part = run.nextPart++;
     if (part === 0) return this.#createHead(runId, body.length, now);
     if (part > ANSWER_CHUNKS) {
--- a/src/testing/burst_cases.ts
+++ b/src/testing/burst_cases.ts
@@ -8,8 +8,8 @@
 import { type BurstScore, type KindScore, scoreCalls } from "./burst_score.ts";
 import { KINDS } from "./burst_types.ts";
 import {
-  type BurstWorldOptions,
-  PriorityBurstWorld,
+  type BurstSimulationOptions,
+  PriorityBurstSimulation,
 } from "./priority_burst_world.ts";
 
 /**
@@ -59,16 +59,16 @@
  * priorities.
  */
 export type BurstOptionChanges =
-  & Partial<BurstWorldOptions>
-  & Pick<BurstWorldOptions, "seed">;
+  & Partial<BurstSimulationOptions>
+  & Pick<BurstSimulationOptions, "seed">;
 
 /** Creates the simulation in which a burst is run. */
 export function createWorld(
   { perSecond, kind, factor, lastsMs: durationMs }: BurstCase,
   changes: BurstOptionChanges,
-): PriorityBurstWorld {
+): PriorityBurstSimulation {
   const until = BURST_FROM_MS + durationMs;
-  return new PriorityBurstWorld({
+  return new PriorityBurstSimulation({
     entries: 41,
     perSecond,
     burst: { kind, factor, from: BURST_FROM_MS, until },
@@ -139,7 +139,7 @@
   assert.ok(firstOnTime > firstBefore + 0.15, `most urgent: ${scores}`);
   assert.ok(
     withPriorities.benefit > without.benefit + 0.05,
-    `worth: ${scores}`,
+    `benefit: ${scores}`,
   );
   const isInOrder = first >= middle - 0.05 && middle >= last - 0.05;
   assert.ok(isInOrder, `less urgent served more often: ${scores}`);
--- a/src/testing/drain_faults.ts
+++ b/src/testing/drain_faults.ts
@@ -29,7 +29,7 @@
  *
  * @example
  * ```ts
- * hasFault(faults, { kind: "cut_off", entry: 0, now: 4000 });
+ * isFaultActive(faults, { kind: "cut_off", entry: 0, now: 4000 });
  * ```
  */
 export function isFaultActive(
--- a/src/testing/formed_group_world.ts
+++ b/src/testing/formed_group_world.ts
@@ -29,13 +29,13 @@
 const TICK_MS = 20;
 const PROPOSAL_MS = 150;
 const IDLE_PERIOD_MS = 10_000;
-const DOWN_MS = 1500;
+const RESTART_MS = 1500;
 const FREEZE_MS = 4000;
 const FIRST_FREEZE_MS = 1000;
-const LOOK_MS = 100;
+const HOLD_CHECK_INTERVAL_MS = 100;
 /** Milliseconds until an engine shows other VMs the effect of an order. */
-const REMOTE_LOOK_MS = 240;
-const ORDER_IDS_OF_SEAT = 2 ** 32;
+const REMOTE_READ_DELAY_MS = 240;
+const ORDER_IDS_PER_PROCESS = 2 ** 32;
 
 /** Results of a run. */
 export interface FormedGroupResult {
@@ -64,17 +64,17 @@
 }
 
 /** A process beside a rank that decides switches or recovers them. */
-interface Seat {
+interface DeciderProcess {
   readonly rank: number;
   decider: FormedGroupDecider | undefined;
   /** Grows with each decider, so that messages to an ended one are dropped. */
   number: number;
   /** Events that arrived while the VM was frozen. */
-  readonly kept: DeciderEvent[];
+  readonly deferredEvents: DeciderEvent[];
 }
 
-function createSeat(rank: number): Seat {
-  return { rank, decider: undefined, number: 0, kept: [] };
+function createDeciderProcess(rank: number): DeciderProcess {
+  return { rank, decider: undefined, number: 0, deferredEvents: [] };
 }
 
 /** A formed group in virtual time. */
@@ -84,11 +84,11 @@
   readonly #faults: FormedGroupFaults;
   readonly #engines: FormedGroupEngines;
   readonly #orders: FormedGroupOrders;
-  readonly #seat = createSeat(0);
-  readonly #rescueSeat = createSeat(HOLDER);
+  readonly #decider = createDeciderProcess(0);
+  readonly #recovery = createDeciderProcess(HOLDER);
   readonly #watch = new HeldPassWatch();
   /** The last report to the holder's sidecar that rank 0 is armed. */
-  #told: RankReportMessage | undefined;
+  #armedReport: RankReportMessage | undefined;
   /** Until when the VM of each rank is frozen. */
   readonly #frozenUntil = new Array<number>(RANKS).fill(0);
   readonly #holds = new HoldRecord();
@@ -96,11 +96,11 @@
   /**
    * Numbers of the freezes of the decider's VM during which the switch was undecidable.
    */
-  readonly #undecidable = new Set<number>();
+  readonly #undecidableFreezes = new Set<number>();
   /** Messages that have left the decider's VM. */
-  readonly #said: string[] = [];
-  #saidBefore: readonly string[] = [];
-  #wasArmed = false;
+  readonly #sentMessages: string[] = [];
+  #sentBeforeFreeze: readonly string[] = [];
+  #wasArmedAtFreeze = false;
   #proposals = 0;
 
   /** Creates a group; the same seed gives the same run. */
@@ -114,26 +114,26 @@
       faults,
       engines: this.#engines,
     });
-    this.#startDecider(this.#seat);
-    this.#every(PASS_MS, () => this.#pass());
-    this.#every(TICK_MS, () => {
+    this.#startDecider(this.#decider);
+    this.#repeat(PASS_MS, () => this.#runPass());
+    this.#repeat(TICK_MS, () => {
       const tick: DeciderEvent = { kind: "tick", now: this.#now };
-      this.#reduce(this.#seat, tick);
-      this.#reduce(this.#rescueSeat, tick);
+      this.#reduce(this.#decider, tick);
+      this.#reduce(this.#recovery, tick);
     });
-    this.#every(PROPOSAL_MS, () => this.#propose());
-    this.#every(LOOK_MS, () => this.#lookForHold());
-    if (faults.deciderLifeMs > 0) this.#planDeciderEnd();
+    this.#repeat(PROPOSAL_MS, () => this.#propose());
+    this.#repeat(HOLD_CHECK_INTERVAL_MS, () => this.#checkHeldPass());
+    if (faults.deciderLifeMs > 0) this.#scheduleDeciderEnd();
     if (faults.freezesEveryMs > 0) {
       // Small seeds give similar first random numbers, so the first freeze is scheduled
       // later.
-      this.#queue.after(FIRST_FREEZE_MS, () => this.#planFreeze());
+      this.#queue.after(FIRST_FREEZE_MS, () => this.#scheduleFreeze());
     }
     for (const at of faults.freezesAt) {
       this.#queue.after(at, () => this.#freeze(0));
     }
     if (faults.epochMs > 0) {
-      this.#every(faults.epochMs, () => this.#engines.formAgain());
+      this.#repeat(faults.epochMs, () => this.#engines.formAgain());
     }
   }
 
@@ -147,9 +147,9 @@
       longestHoldMs: this.#holds.longestMs,
       longestAvoidableHoldMs: this.#holds.longestAvoidableMs,
       freezes: this.#freezes,
-      undecidableFreezes: this.#undecidable.size,
-      saidBefore: this.#saidBefore,
-      wasArmed: this.#wasArmed,
+      undecidableFreezes: this.#undecidableFreezes.size,
+      saidBefore: this.#sentBeforeFreeze,
+      wasArmed: this.#wasArmedAtFreeze,
     };
   }
 
@@ -161,63 +161,64 @@
     return this.#now % IDLE_PERIOD_MS < this.#faults.idleMs;
   }
 
-  #every(milliseconds: number, run: () => void): void {
+  #repeat(milliseconds: number, run: () => void): void {
     this.#queue.after(milliseconds, () => {
       run();
-      this.#every(milliseconds, run);
+      this.#repeat(milliseconds, run);
     });
   }
 
-  #startDecider(seat: Seat): void {
-    seat.number++;
-    seat.decider = new FormedGroupDecider({
-      state: this.#engines.getState(seat.rank),
+  #startDecider(process: DeciderProcess): void {
+    process.number++;
+    process.decider = new FormedGroupDecider({
+      state: this.#engines.getState(process.rank),
       random: this.#random,
       now: this.#now,
-      firstOrderId: seat.rank * ORDER_IDS_OF_SEAT + seat.number * 2 ** 20,
+      firstOrderId: process.rank * ORDER_IDS_PER_PROCESS +
+        process.number * 2 ** 20,
     });
   }
 
-  #endDecider(seat: Seat): void {
-    seat.decider = undefined;
-    seat.number++;
-    seat.kept.splice(0);
+  #endDecider(process: DeciderProcess): void {
+    process.decider = undefined;
+    process.number++;
+    process.deferredEvents.splice(0);
   }
 
-  #planDeciderEnd(): void {
-    const life = this.#random.nextExponential(this.#faults.deciderLifeMs);
-    this.#queue.after(life, () => {
-      this.#endDecider(this.#seat);
-      this.#queue.after(DOWN_MS, () => this.#startDecider(this.#seat));
-      this.#planDeciderEnd();
+  #scheduleDeciderEnd(): void {
+    const lifetimeMs = this.#random.nextExponential(this.#faults.deciderLifeMs);
+    this.#queue.after(lifetimeMs, () => {
+      this.#endDecider(this.#decider);
+      this.#queue.after(RESTART_MS, () => this.#startDecider(this.#decider));
+      this.#scheduleDeciderEnd();
     });
   }
 
-  #pass(): void {
+  #runPass(): void {
     // A hold during a time without requests delays nobody.
     if (this.#isIdle || this.#engines.tryBeginPass()) return this.#holds.end();
-    this.#countHold();
+    this.#recordHold();
   }
 
-  #countHold(): void {
-    const isStuck = isUndecidable({
+  #recordHold(): void {
+    const isBlocked = isUndecidable({
       isDeciderFrozen: this.#isFrozen(0),
       holder: this.#engines.getState(HOLDER),
-      told: this.#told?.state,
+      lastArmedState: this.#armedReport?.state,
     });
-    if (isStuck) this.#undecidable.add(this.#freezes);
+    if (isBlocked) this.#undecidableFreezes.add(this.#freezes);
     this.#holds.observe({
       now: this.#now,
-      lookMs: PASS_MS,
-      isUndecidable: isStuck,
+      intervalMs: PASS_MS,
+      isUndecidable: isBlocked,
     });
   }
 
-  #planFreeze(): void {
-    const { freezesEveryMs } = this.#faults;
-    this.#queue.after(this.#random.nextExponential(freezesEveryMs), () => {
+  #scheduleFreeze(): void {
+    const { freezesEveryMs: freezeIntervalMs } = this.#faults;
+    this.#queue.after(this.#random.nextExponential(freezeIntervalMs), () => {
       this.#freeze(0);
-      this.#planFreeze();
+      this.#scheduleFreeze();
     });
   }
 
@@ -228,24 +229,35 @@
       }],
     };
     this.#proposals++;
-    this.#reduce(this.#seat, { kind: "map_proposed", now: this.#now, map });
+    this.#reduce(this.#decider, { kind: "map_proposed", now: this.#now, map });
   }
 
   /** Checks, as the holder's sidecar, whether the group waits for a held pass. */
-  #lookForHold(): void {
+  #checkHeldPass(): void {
     if (this.#isFrozen(HOLDER)) return;
-    const seat = this.#rescueSeat;
+    const process = this.#recovery;
     const state = this.#engines.getState(HOLDER);
     const awaitedMs = this.#watch.observe(state, this.#now);
-    if (state.heldPass === undefined) return this.#endDecider(seat);
+    if (state.heldPass === undefined) return this.#endDecider(process);
     if (awaitedMs === undefined) return;
-    if (seat.decider === undefined) this.#startDecider(seat);
-    this.#take(seat, HOLDER, { kind: "rank_report", state });
-    if (this.#told !== undefined) this.#take(seat, 0, this.#told);
+    if (process.decider === undefined) this.#startDecider(process);
+    this.#receive(process, HOLDER, { kind: "rank_report", state });
+    if (this.#armedReport !== undefined) {
+      this.#receive(process, 0, this.#armedReport);
+    }
   }
 
-  #take(seat: Seat, rank: number, report: RankReportMessage): void {
-    this.#reduce(seat, { kind: "rank_reported", now: this.#now, rank, report });
+  #receive(
+    process: DeciderProcess,
+    rank: number,
+    report: RankReportMessage,
+  ): void {
+    this.#reduce(process, {
+      kind: "rank_reported",
+      now: this.#now,
+      rank,
+      report,
+    });
   }
 
   #isFrozen(rank: number): boolean {
@@ -253,62 +265,65 @@
   }
 
   #freeze(rank: number): void {
-    if (rank === 0) this.#noteFreeze();
+    if (rank === 0) this.#recordFreeze();
     this.#frozenUntil[rank] = this.#now + FREEZE_MS;
   }
 
-  #noteFreeze(): void {
+  #recordFreeze(): void {
     this.#freezes++;
     if (this.#freezes > 1) return;
-    this.#saidBefore = [...this.#said];
-    this.#wasArmed = this.#engines.getState(0).armed !== undefined;
+    this.#sentBeforeFreeze = [...this.#sentMessages];
+    this.#wasArmedAtFreeze = this.#engines.getState(0).armed !== undefined;
   }
 
-  #reduce(seat: Seat, event: DeciderEvent): void {
-    if (this.#isFrozen(seat.rank)) {
-      if (event.kind === "rank_reported") seat.kept.push(event);
+  #reduce(process: DeciderProcess, event: DeciderEvent): void {
+    if (this.#isFrozen(process.rank)) {
+      if (event.kind === "rank_reported") process.deferredEvents.push(event);
       return;
     }
-    for (const kept of seat.kept.splice(0)) this.#reduce(seat, kept);
-    for (const effect of seat.decider?.reduce(event) ?? []) {
-      this.#perform(seat, effect);
+    for (const deferredEvent of process.deferredEvents.splice(0)) {
+      this.#reduce(process, deferredEvent);
+    }
+    for (const effect of process.decider?.reduce(event) ?? []) {
+      this.#perform(process, effect);
     }
   }
 
-  #perform(seat: Seat, effect: DeciderEffect): void {
-    if (this.#isFrozen(seat.rank)) return;
-    if (effect.kind === "send_query") return this.#ask(seat, effect.rank);
+  #perform(process: DeciderProcess, effect: DeciderEffect): void {
+    if (this.#isFrozen(process.rank)) return;
+    if (effect.kind === "send_query") return this.#query(process, effect.rank);
     if (effect.kind !== "send_order") return;
     const { rank, orderId, order, isRepeated } = effect;
     // Messages to the rank's own engine do not leave the VM.
-    if (seat === this.#seat && rank !== 0) {
-      this.#said.push(`${this.#now} ${order.kind} ${rank}`);
+    if (process === this.#decider && rank !== 0) {
+      this.#sentMessages.push(`${this.#now} ${order.kind} ${rank}`);
     }
-    if (seat === this.#seat) this.#drawFreeze(effect);
+    if (process === this.#decider) this.#freezeAtRandom(effect);
     if (isRepeated && order.kind !== "prepare") {
-      this.#giveRemotely(seat, effect);
+      this.#sendDirectly(process, effect);
     }
     this.#deliver(
-      seat,
+      process,
       rank,
-      () => this.#carryOut(seat, rank, { kind: "rank_order", orderId, order }),
+      () =>
+        this.#execute(process, rank, { kind: "rank_order", orderId, order }),
     );
   }
 
   /**
    * Queries a rank. The holder's sidecar needs no queries, as it reads its own engine.
    */
-  #ask(seat: Seat, rank: number): void {
-    if (seat === this.#rescueSeat) return;
-    this.#deliver(seat, rank, () =>
-      this.#report(seat, rank, {
+  #query(process: DeciderProcess, rank: number): void {
+    if (process === this.#recovery) return;
+    this.#deliver(process, rank, () =>
+      this.#report(process, rank, {
         kind: "rank_report",
         state: this.#engines.getState(rank),
         experts: [[rank]],
       }));
   }
 
-  #drawFreeze({ order }: SendOrder): void {
+  #freezeAtRandom({ order }: SendOrder): void {
     const { deciderFreezes, freezesAfterHoldsOnly } = this.#faults;
     const isStruck = !freezesAfterHoldsOnly || order.kind === "hold";
     if (isStruck && this.#random.nextFraction() < deciderFreezes) {
@@ -320,19 +335,27 @@
    * Sends an order directly to the engine because the rank's sidecar does not answer. The
    * engine of a frozen VM cannot be reached.
    */
-  #giveRemotely(seat: Seat, { rank, orderId, order }: SendOrder): void {
+  #sendDirectly(
+    process: DeciderProcess,
+    { rank, orderId, order }: SendOrder,
+  ): void {
     if (this.#isFrozen(rank)) return;
     const message: RankOrderMessage = { kind: "rank_order", orderId, order };
-    const draw = this.#random.nextFraction();
-    if (draw < this.#faults.lateOrders) {
+    const fraction = this.#random.nextFraction();
+    if (fraction < this.#faults.lateOrders) {
       this.#engines.executeLate(rank, message);
     } else {
       this.#engines.execute(rank, message);
     }
-    this.#queue.after(REMOTE_LOOK_MS, () => {
+    this.#queue.after(REMOTE_READ_DELAY_MS, () => {
       const state = this.#engines.getState(rank);
       const isDone = isCarriedOut(order, state);
-      this.#report(seat, rank, { kind: "rank_report", state, orderId, isDone });
+      this.#report(process, rank, {
+        kind: "rank_report",
+        state,
+        orderId,
+        isDone,
+      });
     });
   }
 
@@ -340,45 +363,53 @@
    * Delivers a message after some milliseconds, when the VM is not frozen, unless it is
    * lost.
    */
-  #deliver(seat: Seat, rank: number, run: () => void): void {
-    const { number } = seat;
+  #deliver(process: DeciderProcess, rank: number, run: () => void): void {
+    const { number } = process;
     const { lostMessages, rankFreezes } = this.#faults;
     if (this.#random.nextFraction() < lostMessages) return;
     this.#queue.after(1 + this.#random.nextBelow(12), () => {
       const frozenMs = (this.#frozenUntil[rank] as number) - this.#now;
       const isStruck = this.#random.nextFraction() < rankFreezes;
       this.#queue.after(Math.max(0, frozenMs), () => {
-        if (number === seat.number) run();
+        if (number === process.number) run();
         if (isStruck) this.#freeze(rank);
       });
     });
   }
 
-  #carryOut(seat: Seat, rank: number, message: RankOrderMessage): void {
+  #execute(
+    process: DeciderProcess,
+    rank: number,
+    message: RankOrderMessage,
+  ): void {
     this.#orders.execute(
-      (report) => this.#report(seat, rank, report),
+      (report) => this.#report(process, rank, report),
       rank,
       message,
     );
   }
 
-  #report(seat: Seat, rank: number, report: RankReportMessage): void {
-    const { number } = seat;
+  #report(
+    process: DeciderProcess,
+    rank: number,
+    report: RankReportMessage,
+  ): void {
+    const { number } = process;
     if (this.#random.nextFraction() < this.#faults.lostMessages) return;
     this.#queue.after(1 + this.#random.nextBelow(12), () => {
-      if (number !== seat.number) return;
-      this.#take(seat, rank, report);
-      if (seat === this.#seat && rank === 0) this.#tellHolder(report);
+      if (number !== process.number) return;
+      this.#receive(process, rank, report);
+      if (process === this.#decider && rank === 0) this.#reportToHolder(report);
     });
   }
 
-  #tellHolder(report: RankReportMessage): void {
+  #reportToHolder(report: RankReportMessage): void {
     const { state, orderId } = report;
     if (this.#isFrozen(0) || orderId === undefined) return;
     if (state.armed === undefined) return;
-    this.#said.push(`${this.#now} armed ${state.armed.pass}`);
-    this.#deliver(this.#seat, HOLDER, () => {
-      this.#told = report;
+    this.#sentMessages.push(`${this.#now} armed ${state.armed.pass}`);
+    this.#deliver(this.#decider, HOLDER, () => {
+      this.#armedReport = report;
     });
   }
 }
--- a/src/testing/free_address.ts
+++ b/src/testing/free_address.ts
@@ -37,7 +37,7 @@
 /** Returns an address that no other caller receives. */
 export async function findFreeAddress(): Promise<string> {
   while (true) {
-    currentBlock ??= holdBlock();
+    currentBlock ??= reserveBlock();
     const block = await currentBlock;
     const port = block.tryNextPort();
     if (port === undefined) {
@@ -52,13 +52,13 @@
   }
 }
 
-async function holdBlock(): Promise<PortBlock> {
+async function reserveBlock(): Promise<PortBlock> {
   for (let number = 0; number < BLOCKS; number++) {
     const block = (process.pid + number) % BLOCKS;
     const first = FIRST_PORT + block * BLOCK_PORTS;
-    const holder = await tryListen(first);
-    if (holder === undefined) continue;
-    holder.unref();
+    const server = await tryListen(first);
+    if (server === undefined) continue;
+    server.unref();
     return new PortBlock(first);
   }
   throw new Error("No block of ports is free");
--- a/src/testing/group_world.ts
+++ b/src/testing/group_world.ts
@@ -40,18 +40,18 @@
   readonly choice: number;
 }
 
-interface ToMember {
+interface MessageToMember {
   readonly from: number;
   readonly message: CoordinatorMessage;
 }
 
-interface ToCoordinator {
+interface MessageToCoordinator {
   readonly coordinator: number;
   readonly rank: number;
   readonly message: MemberMessage;
 }
 
-interface GivenOrder {
+interface CurrentOrder {
   readonly order: EngineOrder;
   readonly fencingNumber: number;
 }
@@ -59,8 +59,8 @@
 class Rank {
   member = new GroupMember();
   engine: FakeEngine;
-  inbox: ToMember[] = [];
-  given: GivenOrder | undefined;
+  inbox: MessageToMember[] = [];
+  currentOrder: CurrentOrder | undefined;
   isCut = false;
 
   constructor(checksFencing: boolean) {
@@ -69,7 +69,7 @@
 }
 
 /** Options of a {@link GroupWorld}. */
-export interface WorldOptions {
+export interface GroupSimulationOptions {
   readonly checksFencing: boolean;
 }
 
@@ -81,13 +81,13 @@
   committed = 0;
   #coordinator!: GroupCoordinator;
   #coordinatorId = 0;
-  #outbox: ToCoordinator[] = [];
+  #outbox: MessageToCoordinator[] = [];
   #now = 0;
-  #maps = 0;
-  #replaced = 0;
-  readonly #options: WorldOptions;
+  #proposedMaps = 0;
+  #replacedRanks = 0;
+  readonly #options: GroupSimulationOptions;
 
-  constructor(options: WorldOptions) {
+  constructor(options: GroupSimulationOptions) {
     this.#options = options;
     for (let rank = 0; rank < RANKS; rank++) {
       this.ranks.push(new Rank(options.checksFencing));
@@ -108,7 +108,7 @@
       case "step":
         return this.#step(rank);
       case "tick":
-        return this.#tick(action.choice);
+        return this.#advance(action.choice);
       case "propose":
         return this.#propose();
       case "restart_member":
@@ -116,12 +116,12 @@
       case "replace_rank":
         return this.#replaceRank(rank);
       case "flow":
-        return this.#flow(action.choice);
+        return this.#advanceAll(action.choice);
       case "cut":
-        this.#rank(rank).isCut = true;
+        this.#getRank(rank).isCut = true;
         return;
       case "join":
-        return this.#join(rank);
+        return this.#reconnect(rank);
     }
   }
 
@@ -130,14 +130,18 @@
    * switch is open.
    */
   heal(): void {
-    for (let rank = 0; rank < RANKS; rank++) this.#join(rank);
-    const wanted = this.versionByStep.size + STEPS_AFTER_HEALING;
+    for (let rank = 0; rank < RANKS; rank++) this.#reconnect(rank);
+    const wantedSteps = this.versionByStep.size + STEPS_AFTER_HEALING;
     for (let round = 0; round < HEALING_ROUNDS; round++) {
-      if (this.isIdle && this.versionByStep.size >= wanted) return;
-      this.#tick(100);
+      if (this.isIdle && this.versionByStep.size >= wantedSteps) return;
+      this.#advance(100);
       for (let rank = 0; rank < RANKS; rank++) {
-        while (this.#rank(rank).inbox.length > 0) this.#deliverToMember(rank);
-        while (this.#rank(rank).given !== undefined) this.#answerOrder(rank);
+        while (this.#getRank(rank).inbox.length > 0) {
+          this.#deliverToMember(rank);
+        }
+        while (this.#getRank(rank).currentOrder !== undefined) {
+          this.#answerOrder(rank);
+        }
       }
       while (this.#outbox.length > 0) this.#deliverToCoordinator(0);
       for (let rank = 0; rank < RANKS; rank++) this.#step(rank);
@@ -145,14 +149,16 @@
   }
 
   get lowestStep(): number {
-    return Math.min(...this.ranks.map((one) => one.engine.state.step));
+    return Math.min(
+      ...this.ranks.map((rankState) => rankState.engine.state.step),
+    );
   }
 
   get isIdle(): boolean {
     return this.#coordinator.isIdle;
   }
 
-  #rank(rank: number): Rank {
+  #getRank(rank: number): Rank {
     return this.ranks[rank] as Rank;
   }
 
@@ -164,23 +170,23 @@
       firstMap: createMap(0),
       // The same epoch after a restart, as from a clock that does not advance over
       // restarts.
-      firstEpoch: 1 + this.#replaced,
+      firstEpoch: 1 + this.#replacedRanks,
       marginSteps: 1,
     });
   }
 
   #startMember(rank: number): void {
-    const one = this.#rank(rank);
-    one.member = new GroupMember();
-    one.given = undefined;
-    one.inbox = [];
+    const rankState = this.#getRank(rank);
+    rankState.member = new GroupMember();
+    rankState.currentOrder = undefined;
+    rankState.inbox = [];
     this.#outbox = this.#outbox.filter((message) => message.rank !== rank);
     this.#perform(
       rank,
-      one.member.reduce({
+      rankState.member.reduce({
         kind: "engine_said",
         now: this.#now,
-        engine: one.engine.state,
+        engine: rankState.engine.state,
       }),
     );
     this.#connect(rank);
@@ -195,11 +201,11 @@
   }
 
   #deliverToMember(rank: number): void {
-    const one = this.#rank(rank);
-    if (one.isCut) return;
-    const next = one.inbox.shift();
+    const rankState = this.#getRank(rank);
+    if (rankState.isCut) return;
+    const next = rankState.inbox.shift();
     if (next === undefined) return;
-    const effects = one.member.reduce({
+    const effects = rankState.member.reduce({
       kind: "coordinator_said",
       now: this.#now,
       message: next.message,
@@ -209,7 +215,7 @@
 
   #deliverToCoordinator(choice: number): void {
     const open = this.#outbox.filter((message) =>
-      !this.#rank(message.rank).isCut
+      !this.#getRank(message.rank).isCut
     );
     const next = open[choice % Math.max(1, open.length)];
     if (next === undefined) return;
@@ -225,18 +231,18 @@
   }
 
   #answerOrder(rank: number): void {
-    const one = this.#rank(rank);
-    const { given } = one;
-    if (given === undefined) return;
-    one.given = undefined;
-    one.engine.carryOut(given.order, given.fencingNumber);
+    const rankState = this.#getRank(rank);
+    const { currentOrder } = rankState;
+    if (currentOrder === undefined) return;
+    rankState.currentOrder = undefined;
+    rankState.engine.carryOut(currentOrder.order, currentOrder.fencingNumber);
     this.#perform(
       rank,
-      one.member.reduce({
+      rankState.member.reduce({
         kind: "engine_said",
         now: this.#now,
-        engine: one.engine.state,
-        order: given.order,
+        engine: rankState.engine.state,
+        order: currentOrder.order,
       }),
     );
   }
@@ -246,27 +252,27 @@
    * one.
    */
   #step(rank: number): void {
-    const { engine } = this.#rank(rank);
+    const { engine } = this.#getRank(rank);
     const { incarnation, step } = engine.state;
-    const isTogether = incarnation > 0 &&
-      this.ranks.every((one) =>
-        one.engine.state.incarnation === incarnation &&
-        one.engine.state.step >= step
+    const isInStep = incarnation > 0 &&
+      this.ranks.every((rankState) =>
+        rankState.engine.state.incarnation === incarnation &&
+        rankState.engine.state.step >= step
       );
     const map = engine.tryMapOfNextStep();
-    if (!isTogether || map === undefined) return;
+    if (!isInStep || map === undefined) return;
     const key = `${incarnation}/${step}`;
-    const seen = this.versionByStep.get(key) ?? map.version;
-    assert.equal(map.version, seen, `Two maps in step ${key}`);
+    const recordedVersion = this.versionByStep.get(key) ?? map.version;
+    assert.equal(map.version, recordedVersion, `Two maps in step ${key}`);
     this.versionByStep.set(key, map.version);
     const text = JSON.stringify(map.map);
-    const known = this.mapByVersion.get(map.version) ?? text;
-    assert.equal(text, known, `Two maps under version ${map.version}`);
+    const recordedMap = this.mapByVersion.get(map.version) ?? text;
+    assert.equal(text, recordedMap, `Two maps under version ${map.version}`);
     this.mapByVersion.set(map.version, text);
     engine.runStep();
     this.#perform(
       rank,
-      this.#rank(rank).member.reduce({
+      this.#getRank(rank).member.reduce({
         kind: "engine_said",
         now: this.#now,
         engine: engine.state,
@@ -274,23 +280,23 @@
     );
   }
 
-  #tick(milliseconds: number): void {
+  #advance(milliseconds: number): void {
     this.#now += milliseconds;
     this.#performCoordinator(
       this.#coordinator.reduce({ kind: "tick", now: this.#now }),
     );
     for (let rank = 0; rank < RANKS; rank++) {
-      const { member } = this.#rank(rank);
+      const { member } = this.#getRank(rank);
       this.#perform(rank, member.reduce({ kind: "tick", now: this.#now }));
     }
   }
 
   #propose(): void {
-    this.#maps++;
+    this.#proposedMaps++;
     this.#performCoordinator(this.#coordinator.reduce({
       kind: "map_proposed",
       now: this.#now,
-      map: createMap(this.#maps),
+      map: createMap(this.#proposedMaps),
     }));
   }
 
@@ -299,9 +305,12 @@
    * or never.
    */
   #restartMember(rank: number, choice: number): void {
-    const one = this.#rank(rank);
-    if (one.given !== undefined && choice % 2 === 0) {
-      one.engine.carryOut(one.given.order, one.given.fencingNumber);
+    const rankState = this.#getRank(rank);
+    if (rankState.currentOrder !== undefined && choice % 2 === 0) {
+      rankState.engine.carryOut(
+        rankState.currentOrder.order,
+        rankState.currentOrder.fencingNumber,
+      );
     }
     if (rank === 0) this.#startCoordinator();
     this.#startMember(rank);
@@ -314,18 +323,18 @@
   }
 
   #replaceRank(rank: number): void {
-    this.#replaced++;
-    this.#rank(rank).engine = new FakeEngine(this.#options.checksFencing);
+    this.#replacedRanks++;
+    this.#getRank(rank).engine = new FakeEngine(this.#options.checksFencing);
     if (rank === 0) this.#startCoordinator();
     this.#startMember(rank);
     if (rank === 0) this.#reconnectAll();
   }
 
   /** Advances every undelivered message and step by one, except for one rank. */
-  #flow(choice: number): void {
-    const left = choice % (RANKS + 1);
+  #advanceAll(choice: number): void {
+    const skippedRank = choice % (RANKS + 1);
     for (let rank = 0; rank < RANKS; rank++) {
-      if (rank === left) continue;
+      if (rank === skippedRank) continue;
       this.#deliverToMember(rank);
       this.#answerOrder(rank);
       this.#step(rank);
@@ -333,10 +342,10 @@
     for (let rank = 0; rank < RANKS; rank++) this.#deliverToCoordinator(rank);
   }
 
-  #join(rank: number): void {
-    const one = this.#rank(rank);
-    if (!one.isCut) return;
-    one.isCut = false;
+  #reconnect(rank: number): void {
+    const rankState = this.#getRank(rank);
+    if (!rankState.isCut) return;
+    rankState.isCut = false;
     this.#connect(rank);
   }
 
@@ -346,7 +355,7 @@
     coordinator = this.#coordinatorId,
   ): void {
     for (const effect of effects) {
-      if (effect.kind === "order") this.#rank(rank).given = effect;
+      if (effect.kind === "order") this.#getRank(rank).currentOrder = effect;
       else {
         this.#outbox.push({ coordinator, rank, message: effect.message });
       }
@@ -358,7 +367,7 @@
   ): void {
     for (const effect of effects) {
       if (effect.kind === "say") {
-        this.#rank(effect.rank).inbox.push({
+        this.#getRank(effect.rank).inbox.push({
           from: this.#coordinatorId,
           message: effect.message,
         });
--- a/src/testing/hold_record.ts
+++ b/src/testing/hold_record.ts
@@ -7,12 +7,12 @@
 import type { RankState } from "../messages/formed_group_types.ts";
 
 /** An observation of a group that waits for a held pass. */
-export interface HoldLook {
+export interface HoldObservation {
   readonly now: number;
   /**
    * Milliseconds since the previous observation, counted as time that the group waited.
    */
-  readonly lookMs: number;
+  readonly intervalMs: number;
   /** Whether no process could know at that time how to end the hold. */
   readonly isUndecidable: boolean;
 }
@@ -23,12 +23,12 @@
   readonly isDeciderFrozen: boolean;
   readonly holder: RankState;
   /** The last report that the decider's own rank is armed. */
-  readonly told: RankState | undefined;
+  readonly lastArmedState: RankState | undefined;
 }
 
 /** The times for which passes were held. */
 export class HoldRecord {
-  #since: number | undefined;
+  #heldSince: number | undefined;
   #avoidableMs = 0;
   #longestMs = 0;
   #longestAvoidableMs = 0;
@@ -44,11 +44,11 @@
   }
 
   /** Records that the group waits for a held pass. */
-  observe({ now, lookMs, isUndecidable }: HoldLook): void {
-    this.#since ??= now;
-    this.#longestMs = Math.max(this.#longestMs, now - this.#since);
+  observe({ now, intervalMs, isUndecidable }: HoldObservation): void {
+    this.#heldSince ??= now;
+    this.#longestMs = Math.max(this.#longestMs, now - this.#heldSince);
     if (isUndecidable) return;
-    this.#avoidableMs += lookMs;
+    this.#avoidableMs += intervalMs;
     this.#longestAvoidableMs = Math.max(
       this.#longestAvoidableMs,
       this.#avoidableMs,
@@ -57,7 +57,7 @@
 
   /** Records that the group no longer waits. */
   end(): void {
-    this.#since = undefined;
+    this.#heldSince = undefined;
     this.#avoidableMs = 0;
   }
 }
@@ -69,14 +69,15 @@
  *
  * @example
  * ```ts
- * record.observe({ now, lookMs, isUndecidable: isUndecidable(view) });
+ * record.observe({ now, intervalMs, isUndecidable: isUndecidable(view) });
  * ```
  */
 export function isUndecidable(
-  { isDeciderFrozen, holder, told }: HeldSwitchView,
+  { isDeciderFrozen, holder, lastArmedState }: HeldSwitchView,
 ): boolean {
   const { heldPass, armed, epoch } = holder;
   const isDecided = heldPass !== undefined && armed?.pass === heldPass;
-  const isKnown = told?.epoch === epoch && told.armed?.pass === heldPass;
+  const isKnown = lastArmedState?.epoch === epoch &&
+    lastArmedState.armed?.pass === heldPass;
   return isDeciderFrozen && isDecided && !isKnown;
 }
--- a/src/testing/joint_pass_group.ts
+++ b/src/testing/joint_pass_group.ts
@@ -19,29 +19,35 @@
  * While the map does not match the popularity of experts, requests cost more by a random
  * factor.
  */
-const JUMP = { least: 1.3, most: 2, lastsMs: 800, leastMs: 2500, mostMs: 4000 };
+const COST_JUMP = {
+  minFactor: 1.3,
+  maxFactor: 2,
+  durationMs: 800,
+  minIntervalMs: 2500,
+  maxIntervalMs: 4000,
+};
 /** Weight of the newest pass in the reported mean. */
 const PASS_SMOOTHING = 0.3;
 
 /** One attempt at a rank. */
-export interface RankWork {
+export interface RankAttempt {
   /** Identifies the attempt. */
   readonly key: string;
   /** Lower numbers run first. */
   readonly priority: number;
   /** Chunks of the answer; each pass produces one. */
-  readonly pieces: number;
-  readonly onPiece: (isLast: boolean) => void;
+  readonly chunks: number;
+  readonly onChunk: (isLast: boolean) => void;
 }
 
-interface RunningWork {
-  readonly work: RankWork;
-  piecesLeft: number;
+interface RunningAttempt {
+  readonly attempt: RankAttempt;
+  remainingChunks: number;
 }
 
 interface Rank {
-  running: RunningWork[];
-  queued: RankWork[];
+  running: RunningAttempt[];
+  queued: RankAttempt[];
 }
 
 /** What the group's decider knows at a time. */
@@ -51,7 +57,7 @@
 }
 
 /** Returns the host and port of a rank's engine. */
-export function addressOf(rank: number): string {
+export function getEngineAddress(rank: number): string {
   return `rank-${rank}:80`;
 }
 
@@ -70,21 +76,25 @@
   constructor(events: EventQueue, random: RandomSource) {
     this.#events = events;
     this.#random = random;
-    this.#planJump();
+    this.#scheduleJump();
     this.#runPass();
   }
 
   /** Queues an attempt at a rank; it runs from the next pass that has a free slot. */
-  submit(rank: number, work: RankWork): void {
-    this.#ranks[rank]?.queued.push(work);
+  submit(rank: number, attempt: RankAttempt): void {
+    this.#ranks[rank]?.queued.push(attempt);
   }
 
   /** Removes an attempt that its caller no longer waits for. */
   cancel(rank: number, key: string): void {
-    const place = this.#ranks[rank];
-    if (place === undefined) return;
-    place.running = place.running.filter(({ work }) => work.key !== key);
-    place.queued = place.queued.filter((work) => work.key !== key);
+    const rankState = this.#ranks[rank];
+    if (rankState === undefined) return;
+    rankState.running = rankState.running.filter(({ attempt }) =>
+      attempt.key !== key
+    );
+    rankState.queued = rankState.queued.filter((attempt) =>
+      attempt.key !== key
+    );
   }
 
   /** Returns the current load of all ranks. */
@@ -92,7 +102,7 @@
     return {
       passMs: this.#passMs,
       loads: this.#ranks.map(({ running, queued }, rank) => ({
-        engineAddress: addressOf(rank),
+        engineAddress: getEngineAddress(rank),
         running: running.length,
         queued: queued.length,
         pace: 1,
@@ -100,16 +110,20 @@
     };
   }
 
-  #planJump(): void {
-    const { least, most, lastsMs, leastMs, mostMs } = JUMP;
-    const spread = () => this.#random.nextFraction();
-    this.#events.after(leastMs + spread() * (mostMs - leastMs), () => {
-      this.#costFactor = least + spread() * (most - least);
-      this.#events.after(lastsMs, () => {
-        this.#costFactor = 1;
-      });
-      this.#planJump();
-    });
+  #scheduleJump(): void {
+    const { minFactor, maxFactor, durationMs, minIntervalMs, maxIntervalMs } =
+      COST_JUMP;
+    const nextFraction = () => this.#random.nextFraction();
+    this.#events.after(
+      minIntervalMs + nextFraction() * (maxIntervalMs - minIntervalMs),
+      () => {
+        this.#costFactor = minFactor + nextFraction() * (maxFactor - minFactor);
+        this.#events.after(durationMs, () => {
+          this.#costFactor = 1;
+        });
+        this.#scheduleJump();
+      },
+    );
   }
 
   #runPass(): void {
@@ -130,15 +144,17 @@
 function fillSlots({ running, queued }: Rank): void {
   queued.sort((left, right) => left.priority - right.priority);
   while (running.length < SLOTS_PER_RANK) {
-    const work = queued.shift();
-    if (work === undefined) return;
-    running.push({ work, piecesLeft: work.pieces });
+    const attempt = queued.shift();
+    if (attempt === undefined) return;
+    running.push({ attempt, remainingChunks: attempt.chunks });
   }
 }
 
 function endPass(rank: Rank): void {
-  const ran = rank.running;
-  for (const row of ran) row.piecesLeft--;
-  rank.running = ran.filter(({ piecesLeft }) => piecesLeft > 0);
-  for (const { work, piecesLeft } of ran) work.onPiece(piecesLeft === 0);
+  const running = rank.running;
+  for (const row of running) row.remainingChunks--;
+  rank.running = running.filter(({ remainingChunks }) => remainingChunks > 0);
+  for (const { attempt, remainingChunks } of running) {
+    attempt.onChunk(remainingChunks === 0);
+  }
 }
--- a/src/testing/limited_entries.ts
+++ b/src/testing/limited_entries.ts
@@ -11,18 +11,18 @@
 import { ASK_LIMIT_MS, type PermitQuestion } from "../policy/send_permits.ts";
 import { type ColdPlan, ColdTargets } from "./cold_targets.ts";
 import { EventQueue } from "./event_queue.ts";
-import { type NoticePlan, SpokenNotices } from "./spoken_notices.ts";
+import { type NoticePlan, PlannedNotices } from "./spoken_notices.ts";
 import { createCallerRequest, createRoutes } from "./fixtures.ts";
 
 /** Delay of a message between entries in milliseconds: minimum and random addition. */
-const MESSAGE_MS = { least: 2, spread: 30 } as const;
+const MESSAGE_DELAY_MS = { min: 2, spread: 30 } as const;
 /** Milliseconds within which an entry learns that another entry was added or removed. */
-const LISTED_WITHIN_MS = 2000;
+const MAX_LISTING_DELAY_MS = 2000;
 /** Mean milliseconds from a request to the head of its answer. */
-const WORK_MS = 250;
+const MEAN_RUN_MS = 250;
 const TICK_MS = 50;
 /** Milliseconds between two lists of the targets. */
-const LIST_MS = 1000;
+const LIST_INTERVAL_MS = 1000;
 /** Milliseconds before callers start. */
 const START_MS = 6000;
 
@@ -94,20 +94,20 @@
   readonly #queue = new EventQueue();
   readonly #random: RandomSource;
   readonly #entries: readonly EntryState[];
-  readonly #notices: SpokenNotices;
+  readonly #notices: PlannedNotices;
   readonly #targets: ColdTargets;
   readonly #startedAt = new Map<number, number>();
   readonly #arrivals: Arrival[] = [];
   readonly #refusals: Refusal[] = [];
   #requests = 0;
-  #questions = 0;
-  #told = 0;
+  #permitRequests = 0;
+  #sentUpdates = 0;
 
   /** Creates entries that know each other and have no requests. */
   constructor(options: LimitedEntriesOptions) {
     this.#options = options;
     this.#random = new RandomSource(options.seed);
-    this.#notices = new SpokenNotices(options);
+    this.#notices = new PlannedNotices(options);
     this.#targets = new ColdTargets({
       count: options.targets,
       plan: options.cold,
@@ -130,21 +130,21 @@
    * ```
    */
   run(milliseconds: number): LimitedEntriesResult {
-    for (const entry of this.#entries) this.#introduce(entry);
-    this.#planTick();
+    for (const entry of this.#entries) this.#listEntries(entry);
+    this.#scheduleTick();
     for (const entry of this.#options.cold ? this.#entries : []) {
-      this.#planList(entry, this.#random.nextBelow(LIST_MS));
+      this.#scheduleList(entry, this.#random.nextBelow(LIST_INTERVAL_MS));
     }
-    for (const trouble of this.#options.troubles) this.#planTrouble(trouble);
+    for (const fault of this.#options.troubles) this.#scheduleFault(fault);
     const end = START_MS + milliseconds;
-    this.#queue.after(START_MS, () => this.#planCaller(end));
+    this.#queue.after(START_MS, () => this.#scheduleRequest(end));
     this.#queue.runUntil(end);
     return {
       requests: this.#requests,
       arrivals: this.#arrivals,
       refusals: this.#refusals,
-      questions: this.#questions,
-      told: this.#told,
+      questions: this.#permitRequests,
+      told: this.#sentUpdates,
     };
   }
 
@@ -152,7 +152,7 @@
     const { seed } = this.#options;
     const reducer = new EntryReducer({
       failureDomain: "a",
-      entryName: nameOf(number),
+      entryName: getEntryName(number),
       random: new RandomSource(seed * 10_000 + number),
     });
     const service = ["defaultDeadlineMs: 8000", "objectiveMs: 400"];
@@ -168,55 +168,56 @@
    * Schedules lists of the targets. The store also answers entries that are cut off from
    * others.
    */
-  #planList(entry: EntryState, afterMs: number): void {
+  #scheduleList(entry: EntryState, afterMs: number): void {
     this.#queue.after(afterMs, () => {
       this.#reduce(entry, this.#targets.list(entry.number, this.#queue.now));
-      this.#planList(entry, LIST_MS);
+      this.#scheduleList(entry, LIST_INTERVAL_MS);
     });
   }
 
-  #introduce(entry: EntryState): void {
+  #listEntries(entry: EntryState): void {
     const entries = this.#entries
       .filter(({ isDown }) => !isDown)
-      .map(({ number }) => nameOf(number));
+      .map(({ number }) => getEntryName(number));
     const { now } = this.#queue;
     this.#reduce(entry, { kind: "entries_listed", entries, now });
   }
 
   /** Each entry learns of the new list after a random delay. */
-  #listChanged(): void {
+  #onEntriesChanged(): void {
     for (const entry of this.#entries) {
       this.#queue.after(
-        this.#random.nextBelow(LISTED_WITHIN_MS),
-        () => this.#introduce(entry),
+        this.#random.nextBelow(MAX_LISTING_DELAY_MS),
+        () => this.#listEntries(entry),
       );
     }
   }
 
-  #planTick(): void {
+  #scheduleTick(): void {
     this.#queue.after(TICK_MS, () => {
       const { now } = this.#queue;
       const busy = this.#entries.filter(({ reducer }) => reducer.inFlight > 0);
       for (const entry of busy) this.#reduce(entry, { kind: "tick", now });
-      this.#planTick();
+      this.#scheduleTick();
     });
   }
 
-  #planTrouble({ at, forMs, kind, entry }: EntryTrouble): void {
+  #scheduleFault({ at, forMs, kind, entry }: EntryTrouble): void {
     this.#queue.after(START_MS + at, () => {
-      const concerned = this.#entries[entry ?? this.#findGiver()] as EntryState;
-      concerned.isDown = kind !== "cut";
-      concerned.isCut = kind === "cut";
-      if (kind === "leave") this.#listChanged();
+      const affected = this
+        .#entries[entry ?? this.#findPrimaryIssuer()] as EntryState;
+      affected.isDown = kind !== "cut";
+      affected.isCut = kind === "cut";
+      if (kind === "leave") this.#onEntriesChanged();
       this.#queue.after(forMs, () => {
         if (kind !== "cut") {
-          concerned.reducer = this.#createReducer(concerned.number);
+          affected.reducer = this.#createReducer(affected.number);
         }
-        concerned.isDown = false;
-        concerned.isCut = false;
-        this.#introduce(concerned);
-        this.#reconcile(concerned);
-        if (kind === "leave") this.#listChanged();
+        affected.isDown = false;
+        affected.isCut = false;
+        this.#listEntries(affected);
+        this.#reconcile(affected);
+        if (kind === "leave") this.#onEntriesChanged();
       });
     });
   }
@@ -226,33 +227,33 @@
     const other = this.#entries.find((one) =>
       one !== entry && !one.isDown && !one.isCut
     );
-    if (other !== undefined) this.#tell(other, entry);
-    this.#tellLimits(entry);
+    if (other !== undefined) this.#replicateTo(other, entry);
+    this.#replicate(entry);
   }
 
   /** Returns the number of the primary issuer of permits for the first target. */
-  #findGiver(): number {
-    const giver = this.#entries.find(({ reducer }) =>
+  #findPrimaryIssuer(): number {
+    const issuer = this.#entries.find(({ reducer }) =>
       reducer.permits.isFirstOf("target-0")
     );
-    return giver?.number ?? 0;
+    return issuer?.number ?? 0;
   }
 
-  #planCaller(end: number): void {
+  #scheduleRequest(end: number): void {
     const { requestsPerSecond } = this.#options;
     this.#queue.after(
       this.#random.nextExponential(1000 / requestsPerSecond),
       () => {
         if (this.#queue.now > end) return;
-        this.#call();
-        this.#planCaller(end);
+        this.#sendRequest();
+        this.#scheduleRequest(end);
       },
     );
   }
 
-  #call(): void {
-    const up = this.#entries.filter(({ isDown }) => !isDown);
-    const entry = up[this.#random.nextBelow(up.length)] as EntryState;
+  #sendRequest(): void {
+    const running = this.#entries.filter(({ isDown }) => !isDown);
+    const entry = running[this.#random.nextBelow(running.length)] as EntryState;
     const id = ++this.#requests;
     const { now } = this.#queue;
     this.#startedAt.set(id, now);
@@ -275,11 +276,11 @@
         }
         return;
       case "refuse_request":
-        return this.#refused(effect.requestId, effect.problem);
+        return this.#recordRefusal(effect.requestId, effect.problem);
       case "memories_changed":
-        return this.#tellLimits(entry);
+        return this.#replicate(entry);
       case "ask_permits":
-        return this.#ask(entry, effect.question);
+        return this.#requestPermits(entry, effect.question);
       default:
         return;
     }
@@ -288,17 +289,17 @@
   #submit(
     entry: EntryState,
     targetName: string,
-    place: { readonly requestId: number; readonly attempt: number },
+    attemptId: { readonly requestId: number; readonly attempt: number },
   ): void {
     const target = Number.parseInt(targetName.slice("target-".length));
     const { reducer } = entry;
     const at = this.#queue.now - START_MS;
     this.#arrivals.push({ at, target, entry: entry.number });
-    this.#queue.after(this.#random.nextExponential(WORK_MS), () => {
+    this.#queue.after(this.#random.nextExponential(MEAN_RUN_MS), () => {
       // A process that has ended meanwhile receives no answer.
       if (entry.reducer !== reducer) return;
       const now = this.#queue.now - START_MS;
-      for (const message of this.#notices.answer(place, target, now)) {
+      for (const message of this.#notices.answer(attemptId, target, now)) {
         const { now } = this.#queue;
         this.#reduce(entry, {
           kind: "message_received",
@@ -310,7 +311,7 @@
     });
   }
 
-  #refused(
+  #recordRefusal(
     requestId: number,
     { reason, retryAfterSeconds }: {
       readonly reason: string;
@@ -323,15 +324,15 @@
     this.#refusals.push({ at, reason, heldMs, retryAfterSeconds });
   }
 
-  #tellLimits(from: EntryState): void {
-    this.#told++;
+  #replicate(from: EntryState): void {
+    this.#sentUpdates++;
     for (const entry of this.#entries) {
-      if (entry !== from) this.#tell(from, entry);
+      if (entry !== from) this.#replicateTo(from, entry);
     }
   }
 
-  #tell(from: EntryState, to: EntryState): void {
-    this.#tellLeaving(from, to);
+  #replicateTo(from: EntryState, to: EntryState): void {
+    this.#replicateLeaving(from, to);
     if (from.reducer.limits.content === to.reducer.limits.content) return;
     const limits = from.reducer.limits.list();
     this.#deliver(from, to, () => {
@@ -340,7 +341,7 @@
     });
   }
 
-  #tellLeaving(from: EntryState, to: EntryState): void {
+  #replicateLeaving(from: EntryState, to: EntryState): void {
     const { leaving } = from.reducer.registry;
     if (leaving.content === to.reducer.registry.leaving.content) return;
     const targets = leaving.list();
@@ -350,36 +351,43 @@
     });
   }
 
-  #ask(asker: EntryState, question: PermitQuestion): void {
-    this.#questions++;
-    const { target, entry, count } = question;
+  #requestPermits(requester: EntryState, request: PermitQuestion): void {
+    this.#permitRequests++;
+    const { target, entry, count } = request;
     const askedAt = this.#queue.now;
-    const giver = this.#entries.find(({ number }) => nameOf(number) === entry);
+    const issuer = this.#entries.find(({ number }) =>
+      getEntryName(number) === entry
+    );
     let isSettled = false;
     const settle = (answer?: ReturnType<EntryReducer["permits"]["give"]>) => {
       if (isSettled) return;
       isSettled = true;
       const { now } = this.#queue;
       const outcome = { target, entry, askedAt, answer };
-      this.#reduce(asker, { kind: "permits_told", now, outcome });
+      this.#reduce(requester, { kind: "permits_told", now, outcome });
     };
     this.#queue.after(ASK_LIMIT_MS, () => settle());
-    if (giver === undefined) return;
-    this.#deliver(asker, giver, () => {
-      if (giver.isDown) return;
-      const answer = giver.reducer.permits.give(target, count, this.#queue.now);
-      this.#deliver(giver, asker, () => settle(answer));
+    if (issuer === undefined) return;
+    this.#deliver(requester, issuer, () => {
+      if (issuer.isDown) return;
+      const answer = issuer.reducer.permits.give(
+        target,
+        count,
+        this.#queue.now,
+      );
+      this.#deliver(issuer, requester, () => settle(answer));
     });
   }
 
   #deliver(from: EntryState, to: EntryState, run: () => void): void {
-    const delay = MESSAGE_MS.least + this.#random.nextBelow(MESSAGE_MS.spread);
+    const delay = MESSAGE_DELAY_MS.min +
+      this.#random.nextBelow(MESSAGE_DELAY_MS.spread);
     this.#queue.after(delay, () => {
       if (!from.isCut && !to.isCut) run();
     });
   }
 }
 
-function nameOf(entry: number): string {
+function getEntryName(entry: number): string {
   return `entry-${entry}`;
 }
--- a/src/testing/linked_group_world.ts
+++ b/src/testing/linked_group_world.ts
@@ -23,11 +23,11 @@
 
 const TICK_MS = 25;
 /** Milliseconds until a rank's sidecar has received a query and read its engine. */
-const ANSWER_MS = 6;
+const ANSWER_DELAY_MS = 6;
 /** Bytes of headers of a small frame. */
 const FRAME_OVERHEAD_BYTES = 70;
 /** Maximum that a rank adds to a count between two queries. */
-const MOST_ADDED = 100;
+const MAX_ADDED_COUNT = 100;
 
 /** A group and the link of its decider's VM. */
 export interface LinkedGroupOptions {
@@ -60,7 +60,7 @@
   readonly #queue = new EventQueue();
   readonly #engines: readonly FakeFormedEngine[];
   readonly #decider: FormedGroupDecider;
-  readonly #questions: RankQuestions;
+  readonly #queries: RankQuestions;
   readonly #reachable: ReadonlySet<number>;
   readonly #stateAt: number[];
   readonly #random = new RandomSource(1);
@@ -81,12 +81,12 @@
     this.#reachable = new Set(this.#engines.keys());
     this.#stateAt = new Array<number>(ranks).fill(0);
     this.#decider = new FormedGroupDecider({
-      state: this.#engine(0).state,
+      state: this.#getEngine(0).state,
       random: this.#random,
       now: 0,
       firstOrderId: 1,
     });
-    this.#questions = new RankQuestions({
+    this.#queries = new RankQuestions({
       ranks,
       bytesPerSecond: linkBytesPerSecond,
     });
@@ -97,71 +97,76 @@
   run(untilMs: number): LinkedGroupResult {
     this.#queue.runUntil(untilMs);
     const { silentRanks } = this.#options;
-    const told = this.#stateAt.filter((_, rank) => !silentRanks?.has(rank));
+    const stateTimes = this.#stateAt.filter((_, rank) =>
+      !silentRanks?.has(rank)
+    );
     return {
       settledAt: this.#settledAt,
       longestWaitMs: this.#longestWaitMs,
       linkUse: this.#linkBusyMs / untilMs,
       countsPerSecond: this.#counts * 1000 / untilMs,
-      oldestStateMs: untilMs - Math.min(...told),
+      oldestStateMs: untilMs - Math.min(...stateTimes),
     };
   }
 
   #tick(): void {
     const { now } = this.#queue;
     this.#reduce({ kind: "tick", now });
-    for (const question of this.#questions.take(now, this.#reachable)) {
-      this.#ask(question);
+    for (const query of this.#queries.take(now, this.#reachable)) {
+      this.#query(query);
     }
     this.#queue.after(TICK_MS, () => this.#tick());
   }
 
   #reduce(event: DeciderEvent): void {
     for (const effect of this.#decider.reduce(event)) {
-      if (effect.kind === "send_query") this.#questions.want(effect.rank);
+      if (effect.kind === "send_query") this.#queries.want(effect.rank);
     }
     if (this.#decider.settledMap !== undefined) {
       this.#settledAt ??= this.#queue.now;
     }
   }
 
-  #ask(question: RankQuestion): void {
-    if (this.#options.silentRanks?.has(question.rank)) return;
-    this.#queue.after(ANSWER_MS, () => this.#cross(this.#answer(question)));
+  #query(query: RankQuestion): void {
+    if (this.#options.silentRanks?.has(query.rank)) return;
+    this.#queue.after(
+      ANSWER_DELAY_MS,
+      () => this.#sendOverLink(this.#answer(query)),
+    );
   }
 
   /**
    * Sends a report over the link; the decider's own rank is on its VM and needs no link.
    */
-  #cross(report: RankReportMessage): void {
+  #sendOverLink(report: RankReportMessage): void {
     const { now } = this.#queue;
-    if (report.state.rank === 0) return this.#take(report);
+    if (report.state.rank === 0) return this.#receive(report);
     const bytes = encodeFrame([report]).length + FRAME_OVERHEAD_BYTES;
-    const crossingMs = bytes / this.#options.linkBytesPerSecond * 1000;
+    const transferMs = bytes / this.#options.linkBytesPerSecond * 1000;
     const startsAt = Math.max(now, this.#linkFreeAt);
     this.#longestWaitMs = Math.max(this.#longestWaitMs, startsAt - now);
-    this.#linkFreeAt = startsAt + crossingMs;
-    this.#linkBusyMs += crossingMs;
-    this.#queue.after(this.#linkFreeAt - now, () => this.#take(report));
+    this.#linkFreeAt = startsAt + transferMs;
+    this.#linkBusyMs += transferMs;
+    this.#queue.after(this.#linkFreeAt - now, () => this.#receive(report));
   }
 
-  #take(report: RankReportMessage): void {
+  #receive(report: RankReportMessage): void {
     const { now } = this.#queue;
     const { rank } = report.state;
     this.#stateAt[rank] = now;
     if (report.counts !== undefined) this.#counts++;
-    this.#questions.answered(report);
+    this.#queries.answered(report);
     this.#reduce({ kind: "rank_reported", now, rank, report });
   }
 
   #answer({ rank, withExperts, withCounts }: RankQuestion): RankReportMessage {
-    const { state } = this.#engine(rank);
+    const { state } = this.#getEngine(rank);
     const counts = withCounts ? this.#createCounts() : undefined;
     return {
       kind: "rank_report",
       state,
       ...counts && { counts: { serial: 2, since: 1, counts } },
-      ...withExperts && { experts: this.#expertsOf(rank) },
+      ...withExperts && { experts: this.#getExperts(rank) },
     };
   }
 
@@ -170,20 +175,20 @@
     return Array.from({ length: layers }, () =>
       Array.from(
         { length: experts },
-        () => this.#random.nextBelow(MOST_ADDED),
+        () => this.#random.nextBelow(MAX_ADDED_COUNT),
       ));
   }
 
-  #expertsOf(rank: number): RankExperts {
+  #getExperts(rank: number): RankExperts {
     const { layers, ranks, slotsPerRank } = this.#options;
     return Array.from({ length: layers }, () =>
       Array.from(
         { length: slotsPerRank },
-        (_, place) => rank + place * ranks,
+        (_, slot) => rank + slot * ranks,
       ));
   }
 
-  #engine(rank: number): FakeFormedEngine {
+  #getEngine(rank: number): FakeFormedEngine {
     return this.#engines[rank] as FakeFormedEngine;
   }
 }
--- a/src/testing/listed_store.ts
+++ b/src/testing/listed_store.ts
@@ -44,5 +44,5 @@
 }
 
 function unavailable(): Promise<never> {
-  return Promise.reject(new StoreUnavailableError("Nothing is listed"));
+  return Promise.reject(new StoreUnavailableError("No listing is left"));
 }
--- a/src/testing/poison_fleet.ts
+++ b/src/testing/poison_fleet.ts
@@ -28,20 +28,20 @@
 
 const CLIENT_DEADLINE_MS = 8000;
 /** Milliseconds after which a caller without an answer retries. */
-const RETURN_MS = 400;
+const RETRY_DELAY_MS = 400;
 const CALLER_ATTEMPTS = 3;
 const LIST_INTERVAL_MS = 700;
-const GROUP_HEARD_MS = 150;
+const MAX_GROUP_DELAY_MS = 150;
 /**
  * Delay in milliseconds until other entries receive a crash: minimum and random addition.
  */
-const TOLD_MS = { least: 20, spread: 300 } as const;
+const UPDATE_DELAY_MS = { min: 20, spread: 300 } as const;
 const TICK_MS = 100;
 /**
  * Updates that an entry sends before the simulation stops delivering them, as they would
  * never end.
  */
-const TOLD_LIMIT = 120;
+const MAX_UPDATES = 120;
 
 /** Options of a {@link PoisonFleet}. */
 export interface PoisonFleetOptions {
@@ -83,7 +83,7 @@
 interface Call {
   readonly body: string;
   readonly crashes: boolean;
-  readonly until: number;
+  readonly deadlineAt: number;
   attempts: number;
 }
 
@@ -96,10 +96,10 @@
   readonly #entries: readonly EntryReducer[];
   readonly #calls = new Map<number, Call>();
   #requests = 0;
-  #innocent = 0;
+  #harmless = 0;
   #served = 0;
-  readonly #told = new Map<EntryReducer, number>();
-  readonly #refusedInnocent = new Set<string>();
+  readonly #sentUpdates = new Map<EntryReducer, number>();
+  readonly #refusedHarmless = new Set<string>();
 
   /** Creates entries without requests. */
   constructor(options: PoisonFleetOptions) {
@@ -109,7 +109,7 @@
       queue: this.#queue,
       groups: options.groups,
       ranksPerGroup: options.ranksPerGroup,
-      onGroupChanged: (group, isOpen) => this.#tellGroup(group, isOpen),
+      onGroupChanged: (group, isOpen) => this.#sendGroupState(group, isOpen),
     });
     this.#entries = Array.from(
       { length: options.entries },
@@ -126,19 +126,19 @@
    * ```
    */
   run(milliseconds: number): PoisonFleetResult {
-    this.#entries.forEach((entry) => this.#follow(entry));
-    this.#planCaller(milliseconds);
+    this.#entries.forEach((entry) => this.#start(entry));
+    this.#scheduleRequest(milliseconds);
     for (let poison = 0; poison < this.#options.poisons; poison++) {
-      this.#planPoison(`poison ${poison}`);
+      this.#schedulePoisonRequest(`poison ${poison}`);
     }
-    for (const loss of this.#options.losses) this.#planLoss(loss);
+    for (const loss of this.#options.losses) this.#scheduleLoss(loss);
     this.#queue.runUntil(milliseconds + CLIENT_DEADLINE_MS);
     return {
       crashes: this.#ranks.crashes,
-      innocent: this.#innocent,
-      refusedInnocent: this.#refusedInnocent.size,
+      innocent: this.#harmless,
+      refusedInnocent: this.#refusedHarmless.size,
       served: this.#served,
-      mostTold: Math.max(0, ...this.#told.values()),
+      mostTold: Math.max(0, ...this.#sentUpdates.values()),
     };
   }
 
@@ -162,15 +162,15 @@
   }
 
   /** Schedules lists, ticks and states of groups, at random times for each entry. */
-  #follow(entry: EntryReducer): void {
-    this.#list(entry);
+  #start(entry: EntryReducer): void {
+    this.#listInstances(entry);
     const ranks = this.#ranks.listed.map(({ address, group }) => ({
       engineAddress: address,
       group,
     }));
     this.#reduce(entry, { kind: "ranks_listed", ranks });
-    const first = this.#random.nextBelow(LIST_INTERVAL_MS);
-    this.#repeat(first, LIST_INTERVAL_MS, () => this.#list(entry));
+    const firstMs = this.#random.nextBelow(LIST_INTERVAL_MS);
+    this.#repeat(firstMs, LIST_INTERVAL_MS, () => this.#listInstances(entry));
     this.#repeat(
       this.#random.nextBelow(TICK_MS),
       TICK_MS,
@@ -178,14 +178,14 @@
     );
   }
 
-  #repeat(first: number, everyMs: number, run: () => void): void {
-    this.#queue.after(first, () => {
+  #repeat(firstMs: number, intervalMs: number, run: () => void): void {
+    this.#queue.after(firstMs, () => {
       run();
-      this.#repeat(everyMs, everyMs, run);
+      this.#repeat(intervalMs, intervalMs, run);
     });
   }
 
-  #list(entry: EntryReducer): void {
+  #listInstances(entry: EntryReducer): void {
     const instances = this.#ranks.listed.map(({ id, address }) =>
       createInstance(id, { address })
     );
@@ -193,41 +193,54 @@
     this.#reduce(entry, { kind: "instances_listed", now, instances });
   }
 
-  #tellGroup(group: string, isOpen: boolean): void {
-    const seenAt = this.#queue.now;
+  #sendGroupState(group: string, isOpen: boolean): void {
+    const observedAt = this.#queue.now;
     for (const entry of this.#entries) {
-      this.#queue.after(this.#random.nextBelow(GROUP_HEARD_MS), () => {
+      this.#queue.after(this.#random.nextBelow(MAX_GROUP_DELAY_MS), () => {
         const { now } = this.#queue;
-        const ageMs = now - seenAt;
-        const sight = { kind: "group_sight", group, isOpen, ageMs } as const;
-        this.#reduce(entry, { kind: "group_seen", now, sight });
+        const ageMs = now - observedAt;
+        const groupObservation = {
+          kind: "group_sight",
+          group,
+          isOpen,
+          ageMs,
+        } as const;
+        this.#reduce(entry, {
+          kind: "group_seen",
+          now,
+          sight: groupObservation,
+        });
       });
     }
   }
 
-  #planCaller(end: number): void {
+  #scheduleRequest(end: number): void {
     const { requestsPerSecond } = this.#options;
     this.#queue.after(
       this.#random.nextExponential(1000 / requestsPerSecond),
       () => {
         if (this.#queue.now > end) return;
-        this.#innocent++;
-        this.#call(this.#createCall(`innocent ${this.#innocent}`, false));
-        this.#planCaller(end);
+        this.#harmless++;
+        this.#send(this.#createCall(`harmless ${this.#harmless}`, false));
+        this.#scheduleRequest(end);
       },
     );
   }
 
-  #planPoison(body: string): void {
-    const { poisonEveryMs } = this.#options;
-    this.#repeat(this.#random.nextBelow(poisonEveryMs), poisonEveryMs, () => {
-      const call = this.#createCall(body, true);
-      call.attempts = CALLER_ATTEMPTS;
-      this.#call(call);
-    });
+  #schedulePoisonRequest(body: string): void {
+    const { poisonEveryMs: poisonIntervalMs } = this.#options;
+    this.#repeat(
+      this.#random.nextBelow(poisonIntervalMs),
+      poisonIntervalMs,
+      () => {
+        const call = this.#createCall(body, true);
+        call.attempts = CALLER_ATTEMPTS;
+        this.#send(call);
+      },
+    );
   }
 
-  #planLoss({ at, share }: RankLoss): void {
+  #scheduleLoss({ at, share }: RankLoss): void {
     this.#queue.after(at, () => {
       const all = this.#ranks.listed;
       const first = this.#random.nextBelow(all.length);
@@ -241,14 +254,14 @@
   }
 
   #createCall(body: string, crashes: boolean): Call {
-    const until = this.#queue.now + CLIENT_DEADLINE_MS;
-    return { body, crashes, until, attempts: 0 };
+    const deadlineAt = this.#queue.now + CLIENT_DEADLINE_MS;
+    return { body, crashes, deadlineAt, attempts: 0 };
   }
 
   /** Sends a request to a random entry. */
-  #call(call: Call): void {
-    const leftMs = call.until - this.#queue.now;
-    if (leftMs <= 0) return;
+  #send(call: Call): void {
+    const remainingMs = call.deadlineAt - this.#queue.now;
+    if (remainingMs <= 0) return;
     call.attempts++;
     const id = ++this.#requests;
     this.#calls.set(id, call);
@@ -260,7 +273,7 @@
       request: createCallerRequest({
         id,
         body: Buffer.from(call.body),
-        deadlineMs: leftMs,
+        deadlineMs: remainingMs,
       }),
     });
   }
@@ -280,12 +293,12 @@
         this.#served++;
         return;
       case "refuse_request":
-        return this.#refused(
+        return this.#onRefused(
           effect.requestId,
           effect.problem.reason as RefusalName,
         );
       case "memories_changed":
-        return this.#tellCrashes(entry);
+        return this.#replicateCrashes(entry);
       default:
         return;
     }
@@ -298,8 +311,8 @@
   ): void {
     const { crashes } = this.#calls.get(requestId) as Call;
     this.#ranks.run(targetName, { crashes }, (end) => {
-      const place = { requestId, attempt };
-      for (const message of toMessages(place, end)) {
+      const attemptId = { requestId, attempt };
+      for (const message of createMessages(attemptId, end)) {
         const { now } = this.#queue;
         this.#reduce(entry, {
           kind: "message_received",
@@ -311,23 +324,24 @@
     });
   }
 
-  #refused(requestId: number, reason: RefusalName): void {
+  #onRefused(requestId: number, reason: RefusalName): void {
     const call = this.#calls.get(requestId) as Call;
     if (reason === "CRASHES_TARGETS" && !call.crashes) {
-      this.#refusedInnocent.add(call.body);
+      this.#refusedHarmless.add(call.body);
     }
     if (call.attempts >= CALLER_ATTEMPTS) return;
-    this.#queue.after(RETURN_MS, () => this.#call(call));
+    this.#queue.after(RETRY_DELAY_MS, () => this.#send(call));
   }
 
-  #tellCrashes(from: EntryReducer): void {
-    const told = (this.#told.get(from) ?? 0) + 1;
-    this.#told.set(from, told);
-    if (told > TOLD_LIMIT) return;
+  #replicateCrashes(from: EntryReducer): void {
+    const sentUpdates = (this.#sentUpdates.get(from) ?? 0) + 1;
+    this.#sentUpdates.set(from, sentUpdates);
+    if (sentUpdates > MAX_UPDATES) return;
     const requests = from.crashes.list();
     for (const entry of this.#entries) {
       if (entry === from) continue;
-      const delay = TOLD_MS.least + this.#random.nextBelow(TOLD_MS.spread);
+      const delay = UPDATE_DELAY_MS.min +
+        this.#random.nextBelow(UPDATE_DELAY_MS.spread);
       this.#queue.after(delay, () => {
         const { now } = this.#queue;
         this.#reduce(entry, { kind: "crashes_told", now, requests });
@@ -336,16 +350,16 @@
   }
 }
 
-function toMessages(
-  place: AttemptIdentity,
+function createMessages(
+  attemptId: AttemptIdentity,
   end: RunOutcome,
 ): readonly AttemptMessage[] {
   switch (end) {
     case "answered":
-      return createEmptyAnswer(place);
+      return createEmptyAnswer(attemptId);
     case "broken":
-      return [createRefused(place, "BACK_END_FAILED")];
+      return [createRefused(attemptId, "BACK_END_FAILED")];
     case "group lost":
-      return [createRefused(place, "GROUP_CLOSED")];
+      return [createRefused(attemptId, "GROUP_CLOSED")];
   }
 }
--- a/src/testing/priority_burst_world.ts
+++ b/src/testing/priority_burst_world.ts
@@ -28,7 +28,7 @@
 import { EventQueue } from "./event_queue.ts";
 import { createDocuments, createInstance } from "./fixtures.ts";
 import {
-  addressOf,
+  getEngineAddress,
   type GroupSnapshot,
   IDLE_PASS_MS,
   JointPassGroup,
@@ -40,22 +40,22 @@
 const GROUP = "group";
 const REPORT_INTERVAL_MS = 200;
 /** Age in milliseconds of a report when an entry receives it. */
-const REPORT_AGE = { least: 200, most: 500 };
+const REPORT_AGE_MS = { min: 200, max: 500 };
 /** Steps of a pass. */
 const STRIDE = 8;
 const TICK_MS = 40;
 /** Chunks of an answer; the mean is 17. */
-const PIECES = { least: 12, spread: 11 };
+const CHUNKS = { min: 12, spread: 11 };
 const STREAM_HEAD = [["content-type", "text/event-stream"]] as const;
 
 /** A time without the decider, in milliseconds. */
-export interface Silence {
+export interface DeciderOutage {
   readonly from: number;
   readonly until: number;
 }
 
-/** Options of a {@link PriorityBurstWorld}. */
-export interface BurstWorldOptions {
+/** Options of a {@link PriorityBurstSimulation}. */
+export interface BurstSimulationOptions {
   readonly seed: number;
   readonly entries: number;
   /** Request rate of all kinds outside of a burst. */
@@ -64,7 +64,7 @@
   /** Whether the services differ in priority; otherwise each has the default priority. */
   readonly isPrioritised: boolean;
   /** When the decider restarts. */
-  readonly silence?: Silence;
+  readonly deciderOutage?: DeciderOutage;
   /** When all entries restart. */
   readonly restartAt?: number;
   /** Whether entries know the settings of the rank group; true by default. */
@@ -76,23 +76,23 @@
 interface Entry {
   reducer: EntryReducer;
   /** When the entry's last report arrives; later reports do not overtake it. */
-  heardAt: number;
+  lastReportAt: number;
   readonly requests: Set<number>;
 }
 
 /** Entries, callers and a rank group in virtual time. */
-export class PriorityBurstWorld {
-  readonly #options: BurstWorldOptions;
+export class PriorityBurstSimulation {
+  readonly #options: BurstSimulationOptions;
   readonly #events = new EventQueue();
   readonly #random: RandomSource;
   readonly #group: JointPassGroup;
   readonly #callers: BurstCallers;
   readonly #entries: Entry[];
   /** The entry of each request, by the request's id. */
-  readonly #entryOf = new Map<number, Entry>();
+  readonly #entryByRequest = new Map<number, Entry>();
 
   /** Starts callers and entries; the same options give the same run. */
-  constructor(options: BurstWorldOptions) {
+  constructor(options: BurstSimulationOptions) {
     this.#options = options;
     const { seed, perSecond, burst } = options;
     const events = this.#events;
@@ -100,7 +100,7 @@
     this.#group = new JointPassGroup(events, new RandomSource(seed + 1));
     this.#entries = Array.from({ length: options.entries }, (_, index) => ({
       reducer: this.#createReducer(index),
-      heardAt: 0,
+      lastReportAt: 0,
       requests: new Set<number>(),
     }));
     this.#callers = new BurstCallers({
@@ -109,10 +109,10 @@
       perSecond,
       burst,
       send: (request) => this.#send(request),
-      disconnect: (requestId) => this.#leave(requestId),
+      disconnect: (requestId) => this.#disconnect(requestId),
     });
-    this.#planReport();
-    for (const entry of this.#entries) this.#planTick(entry);
+    this.#scheduleReport();
+    for (const entry of this.#entries) this.#scheduleTick(entry);
     if (options.restartAt !== undefined) {
       events.after(options.restartAt, () => this.#restartEntries());
     }
@@ -139,7 +139,7 @@
     reducer.reduce({
       kind: "settings_in_force",
       now,
-      routes: createTable(this.#options.isPrioritised),
+      routes: createRoutingTable(this.#options.isPrioritised),
       groups: this.#options.knowsGroup === false ? undefined : GROUPS,
     });
     reducer.reduce({ kind: "instances_listed", now, instances: INSTANCES });
@@ -156,16 +156,16 @@
   }
 
   #send(request: CallerRequest): void {
-    const place = this.#random.nextBelow(this.#entries.length);
-    const entry = this.#entries[place] as Entry;
-    this.#entryOf.set(request.id, entry);
+    const index = this.#random.nextBelow(this.#entries.length);
+    const entry = this.#entries[index] as Entry;
+    this.#entryByRequest.set(request.id, entry);
     entry.requests.add(request.id);
     const { now } = this.#events;
     this.#dispatch(entry, { kind: "request_arrived", now, request });
   }
 
-  #leave(requestId: number): void {
-    const entry = this.#entryOf.get(requestId);
+  #disconnect(requestId: number): void {
+    const entry = this.#entryByRequest.get(requestId);
     if (entry === undefined) return;
     const { now } = this.#events;
     this.#dispatch(entry, { kind: "caller_gone", now, requestId });
@@ -188,40 +188,41 @@
     const key = `${message.requestId}.${message.attempt}`;
     if (message.kind === "cancel") return this.#group.cancel(rank, key);
     const { requestId, attempt } = message;
-    const place = { requestId, attempt };
+    const attemptId = { requestId, attempt };
     const { reducer } = entry;
     let sequence = 0;
     this.#group.submit(rank, {
       key,
       priority: message.priority,
-      pieces: PIECES.least + this.#random.nextBelow(PIECES.spread),
-      onPiece: (isLast) => {
+      chunks: CHUNKS.min + this.#random.nextBelow(CHUNKS.spread),
+      onChunk: (isLast) => {
         // A restarted entry receives no answers to its earlier requests.
         if (entry.reducer !== reducer) return;
-        const say = (told: AnswerPart) =>
+        const receive = (part: AnswerPart) =>
           this.#dispatch(entry, {
             kind: "message_received",
             now: this.#events.now,
             targetName,
-            message: { ...place, sequence: sequence++, ...told },
+            message: { ...attemptId, sequence: sequence++, ...part },
           });
         if (sequence === 0) {
-          say({ kind: "answer_head", status: 200, headers: STREAM_HEAD });
+          receive({ kind: "answer_head", status: 200, headers: STREAM_HEAD });
         }
         const bytes = createEvent(sequence);
-        say({ kind: "answer_data", bytes });
+        receive({ kind: "answer_data", bytes });
         if (!isLast) return;
-        const byteCount = sumOfEvents(sequence);
-        say({ kind: "answer_end", byteCount, queued: 0, running: 0 });
+        const byteCount = getTotalEventBytes(sequence);
+        receive({ kind: "answer_end", byteCount, queued: 0, running: 0 });
       },
     });
   }
 
-  #planReport(): void {
+  #scheduleReport(): void {
     this.#events.after(REPORT_INTERVAL_MS, () => {
-      this.#planReport();
+      this.#scheduleReport();
       const { now } = this.#events;
-      const { from, until } = this.#options.silence ?? { from: 0, until: 0 };
+      const { from, until } = this.#options.deciderOutage ??
+        { from: 0, until: 0 };
       if (now >= from && now < until) return;
       const snapshot = this.#group.observe();
       for (const entry of this.#entries) this.#report(entry, snapshot);
@@ -230,10 +231,10 @@
 
   #report(entry: Entry, { passMs, loads }: GroupSnapshot): void {
     const { now } = this.#events;
-    const { least, most } = REPORT_AGE;
-    const age = least + this.#random.nextFraction() * (most - least);
-    const at = Math.max(entry.heardAt, now + age);
-    entry.heardAt = at;
+    const { min, max } = REPORT_AGE_MS;
+    const age = min + this.#random.nextFraction() * (max - min);
+    const at = Math.max(entry.lastReportAt, now + age);
+    entry.lastReportAt = at;
     this.#events.after(at - now, () =>
       this.#dispatch(entry, {
         kind: "group_load_told",
@@ -242,19 +243,19 @@
           pool: POOL,
           group: GROUP,
           isOpen: true,
-          ageMs: least,
+          ageMs: min,
           passMs,
           loads,
         },
       }));
   }
 
-  #planTick(entry: Entry): void {
+  #scheduleTick(entry: Entry): void {
     this.#events.after(TICK_MS, () => {
       const { now } = this.#events;
       const isBusy = entry.reducer.inFlight > 0;
       if (isBusy) this.#dispatch(entry, { kind: "tick", now });
-      this.#planTick(entry);
+      this.#scheduleTick(entry);
     });
   }
 
@@ -284,13 +285,13 @@
 const RANK_NUMBERS = Array.from({ length: RANKS }, (_, rank) => rank);
 const INSTANCES = RANK_NUMBERS.map((rank) =>
   createInstance(`rank-${rank}`, {
-    address: addressOf(rank),
+    address: getEngineAddress(rank),
     pool: POOL,
     concurrency: SLOTS_PER_RANK,
   })
 );
 const LISTED_RANKS = RANK_NUMBERS.map((rank) => ({
-  engineAddress: addressOf(rank),
+  engineAddress: getEngineAddress(rank),
   group: GROUP,
 }));
 
@@ -313,7 +314,7 @@
  * Returns the total bytes of the events before a sequence number; the first event has
  * number 1.
  */
-function sumOfEvents(end: number): number {
+function getTotalEventBytes(end: number): number {
   let sum = 0;
   for (let sequence = 1; sequence < end; sequence++) {
     sum += createEvent(sequence).length;
@@ -321,10 +322,10 @@
   return sum;
 }
 
-function createTable(isPrioritised: boolean): RoutingTable {
-  const organisations = Array.from({ length: ORGANISATIONS }, (_, place) => ({
-    path: `/organisations/org-${place}`,
-    text: `kind: organisation\naccessKeySha256: ["${getAccessKeyHash(place)}"]`,
+function createRoutingTable(isPrioritised: boolean): RoutingTable {
+  const organisations = Array.from({ length: ORGANISATIONS }, (_, index) => ({
+    path: `/organisations/org-${index}`,
+    text: `kind: organisation\naccessKeySha256: ["${getAccessKeyHash(index)}"]`,
   }));
   const services = KINDS.map(({ priority }, kind) => ({
     path: `/organisations/org-0/services/kind-${kind}`,
--- a/src/testing/process_cluster.ts
+++ b/src/testing/process_cluster.ts
@@ -24,7 +24,7 @@
 /** Secret of every deployment in tests. */
 export const TEST_SECRET = "a-secret-of-tests-only";
 const POLL_MS = 25;
-const PATIENCE_MS = 30_000;
+const WAIT_LIMIT_MS = 30_000;
 
 /** A running process of lagoonwharf. */
 export interface RunningProcess {
@@ -48,12 +48,12 @@
 
 /** Waits until `isTrue` returns true; fails after 30 seconds. */
 export async function waitUntil(
-  what: string,
+  description: string,
   isTrue: () => boolean | Promise<boolean>,
 ): Promise<void> {
-  const end = Date.now() + PATIENCE_MS;
+  const end = Date.now() + WAIT_LIMIT_MS;
   while (!await isTrue()) {
-    if (Date.now() > end) throw new Error(`Waited in vain: ${what}`);
+    if (Date.now() > end) throw new Error(`Timed out waiting: ${description}`);
     await sleep(POLL_MS);
   }
 }
@@ -65,7 +65,7 @@
   readonly #folder = mkdtempSync(join(tmpdir(), "lagoonwharf-test-"));
   readonly #processes: RunningProcess[] = [];
   readonly #closers: (() => void)[] = [];
-  #machines: readonly VirtualMachine[] = [];
+  #virtualMachines: readonly VirtualMachine[] = [];
   #keyValueAddress = "";
   #machineListAddress = "";
 
@@ -101,9 +101,9 @@
   ): Promise<RunningProcess> {
     const address = await findFreeAddress();
     const administrationAddress = await findFreeAddress();
-    this.#list(name, "entry", administrationAddress, "");
+    this.#addToList(name, "entry", administrationAddress, "");
     return this.#start("entry", {
-      ...this.#common(name),
+      ...this.#getCommonSettings(name),
       callerAddress: address,
       administrationAddress,
       administratorTokenSha256: createHash("sha256").update(TEST_TOKEN)
@@ -120,9 +120,9 @@
   ): Promise<RunningProcess> {
     const address = await findFreeAddress();
     const pool = name.replace(/-.*$/, "");
-    this.#list(name, "target", address, pool);
+    this.#addToList(name, "target", address, pool);
     return this.#start("target", {
-      ...this.#common(name),
+      ...this.#getCommonSettings(name),
       address,
       pool,
       backEndAddress,
@@ -138,8 +138,8 @@
   }
 
   /** Runs a command until it exits. */
-  async run(words: readonly string[]): Promise<CommandResult> {
-    const child = spawnProgram(words);
+  async run(commandLine: readonly string[]): Promise<CommandResult> {
+    const child = spawnProgram(commandLine);
     let output = "";
     let errors = "";
     child.stdout?.on("data", (chunk) => output += chunk);
@@ -189,8 +189,8 @@
     names: readonly string[],
   ): Promise<void> {
     try {
-      await waitUntil(`${entry.name} sees ${names.join(" ")}`, async () => {
-        const status = await this.#tryStatus(entry);
+      await waitUntil(`${entry.name} reports ${names.join(" ")}`, async () => {
+        const status = await this.#tryReadStatus(entry);
         return names.every((name) =>
           status?.targets.some((target) =>
             target.name === name && target.kind === "answered"
@@ -209,7 +209,7 @@
     revision: number,
   ): Promise<void> {
     await waitUntil(`revision ${revision} at ${entry.name}`, async () => {
-      const status = await this.#tryStatus(entry);
+      const status = await this.#tryReadStatus(entry);
       return status !== undefined && status.revision >= revision &&
         status.targets.every((target) => (target.revision ?? 0) >= revision);
     });
@@ -217,10 +217,12 @@
 
   /** Changes the state of a VM in the list of VMs. */
   setState(name: string, state: VirtualMachine["state"]): void {
-    this.#machines = this.#machines.map((machine) =>
-      machine.name === name ? { ...machine, state } : machine
+    this.#virtualMachines = this.#virtualMachines.map((virtualMachine) =>
+      virtualMachine.name === name
+        ? { ...virtualMachine, state }
+        : virtualMachine
     );
-    this.machineList.setMachines(this.#machines);
+    this.machineList.setMachines(this.#virtualMachines);
   }
 
   /** Ends all processes and stand-ins of the cluster. */
@@ -236,7 +238,7 @@
     rmSync(this.#folder, { recursive: true, force: true });
   }
 
-  async #tryStatus(entry: RunningProcess): Promise<StatusBody | undefined> {
+  async #tryReadStatus(entry: RunningProcess): Promise<StatusBody | undefined> {
     try {
       return await this.readStatus(entry);
     } catch {
@@ -244,7 +246,7 @@
     }
   }
 
-  #common(name: string): Readonly<Record<string, unknown>> {
+  #getCommonSettings(name: string): Readonly<Record<string, unknown>> {
     return {
       name,
       deployment: "test",
@@ -255,14 +257,16 @@
     };
   }
 
-  #list(
+  #addToList(
     name: string,
     role: VirtualMachine["role"],
     address: string,
     pool: string,
   ): void {
-    const others = this.#machines.filter((machine) => machine.name !== name);
-    this.#machines = [...others, {
+    const others = this.#virtualMachines.filter((virtualMachine) =>
+      virtualMachine.name !== name
+    );
+    this.#virtualMachines = [...others, {
       name,
       address,
       role,
@@ -270,7 +274,7 @@
       pool,
       state: "live",
     }];
-    this.machineList.setMachines(this.#machines);
+    this.machineList.setMachines(this.#virtualMachines);
   }
 
   #start(
@@ -319,21 +323,23 @@
  * Starts the program from its sources; environment variables select the binary or the
  * folder of the programs that each have one role instead.
  */
-export function spawnProgram(words: readonly string[]): ChildProcess {
-  const [command, ...commandWords] = commandOf(words);
-  return spawn(command, commandWords, {
+export function spawnProgram(commandLine: readonly string[]): ChildProcess {
+  const [command, ...commandArguments] = resolveCommand(commandLine);
+  return spawn(command, commandArguments, {
     stdio: ["ignore", "pipe", "pipe"],
     env: { ...process.env, LAGOONWHARF_TOKEN: TEST_TOKEN },
   });
 }
 
-function commandOf(words: readonly string[]): readonly [string, ...string[]] {
+function resolveCommand(
+  commandLine: readonly string[],
+): readonly [string, ...string[]] {
   const folder = process.env["LAGOONWHARF_PROGRAMS"];
-  const [command, role, ...others] = words;
+  const [command, role, ...others] = commandLine;
   if (folder !== undefined && command === "platform") {
     return [process.execPath, `${folder}/${role}.cjs`, ...others];
   }
   const binary = process.env["LAGOONWHARF_BINARY"];
-  if (binary !== undefined) return [binary, ...words];
-  return [process.execPath, "--import", "tsx", "src/main.ts", ...words];
+  if (binary !== undefined) return [binary, ...commandLine];
+  return [process.execPath, "--import", "tsx", "src/main.ts", ...commandLine];
 }
--- a/src/testing/reading_fleet.ts
+++ b/src/testing/reading_fleet.ts
@@ -12,11 +12,11 @@
 import { ReaderTurns } from "../direct/peers/reader_turns.ts";
 import { EventQueue } from "./event_queue.ts";
 
-const TURN_MS = 50;
-const STORE_MS = 5;
-const LATE_SHARE = 0.05;
-const LATE_MS = 900;
-const USUAL_MS = 12;
+const ACTION_INTERVAL_MS = 50;
+const STORE_DELAY_MS = 5;
+const LATE_FRACTION = 0.05;
+const MAX_LATE_DELAY_MS = 900;
+const MAX_DELAY_MS = 12;
 
 /** A fault of an entry's VM. */
 export interface FleetFault {
@@ -38,7 +38,7 @@
 }
 
 /** Results of a run. */
-export interface ReadingFleetResult {
+export interface StoreReaderFleetResult {
   /** Number of lists that entries requested from the store. */
   readonly lists: number;
   /**
@@ -49,7 +49,7 @@
 
 interface Reader {
   readonly self: ListedEntry;
-  readonly turns: ReaderTurns;
+  readonly policy: ReaderTurns;
   /** The entry knows the state of the store as of this time. */
   knownAt: number;
   /** Whether the store answered the entry's last list. */
@@ -67,7 +67,7 @@
   readonly #queue = new EventQueue();
   readonly #readers: readonly Reader[];
   #lists = 0;
-  #oldestMs = 0;
+  #maxAgeMs = 0;
 
   /** Creates the entries; the same options give the same run. */
   constructor(options: ReadingFleetOptions) {
@@ -75,51 +75,51 @@
     this.#random = new RandomSource(options.seed);
     const entries = createEntries(options);
     this.#readers = entries.map((self) => {
-      const turns = new ReaderTurns(options.leavingLimitMs);
-      turns.setCandidates(listReaderCandidates(entries, self));
+      const policy = new ReaderTurns(options.leavingLimitMs);
+      policy.setCandidates(listReaderCandidates(entries, self));
       const excusedUntil = options.leavingLimitMs;
-      return { self, turns, knownAt: 0, excusedUntil, isReached: false };
+      return { self, policy, knownAt: 0, excusedUntil, isReached: false };
     });
     for (const reader of this.#readers) {
       this.#queue.after(
-        this.#random.nextBelow(TURN_MS),
-        () => this.#turn(reader),
+        this.#random.nextBelow(ACTION_INTERVAL_MS),
+        () => this.#runAction(reader),
       );
     }
   }
 
   /** Runs up to a virtual time in milliseconds. */
-  run(untilMs: number): ReadingFleetResult {
+  run(untilMs: number): StoreReaderFleetResult {
     this.#queue.runUntil(untilMs);
-    return { lists: this.#lists, oldestMs: this.#oldestMs };
+    return { lists: this.#lists, oldestMs: this.#maxAgeMs };
   }
 
   get #now(): number {
     return this.#queue.now;
   }
 
-  #turn(reader: Reader): void {
-    this.#queue.after(TURN_MS, () => this.#turn(reader));
+  #runAction(reader: Reader): void {
+    this.#queue.after(ACTION_INTERVAL_MS, () => this.#runAction(reader));
     const { leavingLimitMs } = this.#options;
-    const reachesStore = !this.#has(reader, "turned_away");
-    if (this.#has(reader, "stands_still") || !reachesStore) {
+    const reachesStore = !this.#hasFault(reader, "turned_away");
+    if (this.#hasFault(reader, "stands_still") || !reachesStore) {
       reader.excusedUntil = this.#now + leavingLimitMs;
     }
-    if (this.#has(reader, "stands_still")) return;
-    if (!reachesStore) this.#hearPeers(reader);
+    if (this.#hasFault(reader, "stands_still")) return;
+    if (!reachesStore) this.#receiveFromPeer(reader);
     if (this.#now >= reader.excusedUntil) {
       const ageMs = this.#now - reader.knownAt;
-      this.#oldestMs = Math.max(this.#oldestMs, ageMs);
+      this.#maxAgeMs = Math.max(this.#maxAgeMs, ageMs);
     }
-    const turn = reader.turns.next(this.#now);
-    if (turn.kind === "list") this.#list(reader, reachesStore);
-    if (turn.kind === "ask") this.#ask(reader, turn.address);
+    const action = reader.policy.next(this.#now);
+    if (action.kind === "list") this.#list(reader, reachesStore);
+    if (action.kind === "ask") this.#query(reader, action.address);
   }
 
   /** An entry that the store rejects receives the state that a random peer knows. */
-  #hearPeers(reader: Reader): void {
+  #receiveFromPeer(reader: Reader): void {
     const peer = this.#readers[this.#random.nextBelow(this.#readers.length)];
-    if (peer === undefined || this.#has(peer, "stands_still")) return;
+    if (peer === undefined || this.#hasFault(peer, "stands_still")) return;
     reader.knownAt = Math.max(reader.knownAt, peer.knownAt);
   }
 
@@ -128,25 +128,25 @@
     const askedAt = this.#now;
     reader.isReached = reachesStore;
     if (!reachesStore) return;
-    this.#queue.after(STORE_MS, () => {
-      reader.turns.noteListed(askedAt);
+    this.#queue.after(STORE_DELAY_MS, () => {
+      reader.policy.noteListed(askedAt);
       reader.knownAt = Math.max(reader.knownAt, askedAt);
     });
   }
 
-  #ask(asker: Reader, address: string): void {
-    const asked = this.#readers.find(({ self }) => self.address === address);
-    if (asked === undefined) return;
+  #query(querier: Reader, address: string): void {
+    const peer = this.#readers.find(({ self }) => self.address === address);
+    if (peer === undefined) return;
     const askedAt = this.#now;
-    this.#cross(asker, asked, () => {
-      const toldAt = this.#now;
-      const { knownAt } = asked;
-      const isReading = asked.isReached || asked.turns.isLed;
-      this.#cross(asked, asker, () => {
-        const ageMs = isReading ? toldAt - knownAt : undefined;
+    this.#deliver(querier, peer, () => {
+      const answeredAt = this.#now;
+      const { knownAt } = peer;
+      const isReading = peer.isReached || peer.policy.isLed;
+      this.#deliver(peer, querier, () => {
+        const ageMs = isReading ? answeredAt - knownAt : undefined;
         const answer = { askedAt, ageMs };
-        asker.turns.noteAnswer(address, answer, this.#now);
-        asker.knownAt = Math.max(asker.knownAt, knownAt);
+        querier.policy.noteAnswer(address, answer, this.#now);
+        querier.knownAt = Math.max(querier.knownAt, knownAt);
       });
     });
   }
@@ -155,20 +155,22 @@
    * Delivers a message after a random delay. Messages to a frozen VM wait there; messages
    * to or from an entry that is cut off are lost.
    */
-  #cross(from: Reader, to: Reader, run: () => void): void {
-    const isLate = this.#random.nextFraction() < LATE_SHARE;
-    const latencyMs = 1 + this.#random.nextBelow(isLate ? LATE_MS : USUAL_MS);
-    const isCut = this.#has(from, "cut_off") || this.#has(to, "cut_off");
+  #deliver(from: Reader, to: Reader, run: () => void): void {
+    const isLate = this.#random.nextFraction() < LATE_FRACTION;
+    const latencyMs = 1 +
+      this.#random.nextBelow(isLate ? MAX_LATE_DELAY_MS : MAX_DELAY_MS);
+    const isCut = this.#hasFault(from, "cut_off") ||
+      this.#hasFault(to, "cut_off");
     if (isCut) return;
-    this.#queue.after(latencyMs, () => this.#arrive(to, run));
+    this.#queue.after(latencyMs, () => this.#receive(to, run));
   }
 
-  #arrive(to: Reader, run: () => void): void {
-    if (!this.#has(to, "stands_still")) return run();
-    this.#queue.after(TURN_MS, () => this.#arrive(to, run));
+  #receive(to: Reader, run: () => void): void {
+    if (!this.#hasFault(to, "stands_still")) return run();
+    this.#queue.after(ACTION_INTERVAL_MS, () => this.#receive(to, run));
   }
 
-  #has({ self }: Reader, kind: FleetFault["kind"]): boolean {
+  #hasFault({ self }: Reader, kind: FleetFault["kind"]): boolean {
     return this.#options.faults.some((fault) =>
       fault.kind === kind && this.#now >= fault.at &&
       this.#now < fault.at + fault.forMs &&
@@ -183,8 +185,8 @@
   return Array.from(
     { length: domains },
     (_, domain) =>
-      Array.from({ length: entriesPerDomain }, (_, place) => {
-        const name = `entry-${domain}-${place}`;
+      Array.from({ length: entriesPerDomain }, (_, index) => {
+        const name = `entry-${domain}-${index}`;
         const failureDomain = `domain-${domain}`;
         return { name, address: `${name}:1`, failureDomain };
       }),
--- a/src/testing/request_world.ts
+++ b/src/testing/request_world.ts
@@ -7,18 +7,18 @@
  */
 import { createRoutes } from "./fixtures.ts";
 import {
-  RequestWorldModel,
-  type RequestWorldOptions,
-  WORLD_POOL,
+  RequestSimulationModel,
+  type RequestSimulationOptions,
+  SIMULATION_POOL,
 } from "./request_world_model.ts";
 import type { Submission } from "./submissions.ts";
-import type { WorldCallers } from "./world_callers.ts";
-import { WorldOwnerTable } from "./world_owner_table.ts";
-import { nameOf } from "./world_targets.ts";
+import type { SimulatedCallers } from "./world_callers.ts";
+import { SimulatedOwnerTable } from "./world_owner_table.ts";
+import { getTargetName } from "./world_targets.ts";
 
 export {
-  type RequestWorldOptions,
-  WORLD_EPOCH_MS,
+  type RequestSimulationOptions as RequestWorldOptions,
+  SIMULATION_START_MS as WORLD_EPOCH_MS,
 } from "./request_world_model.ts";
 export { GONE_GRACE_MS } from "./world_owner_table.ts";
 
@@ -27,15 +27,15 @@
  * faults.
  */
 export class RequestWorld {
-  readonly #options: RequestWorldOptions;
-  readonly #model: RequestWorldModel;
-  readonly #table: WorldOwnerTable;
+  readonly #options: RequestSimulationOptions;
+  readonly #model: RequestSimulationModel;
+  readonly #table: SimulatedOwnerTable;
 
   /** Starts and connects all processes and gives every slot an owner. */
-  constructor(options: RequestWorldOptions) {
+  constructor(options: RequestSimulationOptions) {
     this.#options = options;
-    this.#model = new RequestWorldModel(options);
-    this.#table = new WorldOwnerTable(this.#model);
+    this.#model = new RequestSimulationModel(options);
+    this.#table = new SimulatedOwnerTable(this.#model);
     for (let target = 0; target < options.targets; target++) {
       this.lookAtTable(target);
       this.connectAll();
@@ -44,7 +44,7 @@
   }
 
   /** The callers with their submissions and outcomes. */
-  get callers(): WorldCallers {
+  get callers(): SimulatedCallers {
     return this.#model.callers;
   }
 
@@ -73,7 +73,7 @@
     },
   ): Submission {
     const submission = this.callers.add({ entry, ...request });
-    this.#model.toEntry(entry, {
+    this.#model.dispatchToEntry(entry, {
       kind: "request_arrived",
       now: this.now,
       request: {
@@ -92,7 +92,7 @@
   /** Closes the connection of a submission's caller. */
   abandon(submission: Submission): void {
     if (submission.outcome !== undefined) return;
-    this.#model.toEntry(submission.entry, {
+    this.#model.dispatchToEntry(submission.entry, {
       kind: "caller_gone",
       now: this.now,
       requestId: submission.id,
@@ -116,18 +116,18 @@
 
   /** Stalls the connection between an entry and a target. */
   stallBetween(entry: number, target: number): void {
-    const connection = this.#model.connections.tryBetween(entry, target);
+    const connection = this.#model.connections.tryGetBetween(entry, target);
     if (connection !== undefined) connection.isStalled = true;
   }
 
   /** Returns the slot of a key of the simulated service. */
   slotOf(key: string): number {
-    return this.#table.slotOf(key);
+    return this.#table.getSlot(key);
   }
 
   /** Returns the target that owns a key according to the owner table. */
   ownerOf(key: string): number | undefined {
-    return this.#table.ownerOf(key);
+    return this.#table.getOwner(key);
   }
 
   /** Advances one of the runs of a back end. */
@@ -147,7 +147,7 @@
 
   /** Schedules a callback at a virtual time. */
   at(time: number, run: () => void): void {
-    this.#model.at(time, run);
+    this.#model.scheduleAt(time, run);
   }
 
   /** Closes a connection; both sides notice. */
@@ -179,7 +179,7 @@
     process.isUp = false;
     process.isPaused = false;
     process.runs.clear();
-    for (const connection of this.#model.connections.ofTarget(target)) {
+    for (const connection of this.#model.connections.listByTarget(target)) {
       this.#model.disconnect(connection);
     }
   }
@@ -216,7 +216,7 @@
 
   /** Reads the owner table for a target, which processes it in {@link finishLook}. */
   startLook(target: number): void {
-    this.#table.startLook(target);
+    this.#table.startRead(target);
   }
 
   /**
@@ -224,12 +224,12 @@
    * the target.
    */
   finishLook(target: number): void {
-    this.#table.finishLook(target);
+    this.#table.finishRead(target);
   }
 
   /** Reads the owner table and claims slots immediately. */
   lookAtTable(target: number): void {
-    this.#table.lookAtTable(target);
+    this.#table.readAndClaim(target);
   }
 
   /** Releases the slots of a drained target, which then waits for their new owners. */
@@ -249,22 +249,22 @@
 
   /** Returns the number of runs that a target has started for an entry. */
   runsAt(target: number, entry: number): number {
-    return this.#model.runLog.countAt(target, entry);
+    return this.#model.runLog.countRuns(target, entry);
   }
 
   /** Returns when a target last started a run. */
   lastRunAt(target: number): number {
-    return this.#model.runLog.lastAt(target);
+    return this.#model.runLog.getLastStart(target);
   }
 
   /** Drops the next message from a target to an entry. */
   dropNext(entry: number, target: number): void {
-    this.#model.connections.tryBetween(entry, target)?.toEntry.shift();
+    this.#model.connections.tryGetBetween(entry, target)?.toEntry.shift();
   }
 
   /** Sets whether a target is leaving, as it learns from the list or the settings. */
   setLeaving(target: number, isLeaving: boolean): void {
-    this.#model.toTarget(target, {
+    this.#model.dispatchToTarget(target, {
       kind: "leaving_set",
       now: this.now,
       isLeaving,
@@ -274,15 +274,15 @@
   /** Makes entries read in the list that a target is leaving. */
   listLeaving(entries: readonly number[], target: number): void {
     for (const entry of entries) {
-      this.#model.toEntry(entry, {
+      this.#model.dispatchToEntry(entry, {
         kind: "machines_listed",
         now: this.now,
         machines: [{
-          name: nameOf(target),
+          name: getTargetName(target),
           address: "127.0.0.1:1",
           role: "target",
           failureDomain: `domain-${target}`,
-          pool: WORLD_POOL,
+          pool: SIMULATION_POOL,
           state: "leaving",
         }],
       });
@@ -292,11 +292,11 @@
   /** Applies settings to entries in which a target is leaving. */
   setLeavingBySettings(entries: readonly number[], target: number): void {
     for (const entry of entries) {
-      this.#model.toEntry(entry, {
+      this.#model.dispatchToEntry(entry, {
         kind: "settings_in_force",
         now: this.now,
         routes: createRoutes({ service: this.#options.service }),
-        leavingTargets: new Set([nameOf(target)]),
+        leavingTargets: new Set([getTargetName(target)]),
       });
     }
   }
@@ -305,7 +305,10 @@
   drain(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp || process.isPaused) return;
-    this.#model.toTarget(target, { kind: "drain_requested", now: this.now });
+    this.#model.dispatchToTarget(target, {
+      kind: "drain_requested",
+      now: this.now,
+    });
   }
 
   /** Checks the conditions that must hold at every moment. */
--- a/src/testing/request_world_model.ts
+++ b/src/testing/request_world_model.ts
@@ -11,45 +11,45 @@
 import type { TargetEffect, TargetEvent } from "../target/types.ts";
 import { createRoutes } from "./fixtures.ts";
 import { RunLog } from "./run_log.ts";
-import { WorldCallers } from "./world_callers.ts";
+import { SimulatedCallers } from "./world_callers.ts";
 import {
   type Connection,
-  isBusy,
-  WorldConnections,
+  hasMessages,
+  SimulatedConnections,
 } from "./world_connections.ts";
 import {
-  nameOf,
-  WorldTargets,
-  type WorldTargetsOptions,
+  getTargetName,
+  SimulatedTargets,
+  type SimulatedTargetsOptions,
 } from "./world_targets.ts";
 
 /** Wall-clock milliseconds at which every simulation begins. */
-export const WORLD_EPOCH_MS = Date.UTC(2026, 11, 2);
+export const SIMULATION_START_MS = Date.UTC(2026, 11, 2);
 /** The pool of all targets. */
-export const WORLD_POOL = "confirm";
+export const SIMULATION_POOL = "confirm";
 
 const STEP_MS = 1000;
 
 /** Options of a simulation of requests. */
-export interface RequestWorldOptions extends WorldTargetsOptions {
+export interface RequestSimulationOptions extends SimulatedTargetsOptions {
   readonly entries: number;
   /** Lines added to the service's settings. */
   readonly service?: readonly string[];
 }
 
 /** Entries, targets, callers and the messages between them. */
-export class RequestWorldModel {
-  readonly callers = new WorldCallers();
-  readonly connections = new WorldConnections();
+export class RequestSimulationModel {
+  readonly callers = new SimulatedCallers();
+  readonly connections = new SimulatedConnections();
   readonly runLog = new RunLog();
-  readonly targets: WorldTargets;
+  readonly targets: SimulatedTargets;
   #now = 1000;
-  #planned: { readonly time: number; readonly run: () => void }[] = [];
+  #scheduled: { readonly time: number; readonly run: () => void }[] = [];
   readonly #entries: EntryReducer[] = [];
-  readonly #options: RequestWorldOptions;
+  readonly #options: RequestSimulationOptions;
 
   /** Starts all processes without connecting them. */
-  constructor(options: RequestWorldOptions) {
+  constructor(options: RequestSimulationOptions) {
     this.#options = options;
     for (let entry = 0; entry < options.entries; entry++) {
       this.#entries.push(
@@ -58,13 +58,13 @@
           random: new RandomSource(entry + 1),
         }),
       );
-      this.toEntry(entry, {
+      this.dispatchToEntry(entry, {
         kind: "settings_in_force",
         now: this.#now,
         routes: createRoutes({ service: options.service }),
       });
     }
-    this.targets = new WorldTargets(options, this.#now);
+    this.targets = new SimulatedTargets(options, this.#now);
   }
 
   /** Milliseconds of the virtual monotonic clock. */
@@ -73,34 +73,34 @@
   }
 
   /** Schedules a callback at a virtual time. */
-  at(time: number, run: () => void): void {
-    this.#planned.push({ time, run });
+  scheduleAt(time: number, run: () => void): void {
+    this.#scheduled.push({ time, run });
   }
 
   /** Advances time in small steps for all processes that are not paused. */
   tick(milliseconds: number): void {
     const end = this.#now + milliseconds;
-    while (this.#now < end) this.#step(Math.min(STEP_MS, end - this.#now));
+    while (this.#now < end) this.#advance(Math.min(STEP_MS, end - this.#now));
   }
 
-  #step(milliseconds: number): void {
+  #advance(milliseconds: number): void {
     this.#now += milliseconds;
-    const due = this.#planned.filter((one) => one.time <= this.#now);
-    this.#planned = this.#planned.filter((one) => one.time > this.#now);
+    const due = this.#scheduled.filter((one) => one.time <= this.#now);
+    this.#scheduled = this.#scheduled.filter((one) => one.time > this.#now);
     for (const { run } of due) run();
     for (const [entry] of this.#entries.entries()) {
-      this.toEntry(entry, { kind: "tick", now: this.#now });
+      this.dispatchToEntry(entry, { kind: "tick", now: this.#now });
     }
     for (const [target, process] of this.targets.all.entries()) {
       if (!process.isUp || process.isPaused) continue;
-      this.toTarget(target, { kind: "tick", now: this.#now });
+      this.dispatchToTarget(target, { kind: "tick", now: this.#now });
     }
   }
 
   /** Delivers the next message of a connection, chosen by number. */
   deliver(choice: number): void {
     const open = this.connections.all().filter((one) =>
-      this.#isOpen(one) && isBusy(one)
+      this.#isOpen(one) && hasMessages(one)
     );
     const connection = open[choice % Math.max(1, open.length)];
     if (connection === undefined) return;
@@ -124,7 +124,7 @@
     const process = this.targets.get(target);
     if (process.isPaused) return;
     const event = process.runs.tryProgress(choice, this.#now);
-    if (event !== undefined) this.toTarget(target, event);
+    if (event !== undefined) this.dispatchToTarget(target, event);
   }
 
   /** Fails one of the runs of a back end. */
@@ -132,7 +132,7 @@
     const process = this.targets.get(target);
     if (process.isPaused) return;
     const event = process.runs.tryFail(choice, this.#now);
-    if (event !== undefined) this.toTarget(target, event);
+    if (event !== undefined) this.dispatchToTarget(target, event);
   }
 
   /** Connects every entry and target that are not connected. */
@@ -147,13 +147,13 @@
   /** Delivers every message and completes every run. */
   settle(): void {
     for (let round = 0; round < 10_000; round++) {
-      const isQuiet = this.connections.all().every((one) =>
-        !this.#isOpen(one) || !isBusy(one)
+      const hasNoMessages = this.connections.all().every((one) =>
+        !this.#isOpen(one) || !hasMessages(one)
       );
       const isIdle = this.targets.all.every((one) =>
         one.isPaused || one.runs.size === 0
       );
-      if (isQuiet && isIdle) return;
+      if (hasNoMessages && isIdle) return;
       for (const connection of this.connections.all()) {
         if (!this.#isOpen(connection)) continue;
         this.#deliverToTarget(connection);
@@ -163,7 +163,7 @@
         this.progressRun(target, 0);
       }
     }
-    assert.fail("The world does not come to rest");
+    assert.fail("The simulation does not settle");
   }
 
   /** Closes a connection; both sides notice. */
@@ -171,44 +171,44 @@
     this.connections.remove(connection);
     const process = this.targets.get(connection.target);
     if (process.isUp && !process.isPaused) {
-      this.toTarget(connection.target, {
+      this.dispatchToTarget(connection.target, {
         kind: "link_closed",
         now: this.#now,
         linkId: connection.id,
       });
     }
-    this.toEntry(connection.entry, {
+    this.dispatchToEntry(connection.entry, {
       kind: "target_disconnected",
       now: this.#now,
-      targetName: nameOf(connection.target),
+      targetName: getTargetName(connection.target),
     });
   }
 
   /** Passes an event to an entry. */
-  toEntry(entry: number, event: EntryEvent): void {
+  dispatchToEntry(entry: number, event: EntryEvent): void {
     const reducer = this.#entries[entry] as EntryReducer;
     for (const effect of reducer.reduce(event)) {
-      this.#performEntry(entry, effect);
+      this.#performEntryEffect(entry, effect);
     }
   }
 
   /** Passes an event to a target. */
-  toTarget(target: number, event: TargetEvent): void {
+  dispatchToTarget(target: number, event: TargetEvent): void {
     const process = this.targets.get(target);
     for (const effect of process.reducer.reduce(event)) {
-      this.performTarget(target, effect);
+      this.performTargetEffect(target, effect);
     }
   }
 
   /** Performs an effect of a target. */
-  performTarget(target: number, effect: TargetEffect): void {
+  performTargetEffect(target: number, effect: TargetEffect): void {
     const process = this.targets.get(target);
     switch (effect.kind) {
       case "reply":
         this.connections.tryGet(effect.linkId)?.toEntry.push(effect.message);
         return;
       case "broadcast":
-        for (const connection of this.connections.ofTarget(target)) {
+        for (const connection of this.connections.listByTarget(target)) {
           connection.toEntry.push(effect.message);
         }
         return;
@@ -217,7 +217,7 @@
           .find(([name]) => name === "x-submission");
         const submission = this.callers.get(Number(header?.[1]));
         this.callers.countRun(submission);
-        this.runLog.note({
+        this.runLog.record({
           target,
           entry: submission.entry,
           at: this.#now,
@@ -226,7 +226,7 @@
         return;
       }
       case "cancel_back_end":
-        return this.toTarget(
+        return this.dispatchToTarget(
           target,
           process.runs.end(effect.runId, this.#now),
         );
@@ -247,21 +247,21 @@
     const process = this.targets.get(target);
     if (!process.isUp || process.isPaused) return;
     const isConnected =
-      this.connections.tryBetween(entry, target) !== undefined;
+      this.connections.tryGetBetween(entry, target) !== undefined;
     if (isConnected) return;
     const connection = this.connections.add(entry, target);
-    this.toEntry(entry, {
+    this.dispatchToEntry(entry, {
       kind: "target_connected",
       now: this.#now,
       target: {
-        name: nameOf(target),
+        name: getTargetName(target),
         incarnation: String(process.incarnation),
         failureDomain: `domain-${target}`,
-        pool: WORLD_POOL,
+        pool: SIMULATION_POOL,
         concurrency: this.#options.concurrency ?? 2,
       },
     });
-    this.toTarget(target, {
+    this.dispatchToTarget(target, {
       kind: "link_opened",
       now: this.#now,
       linkId: connection.id,
@@ -271,10 +271,10 @@
   #deliverToTarget(connection: Connection): void {
     const message = connection.toTarget.shift();
     if (message === undefined) return;
-    this.toTarget(connection.target, {
+    this.dispatchToTarget(connection.target, {
       kind: "message_received",
       now: this.#now,
-      wallNow: WORLD_EPOCH_MS + this.#now,
+      wallNow: SIMULATION_START_MS + this.#now,
       linkId: connection.id,
       message,
     });
@@ -283,19 +283,19 @@
   #deliverToEntry(connection: Connection): void {
     const message = connection.toEntry.shift();
     if (message === undefined) return;
-    this.toEntry(connection.entry, {
+    this.dispatchToEntry(connection.entry, {
       kind: "message_received",
       now: this.#now,
-      targetName: nameOf(connection.target),
+      targetName: getTargetName(connection.target),
       message,
     });
   }
 
-  #performEntry(entry: number, effect: EntryEffect): void {
-    if (effect.kind !== "send") return this.callers.note(effect);
+  #performEntryEffect(entry: number, effect: EntryEffect): void {
+    if (effect.kind !== "send") return this.callers.recordEffect(effect);
     this.connections.all()
       .find((one) =>
-        one.entry === entry && nameOf(one.target) === effect.targetName
+        one.entry === entry && getTargetName(one.target) === effect.targetName
       )
       ?.toTarget.push(effect.message);
   }
--- a/src/testing/run_log.ts
+++ b/src/testing/run_log.ts
@@ -5,7 +5,7 @@
  */
 
 /** One run that a target started. */
-export interface RunTime {
+export interface RunRecord {
   readonly target: number;
   readonly entry: number;
   /** Milliseconds of the virtual clock. */
@@ -14,22 +14,22 @@
 
 /** The runs that targets have started. */
 export class RunLog {
-  readonly #times: RunTime[] = [];
+  readonly #times: RunRecord[] = [];
 
   /** Records the start of a run. */
-  note(time: RunTime): void {
+  record(time: RunRecord): void {
     this.#times.push(time);
   }
 
   /** Returns the number of runs that a target has started for an entry. */
-  countAt(target: number, entry: number): number {
+  countRuns(target: number, entry: number): number {
     return this.#times.filter((one) =>
       one.target === target && one.entry === entry
     ).length;
   }
 
   /** Returns when a target last started a run. */
-  lastAt(target: number): number {
+  getLastStart(target: number): number {
     const times = this.#times.filter((one) => one.target === target)
       .map((one) => one.at);
     return Math.max(Number.NEGATIVE_INFINITY, ...times);
--- a/src/testing/spoken_notices.ts
+++ b/src/testing/spoken_notices.ts
@@ -23,7 +23,7 @@
 }
 
 /** A time in which a target rejects all requests. */
-export interface Refusing {
+export interface RejectionPeriod {
   /** Milliseconds since callers started. */
   readonly from: number;
   readonly to: number;
@@ -34,7 +34,7 @@
 }
 
 /** A time from which a target announces that it leaves. */
-export interface SaidLeaving {
+export interface LeavingAnnouncement {
   /** Milliseconds since callers started. */
   readonly at: number;
   /** Number of the target, from 0. */
@@ -44,12 +44,12 @@
 /** The notices that targets send during a run. */
 export interface NoticePlan {
   readonly changes: readonly LimitChange[];
-  readonly refusing?: readonly Refusing[];
-  readonly leaving?: readonly SaidLeaving[];
+  readonly refusing?: readonly RejectionPeriod[];
+  readonly leaving?: readonly LeavingAnnouncement[];
 }
 
 /** Answers requests with the notices of a plan. */
-export class SpokenNotices {
+export class PlannedNotices {
   readonly #plan: NoticePlan;
 
   /** Creates answers according to the plan. */
@@ -62,28 +62,31 @@
    * callers started.
    */
   answer(
-    place: AttemptIdentity,
+    attemptId: AttemptIdentity,
     target: number,
     at: number,
   ): readonly AttemptMessage[] {
-    const refusing = this.#plan.refusing?.find((one) =>
+    const rejection = this.#plan.refusing?.find((one) =>
       one.target === target && one.from <= at && at < one.to
     );
-    if (refusing !== undefined) {
-      const milliseconds = refusing.askedMs;
+    if (rejection !== undefined) {
+      const milliseconds = rejection.askedMs;
       const notice = createNotice({
         backoff: { kind: "backoff", milliseconds },
       });
-      return [{ ...createRefused(place, "BACK_END_FULL"), notice }];
+      return [{ ...createRefused(attemptId, "BACK_END_FULL"), notice }];
     }
     const notice = createNotice({
-      rateLimit: this.#limitOf(target, at),
-      leaving: this.#leavingOf(target, at),
+      rateLimit: this.#getRateLimit(target, at),
+      leaving: this.#getLeaving(target, at),
     });
-    return createEmptyAnswer(place).map((message) => ({ ...message, notice }));
+    return createEmptyAnswer(attemptId).map((message) => ({
+      ...message,
+      notice,
+    }));
   }
 
-  #limitOf(target: number, at: number) {
+  #getRateLimit(target: number, at: number) {
     const change = this.#plan.changes.findLast((one) =>
       one.target === target && one.at <= at
     );
@@ -92,11 +95,11 @@
       : { kind: "limit", perSecond: change.perSecond } as const;
   }
 
-  #leavingOf(target: number, at: number) {
-    const hasSaid = this.#plan.leaving?.some((one) =>
+  #getLeaving(target: number, at: number) {
+    const hasAnnounced = this.#plan.leaving?.some((one) =>
       one.target === target && one.at <= at
     );
-    return hasSaid === true
+    return hasAnnounced === true
       ? { kind: "leaving" } as const
       : { kind: "none" } as const;
   }
--- a/src/testing/submissions.ts
+++ b/src/testing/submissions.ts
@@ -33,7 +33,7 @@
 }
 
 /** Returns the text of the answer, which is different for every request. */
-export function answerTo(submission: Submission): string {
+export function createAnswer(submission: Submission): string {
   const what = submission.key ?? `submission ${submission.id}`;
   return `[answer to ${what} with ${submission.body}]`;
 }
@@ -46,13 +46,17 @@
   }
   if (outcome === undefined) return;
   if (outcome.body !== undefined) {
-    assert.equal(outcome.body, answerTo(submission), "Not its whole answer");
+    assert.equal(
+      outcome.body,
+      createAnswer(submission),
+      "Not the complete answer to this submission",
+    );
   }
   if (outcome.problem?.submission === "not-run") {
     assert.equal(
       runs,
       0,
-      `Submission ${submission.id} is said not to have run`,
+      `Submission ${submission.id} ran but was reported as not run`,
     );
   }
 }
--- a/src/testing/switch_orders_world.ts
+++ b/src/testing/switch_orders_world.ts
@@ -35,14 +35,14 @@
 /** Milliseconds; more than any order waits until it is sent again. */
 const TICK_MS = 1500;
 /** Probability of a proposal; it has an effect only while no switch is in progress. */
-const CHANCE_OF_PROPOSAL = 0.05;
+const PROPOSAL_PROBABILITY = 0.05;
 
 /** Probability that each kind of event is the next one, chosen at random for each run. */
-interface Chances {
+interface Probabilities {
   readonly pass: number;
   readonly tick: number;
   /** The holder's sidecar assumes that a held pass was abandoned. */
-  readonly look: number;
+  readonly recovery: number;
   /** A process ends. */
   readonly end: number;
   /** An undelivered message is lost. */
@@ -56,41 +56,41 @@
   readonly rank: number;
   decider: FormedGroupDecider;
   /** Grows with each incarnation; messages to an earlier one are dropped. */
-  life: number;
+  incarnation: number;
 }
 
 /** A small formed group in which the next event is chosen at random. */
 export class SwitchOrdersWorld {
   readonly #random: RandomSource;
-  readonly #chances: Chances;
+  readonly #probabilities: Probabilities;
   readonly #engines = Array.from(
     { length: RANKS },
     (_, rank) => new FakeFormedEngine(rank, RANKS),
   );
   readonly #decider: Process;
-  readonly #rescuer: Process;
+  readonly #recovery: Process;
   /** All undelivered messages. */
   readonly #pending: (() => void)[] = [];
   readonly #mixedPasses: number[] = [];
   #now = 0;
-  #lives = 0;
-  #maps = 0;
+  #incarnations = 0;
+  #proposedMaps = 0;
   #switches = 0;
 
   /** Creates a group; the same seed gives the same run. */
   constructor(seed: number) {
     this.#random = new RandomSource(seed);
-    const upTo = (most: number) => most * this.#random.nextFraction();
-    this.#chances = {
+    const upTo = (max: number) => max * this.#random.nextFraction();
+    this.#probabilities = {
       pass: upTo(0.08),
       tick: upTo(0.2),
-      look: upTo(0.05),
+      recovery: upTo(0.05),
       end: upTo(0.005),
       loss: upTo(0.15),
       repeat: upTo(0.3),
     };
     this.#decider = this.#createProcess(0);
-    this.#rescuer = this.#createProcess(HOLDER);
+    this.#recovery = this.#createProcess(HOLDER);
   }
 
   /** Runs a number of events. */
@@ -100,53 +100,53 @@
   }
 
   #createProcess(rank: number): Process {
-    return { rank, decider: this.#createDecider(rank), life: 0 };
+    return { rank, decider: this.#createDecider(rank), incarnation: 0 };
   }
 
   #createDecider(rank: number): FormedGroupDecider {
     return new FormedGroupDecider({
-      state: this.#engine(rank).state,
+      state: this.#getEngine(rank).state,
       random: this.#random,
       now: this.#now,
-      firstOrderId: this.#lives++ * 2 ** 20,
+      firstOrderId: this.#incarnations++ * 2 ** 20,
     });
   }
 
   #next(): void {
-    const { pass, tick, look, end } = this.#chances;
-    if (this.#isDrawn(pass)) return this.#pass();
-    if (this.#isDrawn(tick)) return this.#tick();
-    if (this.#isDrawn(look)) return this.#look();
-    if (this.#isDrawn(end)) return this.#end();
-    this.#takePending();
+    const { pass, tick, recovery, end } = this.#probabilities;
+    if (this.#isChosen(pass)) return this.#pass();
+    if (this.#isChosen(tick)) return this.#tick();
+    if (this.#isChosen(recovery)) return this.#reportHeldPass();
+    if (this.#isChosen(end)) return this.#restartRandom();
+    this.#deliverPending();
   }
 
-  #takePending(): void {
-    if (this.#pending.length === 0 || this.#isDrawn(CHANCE_OF_PROPOSAL)) {
+  #deliverPending(): void {
+    if (this.#pending.length === 0 || this.#isChosen(PROPOSAL_PROBABILITY)) {
       this.#propose();
     }
     if (this.#pending.length === 0) return;
     const index = this.#random.nextBelow(this.#pending.length);
     const [run] = this.#pending.splice(index, 1);
-    if (this.#isDrawn(this.#chances.repeat)) {
+    if (this.#isChosen(this.#probabilities.repeat)) {
       this.#pending.push(run as () => void);
     }
-    if (!this.#isDrawn(this.#chances.loss)) run?.();
+    if (!this.#isChosen(this.#probabilities.loss)) run?.();
   }
 
   #pass(): void {
-    const next = this.#engine(0).state.pass + 1;
+    const next = this.#getEngine(0).state.pass + 1;
     if (this.#engines.some((engine) => !engine.mayBeginPass(next))) return;
-    const before = this.#engine(0).active.version;
+    const before = this.#getEngine(0).active.version;
     for (const engine of this.#engines) engine.beginPass(next);
     const versions = new Set(this.#engines.map(({ active }) => active.version));
     if (versions.size > 1) this.#mixedPasses.push(next);
-    if (this.#engine(0).active.version !== before) this.#switches++;
+    if (this.#getEngine(0).active.version !== before) this.#switches++;
   }
 
   #tick(): void {
     this.#now += TICK_MS;
-    const process = this.#isDrawn(0.5) ? this.#decider : this.#rescuer;
+    const process = this.#isChosen(0.5) ? this.#decider : this.#recovery;
     this.#reduce(process, { kind: "tick", now: this.#now });
   }
 
@@ -154,10 +154,10 @@
    * Reports the held pass to the process that recovers switches, as the holder's sidecar
    * does when it assumes that the pass was abandoned.
    */
-  #look(): void {
-    const { state } = this.#engine(HOLDER);
-    if (state.heldPass === undefined) return this.#restart(this.#rescuer);
-    this.#reduce(this.#rescuer, {
+  #reportHeldPass(): void {
+    const { state } = this.#getEngine(HOLDER);
+    if (state.heldPass === undefined) return this.#restart(this.#recovery);
+    this.#reduce(this.#recovery, {
       kind: "rank_reported",
       now: this.#now,
       rank: HOLDER,
@@ -165,17 +165,17 @@
     });
   }
 
-  #end(): void {
-    this.#restart(this.#isDrawn(0.5) ? this.#decider : this.#rescuer);
+  #restartRandom(): void {
+    this.#restart(this.#isChosen(0.5) ? this.#decider : this.#recovery);
   }
 
   #restart(process: Process): void {
-    process.life++;
+    process.incarnation++;
     process.decider = this.#createDecider(process.rank);
   }
 
   #propose(): void {
-    const map: ExpertMap = { layers: [{ experts: [[this.#maps++]] }] };
+    const map: ExpertMap = { layers: [{ experts: [[this.#proposedMaps++]] }] };
     this.#reduce(this.#decider, { kind: "map_proposed", now: this.#now, map });
   }
 
@@ -206,12 +206,12 @@
     orderId?: number,
     order?: RankOrder,
   ): void {
-    const { life } = process;
-    const { state } = this.#engine(rank);
+    const { incarnation } = process;
+    const { state } = this.#getEngine(rank);
     const isDone = order && isCarriedOut(order, state);
     const experts = [[rank]];
     this.#pending.push(() => {
-      if (life !== process.life) return;
+      if (incarnation !== process.incarnation) return;
       this.#reduce(process, {
         kind: "rank_reported",
         now: this.#now,
@@ -222,24 +222,24 @@
   }
 
   #apply(rank: number, order: RankOrder): void {
-    const engine = this.#engine(rank);
-    const isAccepted = engine.execute(engineOrderOf(order));
+    const engine = this.#getEngine(rank);
+    const isAccepted = engine.execute(toEngineOrder(order));
     if (!isAccepted || !("version" in order)) return;
     if (order.kind === "fence") return engine.finishLoading(order.version);
     if (order.kind !== "prepare") return;
     this.#pending.push(() => engine.finishLoading(order.version));
   }
 
-  #isDrawn(chance: number): boolean {
-    return this.#random.nextFraction() < chance;
+  #isChosen(probability: number): boolean {
+    return this.#random.nextFraction() < probability;
   }
 
-  #engine(rank: number): FakeFormedEngine {
+  #getEngine(rank: number): FakeFormedEngine {
     return this.#engines[rank] as FakeFormedEngine;
   }
 }
 
-function engineOrderOf(order: RankOrder): EngineOrder {
+function toEngineOrder(order: RankOrder): EngineOrder {
   if (order.kind !== "fence") return order;
   return { ...order, kind: "prepare", map: { layers: [] } };
 }
--- a/src/testing/tcp_relay.ts
+++ b/src/testing/tcp_relay.ts
@@ -10,16 +10,16 @@
 import { findFreeAddress } from "./free_address.ts";
 
 /** The direction of bytes through a relay. */
-type Way = "to_target" | "from_target";
+type Direction = "to_target" | "from_target";
 
 /** A relay between two processes. */
 export class TcpRelay {
   readonly #address: string;
-  readonly #sockets: Readonly<Record<Way, Set<Socket>>> = {
+  readonly #sockets: Readonly<Record<Direction, Set<Socket>>> = {
     to_target: new Set(),
     from_target: new Set(),
   };
-  readonly #frozen = new Set<Way>();
+  readonly #frozen = new Set<Direction>();
   #isCut = false;
   #delayMs = 0;
   readonly #server;
@@ -52,7 +52,7 @@
 
   /** Closes open connections; new ones work. */
   reset(): void {
-    for (const socket of this.#all()) socket.destroy();
+    for (const socket of this.#getSockets()) socket.destroy();
   }
 
   /** Stops relaying without closing connections. */
@@ -76,7 +76,7 @@
     this.#isCut = false;
     this.#delayMs = 0;
     this.#frozen.clear();
-    for (const socket of this.#all()) socket.resume();
+    for (const socket of this.#getSockets()) socket.resume();
   }
 
   /** Closes the relay. */
@@ -92,35 +92,37 @@
     }
     const { hostname, port } = parseAddress(target);
     const other = connect(port, hostname);
-    this.#pass("to_target", socket, other);
-    this.#pass("from_target", other, socket);
+    this.#relay("to_target", socket, other);
+    this.#relay("from_target", other, socket);
   }
 
-  #pass(way: Way, from: Socket, to: Socket): void {
-    this.#sockets[way].add(from);
-    let passedOn = Promise.resolve();
+  #relay(direction: Direction, from: Socket, to: Socket): void {
+    this.#sockets[direction].add(from);
+    let pendingWrites = Promise.resolve();
     from.on("data", (data) => {
       if (this.#delayMs === 0) {
-        passedOn = passedOn.then(() => void to.write(data));
+        pendingWrites = pendingWrites.then(() => void to.write(data));
         return;
       }
       const due = sleep(this.#delayMs);
-      passedOn = passedOn.then(() => due).then(() => void to.write(data));
+      pendingWrites = pendingWrites.then(() => due).then(() =>
+        void to.write(data)
+      );
     });
     from.on("error", () => to.destroy());
     from.on("close", () => {
-      this.#sockets[way].delete(from);
-      passedOn = passedOn.then(() => void to.destroySoon());
+      this.#sockets[direction].delete(from);
+      pendingWrites = pendingWrites.then(() => void to.destroySoon());
     });
-    if (this.#frozen.has(way)) from.pause();
+    if (this.#frozen.has(direction)) from.pause();
   }
 
-  #freeze(way: Way): void {
-    this.#frozen.add(way);
-    for (const socket of this.#sockets[way]) socket.pause();
+  #freeze(direction: Direction): void {
+    this.#frozen.add(direction);
+    for (const socket of this.#sockets[direction]) socket.pause();
   }
 
-  #all(): readonly Socket[] {
+  #getSockets(): readonly Socket[] {
     return [...this.#sockets.to_target, ...this.#sockets.from_target];
   }
 }
--- a/src/testing/unregistered_store.ts
+++ b/src/testing/unregistered_store.ts
@@ -8,7 +8,7 @@
 /** A store that rejects registrations. */
 export abstract class UnregisteredStore extends WatchedStore {
   override register(): Promise<StoreLease> {
-    return Promise.reject(new Error("not here"));
+    return Promise.reject(new Error("Registrations are not supported"));
   }
 
   override renew(): Promise<boolean> {
--- a/src/testing/world_callers.ts
+++ b/src/testing/world_callers.ts
@@ -22,7 +22,7 @@
 }
 
 /** The callers of a simulation. */
-export class WorldCallers {
+export class SimulatedCallers {
   readonly submissions: Submission[] = [];
   /** Number of times that the request of a key started to run. */
   readonly runsByKey = new Map<string, number>();
@@ -61,7 +61,7 @@
   }
 
   /** Records an effect of an entry that concerns a caller. */
-  note(effect: EntryEffect): void {
+  recordEffect(effect: EntryEffect): void {
     switch (effect.kind) {
       case "continue_answer":
         this.get(effect.requestId).streamed += Buffer.from(effect.bytes)
@@ -69,23 +69,26 @@
         return;
       case "finish_answer": {
         const { streamed } = this.get(effect.requestId);
-        return this.#told(effect.requestId, {
+        return this.#recordOutcome(effect.requestId, {
           status: 200,
           body: streamed,
           isCut: false,
         });
       }
       case "whole_answer":
-        return this.#told(effect.requestId, {
+        return this.#recordOutcome(effect.requestId, {
           status: effect.status,
           body: Buffer.concat(effect.body).toString(),
           isCut: false,
         });
       case "cut_answer":
         this.cutAnswers++;
-        return this.#told(effect.requestId, { status: 200, isCut: true });
+        return this.#recordOutcome(effect.requestId, {
+          status: 200,
+          isCut: true,
+        });
       case "refuse_request":
-        return this.#told(effect.requestId, {
+        return this.#recordOutcome(effect.requestId, {
           status: effect.problem.status,
           problem: effect.problem,
           isCut: false,
@@ -106,13 +109,17 @@
     for (const submission of this.submissions) checkSubmission(submission);
   }
 
-  #told(id: number, outcome: CallerOutcome): void {
+  #recordOutcome(id: number, outcome: CallerOutcome): void {
     const submission = this.get(id);
-    assert.equal(submission.outcome, undefined, "A caller is told once");
+    assert.equal(
+      submission.outcome,
+      undefined,
+      "A caller received more than one outcome",
+    );
     submission.outcome = outcome;
     const { key } = submission;
     if (key === undefined || outcome.problem?.outcome !== "not-run") return;
     const runs = this.runsByKey.get(key) ?? 0;
-    assert.equal(runs, 0, `Key ${key} has run and is said not to have`);
+    assert.equal(runs, 0, `Key ${key} ran but was reported as not run`);
   }
 }
--- a/src/testing/world_connections.ts
+++ b/src/testing/world_connections.ts
@@ -17,7 +17,7 @@
 }
 
 /** Connections between entries and targets, at most one for each pair. */
-export class WorldConnections {
+export class SimulatedConnections {
   #connections: Connection[] = [];
   #nextId = 1;
 
@@ -27,12 +27,12 @@
   }
 
   /** Returns the connections of a target. */
-  ofTarget(target: number): readonly Connection[] {
+  listByTarget(target: number): readonly Connection[] {
     return this.#connections.filter((one) => one.target === target);
   }
 
   /** Returns the connection between an entry and a target, if there is one. */
-  tryBetween(entry: number, target: number): Connection | undefined {
+  tryGetBetween(entry: number, target: number): Connection | undefined {
     return this.#connections.find((one) =>
       one.entry === entry && one.target === target
     );
@@ -74,6 +74,6 @@
 }
 
 /** Returns whether a connection has undelivered messages. */
-export function isBusy({ toTarget, toEntry }: Connection): boolean {
+export function hasMessages({ toTarget, toEntry }: Connection): boolean {
   return toTarget.length > 0 || toEntry.length > 0;
 }
--- a/src/testing/world_owner_table.ts
+++ b/src/testing/world_owner_table.ts
@@ -14,32 +14,32 @@
   tryRelease,
 } from "../target/owner_table.ts";
 import {
-  type RequestWorldModel,
-  WORLD_EPOCH_MS,
+  type RequestSimulationModel,
+  SIMULATION_START_MS,
 } from "./request_world_model.ts";
-import { nameOf } from "./world_targets.ts";
+import { getTargetName } from "./world_targets.ts";
 
 /** Milliseconds for which a VM must be gone before it loses its slots. */
 export const GONE_GRACE_MS = 60_000;
 
 /** A connection id that no entry has. */
-const SUCCESSOR_LINK = -1;
+const SUCCESSOR_LINK_ID = -1;
 const SERVICE = "/organisations/andamaq/services/confirm";
 
 /** The owner table, with the actions of targets on it. */
-export class WorldOwnerTable {
+export class SimulatedOwnerTable {
   /** Whether the table can be neither read nor written. */
   isDown = false;
-  #table: OwnerTable = createOwnerTable(WORLD_EPOCH_MS);
-  readonly #model: RequestWorldModel;
+  #table: OwnerTable = createOwnerTable(SIMULATION_START_MS);
+  readonly #model: RequestSimulationModel;
 
   /** Creates a table in which no slot has an owner. */
-  constructor(model: RequestWorldModel) {
+  constructor(model: RequestSimulationModel) {
     this.#model = model;
   }
 
   /** Returns the slot of a key of the simulated service. */
-  slotOf(key: string): number {
+  getSlot(key: string): number {
     return slotOf(fingerprintOf({
       organisation: "andamaq",
       service: SERVICE,
@@ -48,36 +48,36 @@
   }
 
   /** Returns the target that owns a key according to the table. */
-  ownerOf(key: string): number | undefined {
-    const state = this.#table.slots[this.slotOf(key)];
+  getOwner(key: string): number | undefined {
+    const state = this.#table.slots[this.getSlot(key)];
     if (state?.kind !== "taken") return undefined;
     return this.#model.targets.findNumber(state.targetName);
   }
 
-  /** Reads the owner table for a target, which processes it in {@link finishLook}. */
-  startLook(target: number): void {
+  /** Reads the owner table for a target, which processes it in {@link finishRead}. */
+  startRead(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp || process.isPaused || this.isDown) return;
-    process.read = { table: this.#table, askedAt: this.#model.now };
+    process.tableRead = { table: this.#table, askedAt: this.#model.now };
   }
 
   /**
    * Claims slots according to the table that was read: by compare-and-swap first, then in
    * the target.
    */
-  finishLook(target: number): void {
+  finishRead(target: number): void {
     const process = this.#model.targets.get(target);
-    const { read } = process;
-    if (read === undefined || !process.isUp || process.isPaused) return;
-    process.read = undefined;
+    const { tableRead } = process;
+    if (tableRead === undefined || !process.isUp || process.isPaused) return;
+    process.tableRead = undefined;
     if (this.isDown) return;
     const owner = {
-      targetName: nameOf(target),
+      targetName: getTargetName(target),
       incarnation: String(process.incarnation),
     };
-    const next = tryClaim(read.table, {
+    const next = tryClaim(tableRead.table, {
       ...owner,
-      wallNow: WORLD_EPOCH_MS + this.#model.now,
+      wallNow: SIMULATION_START_MS + this.#model.now,
       liveTargets: this.#model.targets.all.filter((one) =>
         one.goneAt === undefined
       )
@@ -85,22 +85,22 @@
       isGone: (name) => this.#isGone(name),
     });
     if (next !== undefined) {
-      if (this.#table.version !== read.table.version) return;
+      if (this.#table.version !== tableRead.table.version) return;
       this.#table = next;
-      process.taken.push(...releasedSlotsTaken(read.table, next));
+      process.claimedSlots.push(...releasedSlotsTaken(tableRead.table, next));
     }
-    this.#model.toTarget(target, {
+    this.#model.dispatchToTarget(target, {
       kind: "claims_confirmed",
       now: this.#model.now,
-      claims: ownedSlotsOf(next ?? read.table, owner),
-      askedAt: read.askedAt,
+      claims: ownedSlotsOf(next ?? tableRead.table, owner),
+      askedAt: tableRead.askedAt,
     });
   }
 
   /** Reads the owner table and claims slots immediately. */
-  lookAtTable(target: number): void {
-    this.startLook(target);
-    this.finishLook(target);
+  readAndClaim(target: number): void {
+    this.startRead(target);
+    this.finishRead(target);
   }
 
   /** Releases the slots of a drained target, which then waits for their new owners. */
@@ -109,10 +109,10 @@
     if (!process.isUp || process.isPaused || !process.isDrained) return;
     if (this.isDown) return;
     const next = tryRelease(this.#table, {
-      targetName: nameOf(target),
+      targetName: getTargetName(target),
       incarnation: String(process.incarnation),
-      wallNow: WORLD_EPOCH_MS + this.#model.now,
-      address: nameOf(target),
+      wallNow: SIMULATION_START_MS + this.#model.now,
+      address: getTargetName(target),
     });
     if (next !== undefined) this.#table = next;
   }
@@ -121,24 +121,26 @@
   handOver(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp || process.isPaused) return;
-    const taken = process.taken.shift();
+    const taken = process.claimedSlots.shift();
     const from = this.#model.targets.findNumber(taken?.address);
-    const old = this.#model.targets.all[from];
-    if (taken === undefined || !old?.isUp || old.isPaused) return;
-    const effects = old.reducer.reduce({
+    const previousOwner = this.#model.targets.all[from];
+    if (taken === undefined || !previousOwner?.isUp || previousOwner.isPaused) {
+      return;
+    }
+    const effects = previousOwner.reducer.reduce({
       kind: "hand_over_asked",
       now: this.#model.now,
-      linkId: SUCCESSOR_LINK,
+      linkId: SUCCESSOR_LINK_ID,
       slot: taken.slot,
     });
     for (const effect of effects) {
       const isHistory = effect.kind === "reply" &&
         effect.message.kind === "ledger_slot";
       if (!isHistory) {
-        this.#model.performTarget(from, effect);
+        this.#model.performTargetEffect(from, effect);
         continue;
       }
-      this.#model.toTarget(target, {
+      this.#model.dispatchToTarget(target, {
         kind: "history_received",
         now: this.#model.now,
         history: effect.message as LedgerSlotMessage,
@@ -148,7 +150,7 @@
 
   /** Requests the keys of all slots that a new owner has claimed. */
   handOverAll(target: number): void {
-    while (this.#model.targets.get(target).taken.length > 0) {
+    while (this.#model.targets.get(target).claimedSlots.length > 0) {
       this.handOver(target);
     }
   }
--- a/src/testing/world_targets.ts
+++ b/src/testing/world_targets.ts
@@ -15,18 +15,20 @@
   isPaused: boolean;
   goneAt: number | undefined;
   /** The read of the owner table that is in progress. */
-  read: { readonly table: OwnerTable; readonly askedAt: number } | undefined;
+  tableRead:
+    | { readonly table: OwnerTable; readonly askedAt: number }
+    | undefined;
   readonly runs: BackEndRuns;
   isDrained: boolean;
   /**
    * Slots claimed after their previous owner released them, whose keys have not been
    * requested yet.
    */
-  taken: ReleasedSlot[];
+  claimedSlots: ReleasedSlot[];
 }
 
-/** Options of {@link WorldTargets}. */
-export interface WorldTargetsOptions {
+/** Options of {@link SimulatedTargets}. */
+export interface SimulatedTargetsOptions {
   readonly targets: number;
   readonly concurrency?: number;
   readonly queueLength?: number;
@@ -35,12 +37,12 @@
 }
 
 /** The target processes of a simulation. */
-export class WorldTargets {
-  readonly #options: WorldTargetsOptions;
+export class SimulatedTargets {
+  readonly #options: SimulatedTargetsOptions;
   readonly #processes: TargetProcess[] = [];
 
   /** Starts all processes; `now` is in milliseconds of the virtual clock. */
-  constructor(options: WorldTargetsOptions, now: number) {
+  constructor(options: SimulatedTargetsOptions, now: number) {
     this.#options = options;
     for (let target = 0; target < options.targets; target++) {
       this.#processes.push(this.#create(1, now));
@@ -59,7 +61,9 @@
 
   /** Returns a target's number by its name, or -1. */
   findNumber(name: string | undefined): number {
-    return this.#processes.findIndex((_, target) => nameOf(target) === name);
+    return this.#processes.findIndex((_, target) =>
+      getTargetName(target) === name
+    );
   }
 
   /** Replaces the process of a target by a new one with empty state. */
@@ -85,15 +89,15 @@
       isUp: true,
       isPaused: false,
       goneAt: undefined,
-      read: undefined,
+      tableRead: undefined,
       runs: new BackEndRuns(this.#options.isStreamed === true),
       isDrained: false,
-      taken: [],
+      claimedSlots: [],
     };
   }
 }
 
 /** Returns the name of a target, which is also its address. */
-export function nameOf(target: number): string {
+export function getTargetName(target: number): string {
   return `target-${target}`;
 }
