--- a/src/testing/formed_group_world.ts
+++ b/src/testing/formed_group_world.ts
@@ -325,8 +325,8 @@
 
   #freezeAtRandom({ order }: SendOrder): void {
     const { deciderFreezes, freezesAfterHoldsOnly } = this.#faults;
-    const isStruck = !freezesAfterHoldsOnly || order.kind === "hold";
-    if (isStruck && this.#random.nextFraction() < deciderFreezes) {
+    const mayFreeze = !freezesAfterHoldsOnly || order.kind === "hold";
+    if (mayFreeze && this.#random.nextFraction() < deciderFreezes) {
       this.#freeze(0);
     }
   }
@@ -369,10 +369,10 @@
     if (this.#random.nextFraction() < lostMessages) return;
     this.#queue.after(1 + this.#random.nextBelow(12), () => {
       const frozenMs = (this.#frozenUntil[rank] as number) - this.#now;
-      const isStruck = this.#random.nextFraction() < rankFreezes;
+      const startsFreeze = this.#random.nextFraction() < rankFreezes;
       this.#queue.after(Math.max(0, frozenMs), () => {
         if (number === process.number) run();
-        if (isStruck) this.#freeze(rank);
+        if (startsFreeze) this.#freeze(rank);
       });
     });
   }
--- a/src/testing/free_address.ts
+++ b/src/testing/free_address.ts
@@ -26,7 +26,7 @@
     this.#first = first;
   }
 
-  tryNextPort(): number | undefined {
+  tryTakePort(): number | undefined {
     if (this.#next >= BLOCK_PORTS) return undefined;
     return this.#first + this.#next++;
   }
@@ -39,7 +39,7 @@
   while (true) {
     currentBlock ??= reserveBlock();
     const block = await currentBlock;
-    const port = block.tryNextPort();
+    const port = block.tryTakePort();
     if (port === undefined) {
       currentBlock = undefined;
       continue;
--- a/src/testing/group_world.ts
+++ b/src/testing/group_world.ts
@@ -317,7 +317,7 @@
     if (rank === 0) this.#reconnectAll();
   }
 
-  /** Undelivered messages of the previous decider stay undelivered. */
+  /** Reconnects the other ranks; messages of the previous decider stay in transit. */
   #reconnectAll(): void {
     for (let other = 1; other < RANKS; other++) this.#connect(other);
   }
--- a/src/testing/submissions.ts
+++ b/src/testing/submissions.ts
@@ -34,8 +34,8 @@
 
 /** Returns the text of the answer, which is different for every request. */
 export function createAnswer(submission: Submission): string {
-  const what = submission.key ?? `submission ${submission.id}`;
-  return `[answer to ${what} with ${submission.body}]`;
+  const subject = submission.key ?? `submission ${submission.id}`;
+  return `[answer to ${subject} with ${submission.body}]`;
 }
 
 /** Checks the conditions that must hold for a submission at every moment. */
