--- a/src/testing/burst_callers.ts
+++ b/src/testing/burst_callers.ts
@@ -52,7 +52,7 @@
   readonly disconnect: (requestId: number) => void;
 }
 
-/** Returns the SHA-256 of an organisation's access key, in hexadecimal. */
+/** Returns a made-up SHA-256 of an organisation's access key, in hexadecimal. */
 export function getAccessKeyHash(organisation: number): string {
   return organisation.toString(16).padStart(64, "0");
 }
--- a/src/testing/drifting_group.ts
+++ b/src/testing/drifting_group.ts
@@ -36,7 +36,7 @@
   readonly planningMsPerCopy: number;
 }
 
-/** A group of 24 ranks with a short planning time. */
+/** A group of 24 ranks whose planning time is no bottleneck. */
 const DEFAULT_SHAPE: GroupShape = {
   ranks: 24,
   layers: 4,
--- a/src/testing/fixtures.ts
+++ b/src/testing/fixtures.ts
@@ -78,7 +78,10 @@
   return { rateLimit: none, backoff: none, leaving: none, ...changes };
 }
 
-/** Creates the messages of a complete answer without a body. */
+/**
+ * Creates the messages of a complete answer without a body, after which the back end
+ * closes its connection.
+ */
 export function createEmptyAnswer(
   attemptId: AttemptIdentity,
 ): readonly AttemptMessage[] {
--- a/src/testing/limited_entries.ts
+++ b/src/testing/limited_entries.ts
@@ -1,6 +1,6 @@
 /**
  * Simulates entries before targets that announce limits, backoffs and that they leave, in
- * virtual time. Entries receive these notices, lists and permits with delays; they
+ * virtual time. Entries receive these notices, lists and permits with delays; they stop,
  * restart and are cut off from each other.
  *
  * @module
--- a/src/testing/process_cluster.ts
+++ b/src/testing/process_cluster.ts
@@ -320,8 +320,8 @@
 }
 
 /**
- * Starts the program from its sources; environment variables select the binary or the
- * folder of the programs that each have one role instead.
+ * Starts the program from its sources. An environment variable can select the binary, or
+ * the folder of the programs that each have one role, instead.
  */
 export function spawnProgram(commandLine: readonly string[]): ChildProcess {
   const [command, ...commandArguments] = resolveCommand(commandLine);
