--- a/src/testing/back_end_runs.ts
+++ b/src/testing/back_end_runs.ts
@@ -1,61 +1,66 @@
 /**
- * The runs of a back end in a world of tests: each answers with a head, some parts and
- * an end, one at a time as a test wants it.
+ * Simulates the runs of a back end. Each run answers with a head, several chunks and an
+ * end, and advances only when the test says so.
  *
  * @module
  */
 import { Buffer } from "node:buffer";
 import type { TargetEvent } from "../target/types.ts";
-import { answerTo, type Submission } from "./submissions.ts";
+import { createAnswer, type Submission } from "./submissions.ts";
 
-const ANSWER_PARTS = 3;
+const ANSWER_CHUNKS = 3;
 
 interface BackEndRun {
   readonly runId: number;
   readonly submission: Submission;
-  part: number;
+  nextPart: number;
 }
 
-/** The runs of one back end. */
+/** Holds the unfinished runs of one back end. */
 export class BackEndRuns {
   readonly #isStreamed: boolean;
   #runs: BackEndRun[] = [];
 
-  /** Begins without runs; `isStreamed`: answers are event streams. */
+  /** Creates an empty set of runs; with `isStreamed`, answers are event streams. */
   constructor(isStreamed: boolean) {
     this.#isStreamed = isStreamed;
   }
 
-  /** Runs that have not ended. */
+  /** The number of unfinished runs. */
   get size(): number {
     return this.#runs.length;
   }
 
-  /** A run begins. */
+  /** Starts a run. */
   start(runId: number, submission: Submission): void {
-    this.#runs.push({ runId, submission, part: 0 });
+    this.#runs.push({ runId, submission, nextPart: 0 });
   }
 
-  /** All runs are lost with their target. */
+  /** Drops all runs, as after a crash of their target. */
   clear(): void {
     this.#runs = [];
   }
 
-  /** One of the runs gets on; what its target hears of it. */
+  /**
+   * Advances one of the runs. Returns the event that its target receives, if there is a
+   * run.
+   */
   tryProgress(choice: number, now: number): TargetEvent | undefined {
     const run = this.#choose(choice);
     return run && this.#progress(run, now);
   }
 
-  /** One of the runs breaks off; what its target hears of it. */
+  /**
+   * Fails one of the runs. Returns the event that its target receives, if there is a run.
+   */
   tryFail(choice: number, now: number): TargetEvent | undefined {
     const run = this.#choose(choice);
     return run && this.end(run.runId, now);
   }
 
-  /** A run ends without a whole answer; what its target hears of it. */
+  /** Ends a run without a complete answer. Returns the event that its target receives. */
   end(runId: number, now: number): TargetEvent {
-    this.#forget(runId);
+    this.#remove(runId);
     return { kind: "back_end_failed", now, runId, failure: "broken" };
   }
 
@@ -65,14 +70,14 @@
 
   #progress(run: BackEndRun, now: number): TargetEvent {
     const { runId } = run;
-    const body = answerTo(run.submission);
-    const part = run.part++;
+    const body = createAnswer(run.submission);
+    const part = run.nextPart++;
     if (part === 0) return this.#createHead(runId, body.length, now);
-    if (part > ANSWER_PARTS) {
-      this.#forget(runId);
+    if (part > ANSWER_CHUNKS) {
+      this.#remove(runId);
       return { kind: "back_end_end", now, runId };
     }
-    const size = Math.ceil(body.length / ANSWER_PARTS);
+    const size = Math.ceil(body.length / ANSWER_CHUNKS);
     const start = (part - 1) * size;
     const bytes = Buffer.from(body.slice(start, start + size));
     return { kind: "back_end_data", now, runId, bytes };
@@ -90,7 +95,7 @@
     };
   }
 
-  #forget(runId: number): void {
+  #remove(runId: number): void {
     this.#runs = this.#runs.filter((one) => one.runId !== runId);
   }
 }
--- a/src/testing/burst_cases.ts
+++ b/src/testing/burst_cases.ts
@@ -1,5 +1,6 @@
 /**
- * The two bursts by which admission by priority is judged, and means over runs of them.
+ * The two bursts that test admission by priority, with functions that run them and
+ * average the scores of several runs.
  *
  * @module
  */
@@ -7,24 +8,30 @@
 import { type BurstScore, type KindScore, scoreCalls } from "./burst_score.ts";
 import { KINDS } from "./burst_types.ts";
 import {
-  type BurstWorldOptions,
-  PriorityBurstWorld,
+  type BurstSimulationOptions,
+  PriorityBurstSimulation,
 } from "./priority_burst_world.ts";
 
-/** Seeds over which bursts are judged: single ones differ by when costs jump. */
+/**
+ * Seeds of the runs. Several are needed, as runs differ by when the cost of a request
+ * jumps.
+ */
 export const SEEDS = [1, 2, 3, 4, 5, 6] as const;
 /** When bursts begin, in virtual milliseconds. */
 export const BURST_FROM_MS = 10_000;
-/** Calls that begin right after a burst meet what it has left. */
+/**
+ * Calls that begin within this time after a burst are scored, too, as its backlog affects
+ * them.
+ */
 const TAIL_MS = 1000;
-/** All calls that are scored have ended after that. */
+/** Milliseconds after which every scored call has ended. */
 export const LONGEST_CALL_MS = 9000;
 
-/** A burst, with the rate at which 40 to 50% of all answers are late without the part. */
+/** A burst, with a rate at which 40 to 50% of all answers are late without priorities. */
 export interface BurstCase {
   readonly name: string;
   readonly perSecond: number;
-  /** Place in {@link KINDS}. */
+  /** Index in {@link KINDS}. */
   readonly kind: number;
   readonly factor: number;
   readonly lastsMs: number;
@@ -47,18 +54,21 @@
   lastsMs: 3000,
 };
 
-/** What of a run differs from 41 entries before services that differ in priority. */
-export type Changes =
-  & Partial<BurstWorldOptions>
-  & Pick<BurstWorldOptions, "seed">;
+/**
+ * Options that differ from the default of 41 entries and services of different
+ * priorities.
+ */
+export type BurstOptionChanges =
+  & Partial<BurstSimulationOptions>
+  & Pick<BurstSimulationOptions, "seed">;
 
-/** The world in which a burst is played. */
+/** Creates the simulation in which a burst is run. */
 export function createWorld(
-  { perSecond, kind, factor, lastsMs }: BurstCase,
-  changes: Changes,
-): PriorityBurstWorld {
-  const until = BURST_FROM_MS + lastsMs;
-  return new PriorityBurstWorld({
+  { perSecond, kind, factor, lastsMs: durationMs }: BurstCase,
+  changes: BurstOptionChanges,
+): PriorityBurstSimulation {
+  const until = BURST_FROM_MS + durationMs;
+  return new PriorityBurstSimulation({
     entries: 41,
     perSecond,
     burst: { kind, factor, from: BURST_FROM_MS, until },
@@ -67,62 +77,75 @@
   });
 }
 
-/** Plays a burst and scores the calls that meet it. */
-export function play(burst: BurstCase, changes: Changes): BurstScore {
+/** Runs a burst and scores the calls that it affects. */
+export function play(
+  burst: BurstCase,
+  changes: BurstOptionChanges,
+): BurstScore {
   const until = BURST_FROM_MS + burst.lastsMs;
-  const world = createWorld(burst, changes);
-  const ended = world.run(until + TAIL_MS + LONGEST_CALL_MS);
+  const simulation = createWorld(burst, changes);
+  const ended = simulation.run(until + TAIL_MS + LONGEST_CALL_MS);
   return scoreCalls(ended, { from: BURST_FROM_MS, until: until + TAIL_MS });
 }
 
-function meanOf(
+function computeMean(
   scores: readonly BurstScore[],
   read: (score: BurstScore) => number,
 ): number {
   return scores.reduce((sum, score) => sum + read(score), 0) / scores.length;
 }
 
-/** What callers of each kind got, and what it was worth. */
+/** Mean results of several runs; fractions are listed in the order of {@link KINDS}. */
 export interface MeanScore {
-  /** Part of all answers that were late. */
+  /** Fraction of all answers that were late. */
   readonly late: number;
-  readonly worth: number;
+  readonly benefit: number;
   readonly onTime: readonly number[];
-  readonly served: readonly number[];
-  readonly leastOfOrganisation: number;
+  readonly servedFractions: readonly number[];
+  readonly minOrganisationShare: number;
 }
 
-/** Means over runs; of organisations the least of any run. */
+/** Computes means over runs, and the minimum of all runs for organisations. */
 export function meanScore(scores: readonly BurstScore[]): MeanScore {
-  const ofKinds = (read: (score: KindScore) => number) =>
+  const meanByKind = (read: (score: KindScore) => number) =>
     KINDS.map((_, kind) =>
-      meanOf(scores, ({ kinds }) => read(kinds[kind] as KindScore))
+      computeMean(scores, ({ kinds }) => read(kinds[kind] as KindScore))
     );
   return {
-    late: meanOf(scores, ({ late }) => late),
-    worth: meanOf(scores, ({ worth }) => worth),
-    onTime: ofKinds(({ onTime }) => onTime),
-    served: ofKinds(({ served }) => served),
-    leastOfOrganisation: Math.min(
-      ...scores.map(({ leastOfOrganisation }) => leastOfOrganisation),
+    late: computeMean(scores, ({ lateFraction }) => lateFraction),
+    benefit: computeMean(scores, ({ benefit }) => benefit),
+    onTime: meanByKind(({ onTimeFraction }) => onTimeFraction),
+    servedFractions: meanByKind(({ served: servedFraction }) => servedFraction),
+    minOrganisationShare: Math.min(
+      ...scores.map(({ minOrganisationShare }) => minOrganisationShare),
     ),
   };
 }
 
 /**
- * What a burst is to be like with admission by priority, against without it.
+ * Asserts that admission by priority improves the results of a burst: the most urgent
+ * kind and the total benefit gain, and no kind or organisation starves.
  *
  * @throws AssertionError when it is not
  */
-export function assertBetter(without: MeanScore, with_: MeanScore): void {
-  const seen = JSON.stringify({ without, with: with_ });
-  const [first = 0, middle = 0, last = 0] = with_.served;
-  const [firstOnTime = 0] = with_.onTime;
+export function assertBetter(
+  without: MeanScore,
+  withPriorities: MeanScore,
+): void {
+  const scores = JSON.stringify({ without, with: withPriorities });
+  const [first = 0, middle = 0, last = 0] = withPriorities.servedFractions;
+  const [firstOnTime = 0] = withPriorities.onTime;
   const [firstBefore = 1] = without.onTime;
-  assert.ok(firstOnTime > firstBefore + 0.15, `most urgent: ${seen}`);
-  assert.ok(with_.worth > without.worth + 0.05, `worth: ${seen}`);
+  assert.ok(firstOnTime > firstBefore + 0.15, `most urgent: ${scores}`);
+  assert.ok(
+    withPriorities.benefit > without.benefit + 0.05,
+    `benefit: ${scores}`,
+  );
   const isInOrder = first >= middle - 0.05 && middle >= last - 0.05;
-  assert.ok(isInOrder, `less urgent served more often: ${seen}`);
-  assert.ok(last >= 0.25, `least urgent starved: ${seen}`);
-  assert.ok(with_.leastOfOrganisation >= 0.25, `organisation: ${seen}`);
+  assert.ok(isInOrder, `less urgent served more often: ${scores}`);
+  assert.ok(last >= 0.25, `least urgent starved: ${scores}`);
+  assert.ok(
+    withPriorities.minOrganisationShare >= 0.25,
+    `organisation: ${scores}`,
+  );
 }
--- a/src/testing/drain_faults.ts
+++ b/src/testing/drain_faults.ts
@@ -1,10 +1,10 @@
 /**
- * What goes wrong in a fleet of entries that hear of a drain, and when.
+ * Faults of a fleet of entries that learn of a drain, and when they occur.
  *
  * @module
  */
 
-/** What happens to an entry, or to the store towards all of them. */
+/** A fault of an entry, or of the store as all entries see it. */
 export interface DrainFault {
   readonly kind:
     | "unstable_store"
@@ -12,29 +12,29 @@
     | "silent_watch"
     | "stands_still"
     | "cut_off";
-  /** Which entry, from 0; of the store's faults undefined. */
+  /** Number of the entry, from 0; undefined for faults of the store. */
   readonly entry?: number;
   readonly at: number;
   readonly forMs: number;
 }
 
-/** A kind of fault at a moment. */
-export interface FaultMoment extends Pick<DrainFault, "kind" | "entry"> {
+/** The kind, entry and time for which faults are looked up. */
+export interface FaultQuery extends Pick<DrainFault, "kind" | "entry"> {
   /** Virtual milliseconds. */
   readonly now: number;
 }
 
 /**
- * Whether something goes wrong at a moment.
+ * Returns whether a fault is active at a time.
  *
  * @example
  * ```ts
- * hasFault(faults, { kind: "cut_off", entry: 0, now: 4000 });
+ * isFaultActive(faults, { kind: "cut_off", entry: 0, now: 4000 });
  * ```
  */
-export function hasFault(
+export function isFaultActive(
   faults: readonly DrainFault[],
-  { kind, entry, now }: FaultMoment,
+  { kind, entry, now }: FaultQuery,
 ): boolean {
   return faults.some((fault) =>
     fault.kind === kind && fault.entry === entry &&
--- a/src/testing/drifting_group.ts
+++ b/src/testing/drifting_group.ts
@@ -1,6 +1,7 @@
 /**
- * A group of many ranks whose popularity stands still for some seconds and then changes
- * at once, with maps that follow it as a decider's do, in steps of virtual time.
+ * Simulates a group of many ranks in steps of virtual time. The popularity of experts is
+ * constant for some seconds and then changes abruptly; maps follow it as a decider plans
+ * them.
  *
  * @module
  */
@@ -11,29 +12,32 @@
 import { tryPlanIncrement } from "../policy/placement/incremental_planner.ts";
 
 const SLOTS_PER_RANK = 5;
-/** As played days showed it: changes each 2.1 s, a sixth of all choices for one expert. */
+/**
+ * Changes occur every 2.1 s and one expert gets a sixth of all choices, as in recorded
+ * traffic.
+ */
 const CHANGE_INTERVAL_MS = 2100;
 const ZIPF_EXPONENT = 0.93;
 const CHOICES_PER_STEP = 20_000;
 const STEP_MS = 25;
-/** Milliseconds from a whole copy until the map is in force. */
+/** Milliseconds from the end of copying until the map is in force. */
 const SWITCH_MS = 150;
-const USUAL_PASS_MS = 60;
+const NORMAL_PASS_MS = 60;
 
-/** A group and the machine that plans for it. */
+/** The size of a group and the time that its decider takes to plan and copy. */
 export interface GroupShape {
   readonly ranks: number;
   readonly layers: number;
   readonly experts: number;
   /** Milliseconds to load one expert. */
   readonly loadMs: number;
-  /** Milliseconds to plan a map, and for each copy in it. */
+  /** Milliseconds to plan a map, and additional milliseconds for each copy in it. */
   readonly planningMs: number;
   readonly planningMsPerCopy: number;
 }
 
-/** A group of 24 ranks, planned for by a machine whose time does not bind. */
-const USUAL_SHAPE: GroupShape = {
+/** A group of 24 ranks whose planning time is no bottleneck. */
+const DEFAULT_SHAPE: GroupShape = {
   ranks: 24,
   layers: 4,
   experts: 96,
@@ -42,27 +46,30 @@
   planningMsPerCopy: 0,
 };
 
-/** What varies between runs. */
+/** Options of a {@link DriftingGroup}. */
 export interface DriftingGroupOptions {
   readonly seed: number;
   /** Milliseconds between two counts. */
   readonly countIntervalMs: number;
   /** 24 ranks by default. */
   readonly shape?: GroupShape;
-  /** Copies at a rank for one map; as a decider has them by default. */
+  /** New copies at a rank for one map; by default the number that a decider uses. */
   readonly copiesPerRank?: number;
 }
 
-/** What a run showed of the most loaded rank, over a mean one. */
+/** Load of the most loaded rank, divided by the mean load. */
 export interface DriftResult {
   readonly meanSkew: number;
-  /** Part of the time in which it had more than 2.5 times the mean. */
+  /**
+   * Fraction of the time in which the most loaded rank had more than 2.5 times the mean
+   * load.
+   */
   readonly partTooLong: number;
 }
 
 const LONG_PASS_SKEW = 2.5;
 
-/** A group whose popularity changes at once now and then. */
+/** A group whose popularity of experts changes abruptly. */
 export class DriftingGroup {
   readonly #options: DriftingGroupOptions;
   readonly #shape: GroupShape;
@@ -73,10 +80,10 @@
   #map: ExpertMap;
   #pending: { readonly map: ExpertMap; readonly at: number } | undefined;
 
-  /** The same options give the same run. */
+  /** Creates a group; the same options give the same run. */
   constructor(options: DriftingGroupOptions) {
     this.#options = options;
-    this.#shape = options.shape ?? USUAL_SHAPE;
+    this.#shape = options.shape ?? DEFAULT_SHAPE;
     const none = new Array<number>(this.#shape.experts).fill(0);
     this.#shares = this.#createLayers(() => none);
     this.#counts = this.#createLayers(() => none);
@@ -84,50 +91,50 @@
     this.#random = new RandomSource(options.seed);
   }
 
-  /** Runs for so many milliseconds. */
+  /** Runs for a number of virtual milliseconds. */
   run(untilMs: number): DriftResult {
     const skews: number[] = [];
     for (let now = 0; now < untilMs; now += STEP_MS) {
-      if (now % CHANGE_INTERVAL_MS === 0) this.#change();
-      this.#count();
+      if (now % CHANGE_INTERVAL_MS === 0) this.#changePopularity();
+      this.#updateCounts();
       if (now % this.#options.countIntervalMs === 0) this.#plan(now);
-      this.#switch(now);
-      skews.push(this.#skew());
+      this.#trySwitch(now);
+      skews.push(this.#computeSkew());
     }
-    const tooLong = skews.filter((skew) => skew > LONG_PASS_SKEW);
+    const overloaded = skews.filter((skew) => skew > LONG_PASS_SKEW);
     return {
       meanSkew: skews.reduce((sum, skew) => sum + skew, 0) / skews.length,
-      partTooLong: tooLong.length / skews.length,
+      partTooLong: overloaded.length / skews.length,
     };
   }
 
-  /** Other experts are in demand, in each layer by itself. */
-  #change(): void {
+  /** Changes the popularity of experts, independently in each layer. */
+  #changePopularity(): void {
     this.#shares = this.#createLayers(() => {
       const weights = Array.from(
         { length: this.#shape.experts },
-        (_, place) => (place + 1) ** -ZIPF_EXPONENT,
+        (_, index) => (index + 1) ** -ZIPF_EXPONENT,
       );
       const total = weights.reduce((sum, weight) => sum + weight, 0);
       const shares = new Array<number>(this.#shape.experts).fill(0);
-      for (const expert of this.#shuffled()) {
+      for (const expert of this.#shuffleExperts()) {
         shares[expert] = (weights.pop() as number) / total;
       }
       return shares;
     });
   }
 
-  #shuffled(): readonly number[] {
+  #shuffleExperts(): readonly number[] {
     return Array.from({ length: this.#shape.experts }, (_, expert) => expert)
       .map((expert) => ({ expert, key: this.#random.nextFraction() }))
       .sort((left, right) => left.key - right.key)
       .map(({ expert }) => expert);
   }
 
-  #count(): void {
+  #updateCounts(): void {
     this.#counts = this.#counts.map((row, layer) =>
       row.map((count, expert) =>
-        count + CHOICES_PER_STEP * this.#share(layer, expert)
+        count + CHOICES_PER_STEP * this.#getShare(layer, expert)
       )
     );
   }
@@ -136,40 +143,41 @@
     this.#popularity.observe(0, this.#counts, now);
     if (this.#pending !== undefined || !this.#popularity.isKnown) return;
     const { ranks, loadMs, planningMs, planningMsPerCopy } = this.#shape;
-    const mostNewPerRank = this.#options.copiesPerRank ??
-      getMaxCopiesPerRank({ loadMs, passMs: USUAL_PASS_MS, ranks });
+    const copiesPerRank = this.#options.copiesPerRank ??
+      getMaxCopiesPerRank({ loadMs, passMs: NORMAL_PASS_MS, ranks });
     const plan = tryPlanIncrement({
       current: this.#map,
       tokens: this.#popularity.tokens,
       paces: new Array<number>(ranks).fill(1),
     }, {
       slotsPerRank: SLOTS_PER_RANK,
-      maxNewPerRank: mostNewPerRank,
+      maxNewPerRank: copiesPerRank,
       maxNewPerLayer: 2,
       loadMs,
     });
     if (plan === undefined) return;
     const plannedMs = planningMs + planningMsPerCopy * plan.copies;
-    const at = now + plannedMs + mostNewPerRank * loadMs + SWITCH_MS;
+    const at = now + plannedMs + copiesPerRank * loadMs + SWITCH_MS;
     this.#pending = { map: plan.map, at };
   }
 
-  #switch(now: number): void {
+  #trySwitch(now: number): void {
     if (this.#pending === undefined || now < this.#pending.at) return;
     this.#map = this.#pending.map;
     this.#pending = undefined;
   }
 
-  #skew(): number {
+  #computeSkew(): number {
     const skews = this.#map.layers.map(({ experts }, layer) => {
-      const holders = new Array<number>(this.#shape.experts).fill(0);
+      const copyCounts = new Array<number>(this.#shape.experts).fill(0);
       for (const expert of experts.flat()) {
-        holders[expert] = (holders[expert] as number) + 1;
+        copyCounts[expert] = (copyCounts[expert] as number) + 1;
       }
       const loads = experts.map((held) =>
         held.reduce(
           (sum, expert) =>
-            sum + this.#share(layer, expert) / (holders[expert] as number),
+            sum +
+            this.#getShare(layer, expert) / (copyCounts[expert] as number),
           0,
         )
       );
@@ -178,7 +186,7 @@
     return skews.reduce((sum, skew) => sum + skew, 0) / this.#shape.layers;
   }
 
-  #share(layer: number, expert: number): number {
+  #getShare(layer: number, expert: number): number {
     return this.#shares[layer]?.[expert] ?? 0;
   }
 
@@ -191,7 +199,7 @@
     const held = Array.from({ length: ranks }, (_, rank) =>
       Array.from(
         { length: experts / ranks },
-        (_, place) => rank + place * ranks,
+        (_, index) => rank + index * ranks,
       ));
     return { layers: this.#createLayers(() => ({ experts: held })) };
   }
--- a/src/testing/formed_group_engines.ts
+++ b/src/testing/formed_group_engines.ts
@@ -1,6 +1,6 @@
 /**
- * The engines of a model of a formed group: their passes, the orders that they carry out
- * at once or late, and what is checked of each pass.
+ * Simulates the engines of a formed group: their passes, and the orders that they execute
+ * immediately or late. Records passes that began with more than one map.
  *
  * @module
  */
@@ -36,7 +36,7 @@
   #passes = 0;
   #switches = 0;
 
-  /** No pass has begun yet. */
+  /** Creates engines that have not begun a pass. */
   constructor(queue: EventQueue, random: RandomSource) {
     this.#queue = queue;
     this.#random = random;
@@ -47,64 +47,69 @@
     return this.#mixedPasses;
   }
 
-  /** Passes that began. */
+  /** Number of passes that began. */
   get passes(): number {
     return this.#passes;
   }
 
-  /** Maps that came into force. */
+  /** Number of maps that came into force. */
   get switches(): number {
     return this.#switches;
   }
 
-  /** What an engine says of itself. */
-  stateOf(rank: number): RankState {
-    return this.#engine(rank).state;
+  /** Returns the state that an engine reports. */
+  getState(rank: number): RankState {
+    return this.#getEngine(rank).state;
   }
 
-  /** The group is formed anew. */
-  reform(): void {
-    for (const engine of this.#engines) engine.reform();
+  /** Forms the group again. */
+  formAgain(): void {
+    for (const engine of this.#engines) engine.formAgain();
   }
 
   /** Begins the next pass, unless an engine holds it. Returns whether it began. */
-  tryPass(): boolean {
-    const next = this.#engine(0).state.pass + 1;
-    if (this.#engines.some((engine) => !engine.mayBegin(next))) return false;
-    const before = this.#engine(0).active.version;
-    for (const engine of this.#engines) engine.begin(next);
+  tryBeginPass(): boolean {
+    const next = this.#getEngine(0).state.pass + 1;
+    if (this.#engines.some((engine) => !engine.mayBeginPass(next))) {
+      return false;
+    }
+    const before = this.#getEngine(0).active.version;
+    for (const engine of this.#engines) engine.beginPass(next);
     this.#passes++;
     const maps = new Set(
       this.#engines.map((engine) => JSON.stringify(engine.active)),
     );
     if (maps.size > 1) this.#mixedPasses.push(next);
-    if (this.#engine(0).active.version !== before) this.#switches++;
+    if (this.#getEngine(0).active.version !== before) this.#switches++;
     return true;
   }
 
-  /** The engine carries out an order 2 to 12 s later. */
-  applyLate(rank: number, message: RankOrderMessage): void {
-    const lateMs = LATE_MIN_MS + this.#random.nextBelow(LATE_SPREAD_MS);
-    this.#queue.after(lateMs, () => this.apply(rank, message));
+  /** Executes an order at an engine 2 to 12 s later. */
+  executeLate(rank: number, message: RankOrderMessage): void {
+    const delayMs = LATE_MIN_MS + this.#random.nextBelow(LATE_SPREAD_MS);
+    this.#queue.after(delayMs, () => this.execute(rank, message));
   }
 
-  /** An engine that is fenced prepares a map without a copy, so at once. */
-  apply(rank: number, { order }: RankOrderMessage): boolean {
-    const engine = this.#engine(rank);
+  /**
+   * Executes an order at an engine. A fence prepares a map without copying, so it takes
+   * effect immediately.
+   */
+  execute(rank: number, { order }: RankOrderMessage): boolean {
+    const engine = this.#getEngine(rank);
     if (order.kind === "fence") {
       const map: ExpertMap = { layers: [] };
-      const isFenced = engine.carryOut({ ...order, kind: "prepare", map });
+      const isFenced = engine.execute({ ...order, kind: "prepare", map });
       if (isFenced) engine.finishLoading(order.version);
       return isFenced;
     }
-    const isAccepted = engine.carryOut(order);
+    const isAccepted = engine.execute(order);
     if (order.kind === "prepare" && isAccepted) {
       this.#queue.after(LOAD_MS, () => engine.finishLoading(order.version));
     }
     return isAccepted;
   }
 
-  #engine(rank: number): FakeFormedEngine {
+  #getEngine(rank: number): FakeFormedEngine {
     return this.#engines[rank] as FakeFormedEngine;
   }
 }
--- a/src/testing/linked_group_world.ts
+++ b/src/testing/linked_group_world.ts
@@ -1,6 +1,7 @@
 /**
- * A decider of a formed group and its ranks' processes in virtual time, behind the link
- * of a small machine: what arrives there waits until all before it has crossed.
+ * Simulates a decider of a formed group and the sidecars of the ranks, in virtual time.
+ * The decider's VM has a slow link: a message is received after all earlier ones have
+ * crossed the link.
  *
  * @module
  */
@@ -18,45 +19,45 @@
 import { FakeFormedEngine } from "./fake_formed_engine.ts";
 
 const TICK_MS = 25;
-/** Milliseconds until a rank's process has read its engine, with the way there. */
-const ANSWER_MS = 6;
-/** Bytes of headers around a small frame. */
+/** Milliseconds until a rank's sidecar has received a query and read its engine. */
+const ANSWER_DELAY_MS = 6;
+/** Bytes of headers of a small frame. */
 const FRAME_OVERHEAD_BYTES = 70;
-/** Largest count that a rank adds between two questions. */
-const MOST_ADDED = 100;
+/** Maximum that a rank adds to a count between two queries. */
+const MAX_ADDED_COUNT = 100;
 
-/** A group and the machine of its decider. */
+/** A group and the link of its decider's VM. */
 export interface LinkedGroupOptions {
   readonly ranks: number;
   readonly layers: number;
   readonly experts: number;
   readonly slotsPerRank: number;
   readonly linkBytesPerSecond: number;
-  /** Ranks whose processes never answer. */
+  /** Ranks whose sidecars never answer. */
   readonly silentRanks?: ReadonlySet<number>;
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface LinkedGroupResult {
-  /** When the decider knew what every rank holds; undefined: never. */
+  /** When the decider first knew which experts every rank holds; undefined: never. */
   readonly settledAt: number | undefined;
   /** Longest time for which an answer waited for the link, in milliseconds. */
   readonly longestWaitMs: number;
-  /** Part of the run in which the link was in use. */
+  /** Fraction of the run in which the link was in use. */
   readonly linkUse: number;
-  /** Ranks whose counts came in each second, at the mean. */
+  /** Mean number of ranks whose counts were received each second. */
   readonly countsPerSecond: number;
-  /** Longest time since a rank's state was told, at the end of the run. */
+  /** Longest time since a rank last reported its state, at the end of the run. */
   readonly oldestStateMs: number;
 }
 
-/** A decider behind a link of bounded width. */
+/** A decider behind a link of limited bandwidth. */
 export class LinkedGroupWorld {
   readonly #options: LinkedGroupOptions;
   readonly #queue = new EventQueue();
   readonly #engines: readonly FakeFormedEngine[];
   readonly #decider: FormedGroupDecider;
-  readonly #questions: RankQueries;
+  readonly #queries: RankQueries;
   readonly #reachable: ReadonlySet<number>;
   readonly #stateAt: number[];
   readonly #random = new RandomSource(1);
@@ -66,7 +67,7 @@
   #settledAt: number | undefined;
   #counts = 0;
 
-  /** Begins as the decider starts. */
+  /** Starts the decider. */
   constructor(options: LinkedGroupOptions) {
     this.#options = options;
     const { ranks, linkBytesPerSecond } = options;
@@ -77,85 +78,92 @@
     this.#reachable = new Set(this.#engines.keys());
     this.#stateAt = new Array<number>(ranks).fill(0);
     this.#decider = new FormedGroupDecider({
-      state: this.#engine(0).state,
+      state: this.#getEngine(0).state,
       random: this.#random,
       now: 0,
       firstOrderId: 1,
     });
-    this.#questions = new RankQueries({
+    this.#queries = new RankQueries({
       ranks,
       bytesPerSecond: linkBytesPerSecond,
     });
     this.#tick();
   }
 
-  /** Runs to a virtual time in milliseconds. */
+  /** Runs up to a virtual time in milliseconds. */
   run(untilMs: number): LinkedGroupResult {
     this.#queue.runUntil(untilMs);
     const { silentRanks } = this.#options;
-    const told = this.#stateAt.filter((_, rank) => !silentRanks?.has(rank));
+    const stateTimes = this.#stateAt.filter((_, rank) =>
+      !silentRanks?.has(rank)
+    );
     return {
       settledAt: this.#settledAt,
       longestWaitMs: this.#longestWaitMs,
       linkUse: this.#linkBusyMs / untilMs,
       countsPerSecond: this.#counts * 1000 / untilMs,
-      oldestStateMs: untilMs - Math.min(...told),
+      oldestStateMs: untilMs - Math.min(...stateTimes),
     };
   }
 
   #tick(): void {
     const { now } = this.#queue;
     this.#reduce({ kind: "tick", now });
-    for (const question of this.#questions.takeDue(now, this.#reachable)) {
-      this.#ask(question);
+    for (const query of this.#queries.takeDue(now, this.#reachable)) {
+      this.#query(query);
     }
     this.#queue.after(TICK_MS, () => this.#tick());
   }
 
   #reduce(event: DeciderEvent): void {
     for (const effect of this.#decider.reduce(event)) {
-      if (effect.kind === "send_query") this.#questions.addUnknown(effect.rank);
+      if (effect.kind === "send_query") this.#queries.addUnknown(effect.rank);
     }
     if (this.#decider.settledMap !== undefined) {
       this.#settledAt ??= this.#queue.now;
     }
   }
 
-  #ask(question: RankQuery): void {
-    if (this.#options.silentRanks?.has(question.rank)) return;
-    this.#queue.after(ANSWER_MS, () => this.#cross(this.#answer(question)));
+  #query(query: RankQuery): void {
+    if (this.#options.silentRanks?.has(query.rank)) return;
+    this.#queue.after(
+      ANSWER_DELAY_MS,
+      () => this.#sendOverLink(this.#answer(query)),
+    );
   }
 
-  /** The decider's own rank is on its machine. */
-  #cross(report: RankReportMessage): void {
+  /**
+   * Sends a report over the link; the decider's own rank is on its VM and needs no link.
+   */
+  #sendOverLink(report: RankReportMessage): void {
     const { now } = this.#queue;
-    if (report.state.rank === 0) return this.#take(report);
+    if (report.state.rank === 0) return this.#receive(report);
     const bytes = encodeFrame([report]).length + FRAME_OVERHEAD_BYTES;
-    const crossingMs = bytes / this.#options.linkBytesPerSecond * 1000;
+    const transferMs = bytes / this.#options.linkBytesPerSecond * 1000;
     const startsAt = Math.max(now, this.#linkFreeAt);
     this.#longestWaitMs = Math.max(this.#longestWaitMs, startsAt - now);
-    this.#linkFreeAt = startsAt + crossingMs;
-    this.#linkBusyMs += crossingMs;
-    this.#queue.after(this.#linkFreeAt - now, () => this.#take(report));
+    this.#linkFreeAt = startsAt + transferMs;
+    this.#linkBusyMs += transferMs;
+    this.#queue.after(this.#linkFreeAt - now, () => this.#receive(report));
   }
 
-  #take(report: RankReportMessage): void {
+  #receive(report: RankReportMessage): void {
     const { now } = this.#queue;
     const { rank } = report.state;
     this.#stateAt[rank] = now;
     if (report.counts !== undefined) this.#counts++;
-    this.#questions.recordAnswer(report);
+    this.#queries.recordAnswer(report);
     this.#reduce({ kind: "rank_reported", now, rank, report });
   }
 
   #answer({ rank, withExperts, withCounts }: RankQuery): RankReportMessage {
-    const { state } = this.#engine(rank);
+    const { state } = this.#getEngine(rank);
     const counts = withCounts ? this.#createCounts() : undefined;
     return {
       kind: "rank_report",
       state,
       ...counts && { counts: { serial: 2, since: 1, counts } },
-      ...withExperts && { experts: this.#expertsOf(rank) },
+      ...withExperts && { experts: this.#getExperts(rank) },
     };
   }
 
@@ -164,20 +172,20 @@
     return Array.from({ length: layers }, () =>
       Array.from(
         { length: experts },
-        () => this.#random.nextBelow(MOST_ADDED),
+        () => this.#random.nextBelow(MAX_ADDED_COUNT),
       ));
   }
 
-  #expertsOf(rank: number): RankExperts {
+  #getExperts(rank: number): RankExperts {
     const { layers, ranks, slotsPerRank } = this.#options;
     return Array.from({ length: layers }, () =>
       Array.from(
         { length: slotsPerRank },
-        (_, place) => rank + place * ranks,
+        (_, slot) => rank + slot * ranks,
       ));
   }
 
-  #engine(rank: number): FakeFormedEngine {
+  #getEngine(rank: number): FakeFormedEngine {
     return this.#engines[rank] as FakeFormedEngine;
   }
 }
--- a/src/testing/poison_fleet.ts
+++ b/src/testing/poison_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Entries before rank groups, in virtual time: callers who come back, requests that crash
- * each rank that runs them, and ranks that crash for other reasons. Entries hear of lists,
- * groups and each other's crashes with the delays that were seen on machines.
+ * Simulates entries before rank groups, in virtual time: callers that retry, requests
+ * that crash each rank that runs them, and ranks that crash for other reasons. Entries
+ * receive lists, states of groups and each other's crashes with realistic delays.
  *
  * @module
  */
@@ -13,12 +13,12 @@
 import type { RefusalName } from "../refusals/catalogue.ts";
 import {
   CrashingRanks,
-  type RankStart,
-  type RunEnd,
+  type RankIncarnation,
+  type RunOutcome,
 } from "./crashing_ranks.ts";
 import { EventQueue } from "./event_queue.ts";
 import {
-  type AttemptPlace,
+  type AttemptIdentity,
   createCallerRequest,
   createEmptyAnswer,
   createInstance,
@@ -27,16 +27,21 @@
 } from "./fixtures.ts";
 
 const CLIENT_DEADLINE_MS = 8000;
-/** Milliseconds after which a caller that got no answer comes back. */
-const RETURN_MS = 400;
+/** Milliseconds after which a caller without an answer retries. */
+const RETRY_DELAY_MS = 400;
 const CALLER_ATTEMPTS = 3;
 const LIST_INTERVAL_MS = 700;
-const GROUP_HEARD_MS = 150;
-/** Milliseconds until entries have told each other of a crash: least, and spread. */
-const TOLD_MS = { least: 20, spread: 300 } as const;
+const MAX_GROUP_DELAY_MS = 150;
+/**
+ * Delay in milliseconds until other entries receive a crash: minimum and random addition.
+ */
+const UPDATE_DELAY_MS = { min: 20, spread: 300 } as const;
 const TICK_MS = 100;
-/** Times that an entry tells of changes, after which it is given up as endless. */
-const TOLD_LIMIT = 120;
+/**
+ * Updates that an entry sends before the simulation stops delivering them, as they would
+ * never end.
+ */
+const MAX_UPDATES = 120;
 
 /** Options of a {@link PoisonFleet}. */
 export interface PoisonFleetOptions {
@@ -44,41 +49,41 @@
   readonly entries: number;
   readonly groups: number;
   readonly ranksPerGroup: number;
-  /** Other requests each second. */
+  /** Rate of requests that crash no ranks. */
   readonly requestsPerSecond: number;
-  /** Requests that crash ranks. */
+  /** Number of poison requests. */
   readonly poisons: number;
-  /** Milliseconds between two comings of each of them. */
+  /** Milliseconds between two arrivals of each poison request. */
   readonly poisonEveryMs: number;
-  /** Ranks that crash at once by themselves, at some times. */
+  /** Ranks that crash at the same time for other reasons. */
   readonly losses: readonly RankLoss[];
 }
 
-/** Ranks that crash at once for a reason of their own. */
+/** Ranks that crash at the same time for reasons other than a request. */
 export interface RankLoss {
   readonly at: number;
-  /** Part of all ranks. */
+  /** Fraction of all ranks. */
   readonly share: number;
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface PoisonFleetResult {
-  /** Ranks that crashed under requests that crash them. */
+  /** Crashes of ranks caused by poison requests. */
   readonly crashes: number;
-  /** Other requests. */
+  /** Requests that crash no ranks. */
   readonly innocent: number;
-  /** Those of them that were refused as if they crashed ranks. */
+  /** Number of those that were refused as if they crashed ranks. */
   readonly refusedInnocent: number;
-  /** Those that were answered. */
+  /** Number of those that were answered. */
   readonly served: number;
-  /** Most times that one entry told the others of changes. */
+  /** Maximum number of times that one entry sent changes to the others. */
   readonly mostTold: number;
 }
 
 interface Call {
   readonly body: string;
   readonly crashes: boolean;
-  readonly until: number;
+  readonly deadlineAt: number;
   attempts: number;
 }
 
@@ -91,12 +96,12 @@
   readonly #entries: readonly EntryReducer[];
   readonly #calls = new Map<number, Call>();
   #requests = 0;
-  #innocent = 0;
+  #harmless = 0;
   #served = 0;
-  readonly #told = new Map<EntryReducer, number>();
-  readonly #refusedInnocent = new Set<string>();
+  readonly #sentUpdates = new Map<EntryReducer, number>();
+  readonly #refusedHarmless = new Set<string>();
 
-  /** Begins at rest. */
+  /** Creates entries without requests. */
   constructor(options: PoisonFleetOptions) {
     this.#options = options;
     this.#random = new RandomSource(options.seed);
@@ -104,7 +109,7 @@
       queue: this.#queue,
       groups: options.groups,
       ranksPerGroup: options.ranksPerGroup,
-      onGroup: (group, isOpen) => this.#tellGroup(group, isOpen),
+      onGroupChanged: (group, isOpen) => this.#sendGroupState(group, isOpen),
     });
     this.#entries = Array.from(
       { length: options.entries },
@@ -113,7 +118,7 @@
   }
 
   /**
-   * Runs for some milliseconds.
+   * Runs for a number of virtual milliseconds.
    *
    * @example
    * ```ts
@@ -121,19 +126,19 @@
    * ```
    */
   run(milliseconds: number): PoisonFleetResult {
-    this.#entries.forEach((entry) => this.#follow(entry));
-    this.#planCaller(milliseconds);
+    this.#entries.forEach((entry) => this.#start(entry));
+    this.#scheduleRequest(milliseconds);
     for (let poison = 0; poison < this.#options.poisons; poison++) {
-      this.#planPoison(`poison ${poison}`);
+      this.#schedulePoisonRequest(`poison ${poison}`);
     }
-    for (const loss of this.#options.losses) this.#planLoss(loss);
+    for (const loss of this.#options.losses) this.#scheduleLoss(loss);
     this.#queue.runUntil(milliseconds + CLIENT_DEADLINE_MS);
     return {
       crashes: this.#ranks.crashes,
-      innocent: this.#innocent,
-      refusedInnocent: this.#refusedInnocent.size,
+      innocent: this.#harmless,
+      refusedInnocent: this.#refusedHarmless.size,
       served: this.#served,
-      mostTold: Math.max(0, ...this.#told.values()),
+      mostTold: Math.max(0, ...this.#sentUpdates.values()),
     };
   }
 
@@ -156,16 +161,16 @@
     return entry;
   }
 
-  /** Lists, ticks and words on groups, each entry at its own times. */
-  #follow(entry: EntryReducer): void {
-    this.#list(entry);
+  /** Schedules lists, ticks and states of groups, at random times for each entry. */
+  #start(entry: EntryReducer): void {
+    this.#listInstances(entry);
     const ranks = this.#ranks.listed.map(({ address, group }) => ({
       engineAddress: address,
       group,
     }));
     this.#reduce(entry, { kind: "ranks_listed", ranks });
-    const first = this.#random.nextBelow(LIST_INTERVAL_MS);
-    this.#repeat(first, LIST_INTERVAL_MS, () => this.#list(entry));
+    const firstMs = this.#random.nextBelow(LIST_INTERVAL_MS);
+    this.#repeat(firstMs, LIST_INTERVAL_MS, () => this.#listInstances(entry));
     this.#repeat(
       this.#random.nextBelow(TICK_MS),
       TICK_MS,
@@ -173,14 +178,14 @@
     );
   }
 
-  #repeat(first: number, everyMs: number, run: () => void): void {
-    this.#queue.after(first, () => {
+  #repeat(firstMs: number, intervalMs: number, run: () => void): void {
+    this.#queue.after(firstMs, () => {
       run();
-      this.#repeat(everyMs, everyMs, run);
+      this.#repeat(intervalMs, intervalMs, run);
     });
   }
 
-  #list(entry: EntryReducer): void {
+  #listInstances(entry: EntryReducer): void {
     const instances = this.#ranks.listed.map(({ id, address }) =>
       createInstance(id, { address })
     );
@@ -188,62 +193,75 @@
     this.#reduce(entry, { kind: "instances_listed", now, instances });
   }
 
-  #tellGroup(group: string, isOpen: boolean): void {
-    const seenAt = this.#queue.now;
+  #sendGroupState(group: string, isOpen: boolean): void {
+    const observedAt = this.#queue.now;
     for (const entry of this.#entries) {
-      this.#queue.after(this.#random.nextBelow(GROUP_HEARD_MS), () => {
+      this.#queue.after(this.#random.nextBelow(MAX_GROUP_DELAY_MS), () => {
         const { now } = this.#queue;
-        const ageMs = now - seenAt;
-        const sight = { kind: "group_sight", group, isOpen, ageMs } as const;
-        this.#reduce(entry, { kind: "group_seen", now, observation: sight });
+        const ageMs = now - observedAt;
+        const groupObservation = {
+          kind: "group_sight",
+          group,
+          isOpen,
+          ageMs,
+        } as const;
+        this.#reduce(entry, {
+          kind: "group_seen",
+          now,
+          observation: groupObservation,
+        });
       });
     }
   }
 
-  #planCaller(end: number): void {
+  #scheduleRequest(end: number): void {
     const { requestsPerSecond } = this.#options;
     this.#queue.after(
       this.#random.nextExponential(1000 / requestsPerSecond),
       () => {
         if (this.#queue.now > end) return;
-        this.#innocent++;
-        this.#call(this.#createCall(`innocent ${this.#innocent}`, false));
-        this.#planCaller(end);
+        this.#harmless++;
+        this.#send(this.#createCall(`harmless ${this.#harmless}`, false));
+        this.#scheduleRequest(end);
       },
     );
   }
 
-  #planPoison(body: string): void {
-    const { poisonEveryMs } = this.#options;
-    this.#repeat(this.#random.nextBelow(poisonEveryMs), poisonEveryMs, () => {
-      const call = this.#createCall(body, true);
-      call.attempts = CALLER_ATTEMPTS;
-      this.#call(call);
-    });
+  #schedulePoisonRequest(body: string): void {
+    const { poisonEveryMs: poisonIntervalMs } = this.#options;
+    this.#repeat(
+      this.#random.nextBelow(poisonIntervalMs),
+      poisonIntervalMs,
+      () => {
+        const call = this.#createCall(body, true);
+        call.attempts = CALLER_ATTEMPTS;
+        this.#send(call);
+      },
+    );
   }
 
-  #planLoss({ at, share }: RankLoss): void {
+  #scheduleLoss({ at, share }: RankLoss): void {
     this.#queue.after(at, () => {
       const all = this.#ranks.listed;
       const first = this.#random.nextBelow(all.length);
       const lost = Math.ceil(all.length * share);
       const ranks = Array.from(
         { length: lost },
-        (_, number) => all[(first + number) % all.length] as RankStart,
+        (_, number) => all[(first + number) % all.length] as RankIncarnation,
       );
       this.#ranks.crash(ranks);
     });
   }
 
   #createCall(body: string, crashes: boolean): Call {
-    const until = this.#queue.now + CLIENT_DEADLINE_MS;
-    return { body, crashes, until, attempts: 0 };
+    const deadlineAt = this.#queue.now + CLIENT_DEADLINE_MS;
+    return { body, crashes, deadlineAt, attempts: 0 };
   }
 
-  /** Asks a drawn entry. */
-  #call(call: Call): void {
-    const leftMs = call.until - this.#queue.now;
-    if (leftMs <= 0) return;
+  /** Sends a request to a random entry. */
+  #send(call: Call): void {
+    const remainingMs = call.deadlineAt - this.#queue.now;
+    if (remainingMs <= 0) return;
     call.attempts++;
     const id = ++this.#requests;
     this.#calls.set(id, call);
@@ -255,7 +273,7 @@
       request: createCallerRequest({
         id,
         body: Buffer.from(call.body),
-        deadlineMs: leftMs,
+        deadlineMs: remainingMs,
       }),
     });
   }
@@ -275,12 +293,12 @@
         this.#served++;
         return;
       case "refuse_request":
-        return this.#refused(
+        return this.#onRefused(
           effect.requestId,
           effect.problem.reason as RefusalName,
         );
       case "memories_changed":
-        return this.#tellCrashes(entry);
+        return this.#replicateCrashes(entry);
       default:
         return;
     }
@@ -293,8 +311,8 @@
   ): void {
     const { crashes } = this.#calls.get(requestId) as Call;
     this.#ranks.run(targetName, { crashes }, (end) => {
-      const place = { requestId, attempt };
-      for (const message of toMessages(place, end)) {
+      const attemptId = { requestId, attempt };
+      for (const message of createMessages(attemptId, end)) {
         const { now } = this.#queue;
         this.#reduce(entry, {
           kind: "message_received",
@@ -306,23 +324,24 @@
     });
   }
 
-  #refused(requestId: number, reason: RefusalName): void {
+  #onRefused(requestId: number, reason: RefusalName): void {
     const call = this.#calls.get(requestId) as Call;
     if (reason === "CRASHES_TARGETS" && !call.crashes) {
-      this.#refusedInnocent.add(call.body);
+      this.#refusedHarmless.add(call.body);
     }
     if (call.attempts >= CALLER_ATTEMPTS) return;
-    this.#queue.after(RETURN_MS, () => this.#call(call));
+    this.#queue.after(RETRY_DELAY_MS, () => this.#send(call));
   }
 
-  #tellCrashes(from: EntryReducer): void {
-    const told = (this.#told.get(from) ?? 0) + 1;
-    this.#told.set(from, told);
-    if (told > TOLD_LIMIT) return;
+  #replicateCrashes(from: EntryReducer): void {
+    const sentUpdates = (this.#sentUpdates.get(from) ?? 0) + 1;
+    this.#sentUpdates.set(from, sentUpdates);
+    if (sentUpdates > MAX_UPDATES) return;
     const requests = from.crashes.list();
     for (const entry of this.#entries) {
       if (entry === from) continue;
-      const delay = TOLD_MS.least + this.#random.nextBelow(TOLD_MS.spread);
+      const delay = UPDATE_DELAY_MS.min +
+        this.#random.nextBelow(UPDATE_DELAY_MS.spread);
       this.#queue.after(delay, () => {
         const { now } = this.#queue;
         this.#reduce(entry, { kind: "crashes_told", now, requests });
@@ -331,16 +350,16 @@
   }
 }
 
-function toMessages(
-  place: AttemptPlace,
-  end: RunEnd,
+function createMessages(
+  attemptId: AttemptIdentity,
+  end: RunOutcome,
 ): readonly AttemptMessage[] {
   switch (end) {
     case "answered":
-      return createEmptyAnswer(place);
+      return createEmptyAnswer(attemptId);
     case "broken":
-      return [createRefused(place, "BACK_END_FAILED")];
+      return [createRefused(attemptId, "BACK_END_FAILED")];
     case "group lost":
-      return [createRefused(place, "GROUP_CLOSED")];
+      return [createRefused(attemptId, "GROUP_CLOSED")];
   }
 }
--- a/src/testing/priority_burst_world.ts
+++ b/src/testing/priority_burst_world.ts
@@ -1,6 +1,7 @@
 /**
- * Entries before one rank group in virtual time, without a network: callers, reports of
- * the group's decider that are some hundred milliseconds old, and restarts of both.
+ * Simulates entries before one rank group, in virtual time and without a network:
+ * callers, reports of the group's decider that are some hundred milliseconds old, and
+ * restarts of entries and decider.
  *
  * @module
  */
@@ -14,7 +15,7 @@
   SendToTarget,
 } from "../entry/types.ts";
 import type { GroupSettings } from "../external/operator_settings.ts";
-import { BurstCallers, keyOf } from "./burst_callers.ts";
+import { BurstCallers, getAccessKeyHash } from "./burst_callers.ts";
 import {
   type Burst,
   DEADLINE_MS,
@@ -22,12 +23,12 @@
   KINDS,
   OBJECTIVE_MS,
   ORGANISATIONS,
-  PAUSE_MS,
+  PAUSE_OBJECTIVE_MS,
 } from "./burst_types.ts";
 import { EventQueue } from "./event_queue.ts";
 import { createDocuments, createInstance } from "./fixtures.ts";
 import {
-  addressOf,
+  getEngineAddress,
   type GroupSnapshot,
   IDLE_PASS_MS,
   JointPassGroup,
@@ -38,35 +39,35 @@
 const POOL = "ranks";
 const GROUP = "group";
 const REPORT_INTERVAL_MS = 200;
-/** Age of a report as an entry gets it, in milliseconds. */
-const REPORT_AGE = { least: 200, most: 500 };
+/** Age in milliseconds of a report when an entry receives it. */
+const REPORT_AGE_MS = { min: 200, max: 500 };
 /** Steps of a pass. */
 const STRIDE = 8;
 const TICK_MS = 40;
-/** Pieces of an answer: 17 in the mean. */
-const PIECES = { least: 12, spread: 11 };
+/** Chunks of an answer; the mean is 17. */
+const CHUNKS = { min: 12, spread: 11 };
 const STREAM_HEAD = [["content-type", "text/event-stream"]] as const;
 
 /** A time without the decider, in milliseconds. */
-export interface Silence {
+export interface DeciderOutage {
   readonly from: number;
   readonly until: number;
 }
 
-/** What varies between runs. */
-export interface BurstWorldOptions {
+/** Options of a {@link PriorityBurstSimulation}. */
+export interface BurstSimulationOptions {
   readonly seed: number;
   readonly entries: number;
-  /** Requests a second of all kinds, outside of a burst. */
+  /** Request rate of all kinds outside of a burst. */
   readonly perSecond: number;
   readonly burst: Burst;
-  /** Whether the services differ in priority; otherwise each has the usual one. */
+  /** Whether the services differ in priority; otherwise each has the default priority. */
   readonly isPrioritised: boolean;
-  /** The decider restarts. */
-  readonly silence?: Silence;
+  /** When the decider restarts. */
+  readonly deciderOutage?: DeciderOutage;
   /** When all entries restart. */
   readonly restartAt?: number;
-  /** Whether entries know the settings of the rank group; they do unless given. */
+  /** Whether entries know the settings of the rank group; true by default. */
   readonly knowsGroup?: boolean;
   /** Called for each effect of an entry. */
   readonly onEffect?: (effect: EntryEffect) => void;
@@ -74,24 +75,24 @@
 
 interface Entry {
   reducer: EntryReducer;
-  /** When its last report arrived; reports keep their order. */
-  heardAt: number;
+  /** When the entry's last report arrives; later reports do not overtake it. */
+  lastReportAt: number;
   readonly requests: Set<number>;
 }
 
 /** Entries, callers and a rank group in virtual time. */
-export class PriorityBurstWorld {
-  readonly #options: BurstWorldOptions;
+export class PriorityBurstSimulation {
+  readonly #options: BurstSimulationOptions;
   readonly #events = new EventQueue();
   readonly #random: RandomSource;
   readonly #group: JointPassGroup;
   readonly #callers: BurstCallers;
   readonly #entries: Entry[];
-  /** Entry of each request, by its id. */
-  readonly #entryOf = new Map<number, Entry>();
+  /** The entry of each request, by the request's id. */
+  readonly #entryByRequest = new Map<number, Entry>();
 
-  /** The same options give the same run. */
-  constructor(options: BurstWorldOptions) {
+  /** Starts callers and entries; the same options give the same run. */
+  constructor(options: BurstSimulationOptions) {
     this.#options = options;
     const { seed, perSecond, burst } = options;
     const events = this.#events;
@@ -99,7 +100,7 @@
     this.#group = new JointPassGroup(events, new RandomSource(seed + 1));
     this.#entries = Array.from({ length: options.entries }, (_, index) => ({
       reducer: this.#createReducer(index),
-      heardAt: 0,
+      lastReportAt: 0,
       requests: new Set<number>(),
     }));
     this.#callers = new BurstCallers({
@@ -108,22 +109,22 @@
       perSecond,
       burst,
       send: (request) => this.#send(request),
-      leave: (requestId) => this.#leave(requestId),
+      disconnect: (requestId) => this.#disconnect(requestId),
     });
-    this.#planReport();
-    for (const entry of this.#entries) this.#planTick(entry);
+    this.#scheduleReport();
+    for (const entry of this.#entries) this.#scheduleTick(entry);
     if (options.restartAt !== undefined) {
       events.after(options.restartAt, () => this.#restartEntries());
     }
   }
 
-  /** Runs until a virtual time; returns the calls that have ended. */
+  /** Runs up to a virtual time. Returns the calls that have ended. */
   run(untilMs: number): readonly EndedCall[] {
     this.#events.runUntil(untilMs);
-    return this.#callers.ended;
+    return this.#callers.endedCalls;
   }
 
-  /** Virtual milliseconds since the oldest call began that has not ended. */
+  /** Virtual milliseconds since the oldest unfinished call was sent. */
   get oldestCallMs(): number {
     return this.#events.now - this.#callers.oldestSentAt;
   }
@@ -138,7 +139,7 @@
     reducer.reduce({
       kind: "settings_in_force",
       now,
-      routes: createTable(this.#options.isPrioritised),
+      routes: createRoutingTable(this.#options.isPrioritised),
       groups: this.#options.knowsGroup === false ? undefined : GROUPS,
     });
     reducer.reduce({ kind: "instances_listed", now, instances: INSTANCES });
@@ -155,16 +156,16 @@
   }
 
   #send(request: CallerRequest): void {
-    const place = this.#random.nextBelow(this.#entries.length);
-    const entry = this.#entries[place] as Entry;
-    this.#entryOf.set(request.id, entry);
+    const index = this.#random.nextBelow(this.#entries.length);
+    const entry = this.#entries[index] as Entry;
+    this.#entryByRequest.set(request.id, entry);
     entry.requests.add(request.id);
     const { now } = this.#events;
     this.#dispatch(entry, { kind: "request_arrived", now, request });
   }
 
-  #leave(requestId: number): void {
-    const entry = this.#entryOf.get(requestId);
+  #disconnect(requestId: number): void {
+    const entry = this.#entryByRequest.get(requestId);
     if (entry === undefined) return;
     const { now } = this.#events;
     this.#dispatch(entry, { kind: "caller_gone", now, requestId });
@@ -179,7 +180,7 @@
   #perform(entry: Entry, effect: EntryEffect): void {
     this.#options.onEffect?.(effect);
     if (effect.kind === "send") return this.#sendToRank(entry, effect);
-    this.#callers.perform(effect);
+    this.#callers.handleEffect(effect);
   }
 
   #sendToRank(entry: Entry, { targetName, message }: SendToTarget): void {
@@ -187,40 +188,41 @@
     const key = `${message.requestId}.${message.attempt}`;
     if (message.kind === "cancel") return this.#group.cancel(rank, key);
     const { requestId, attempt } = message;
-    const place = { requestId, attempt };
+    const attemptId = { requestId, attempt };
     const { reducer } = entry;
     let sequence = 0;
     this.#group.submit(rank, {
       key,
       priority: message.priority,
-      pieces: PIECES.least + this.#random.nextBelow(PIECES.spread),
-      onPiece: (isLast) => {
-        // An entry that has restarted hears no answers of its earlier run.
+      chunks: CHUNKS.min + this.#random.nextBelow(CHUNKS.spread),
+      onChunk: (isLast) => {
+        // A restarted entry receives no answers to its earlier requests.
         if (entry.reducer !== reducer) return;
-        const say = (told: AnswerPart) =>
+        const receive = (part: AnswerPart) =>
           this.#dispatch(entry, {
             kind: "message_received",
             now: this.#events.now,
             targetName,
-            message: { ...place, sequence: sequence++, ...told },
+            message: { ...attemptId, sequence: sequence++, ...part },
           });
         if (sequence === 0) {
-          say({ kind: "answer_head", status: 200, headers: STREAM_HEAD });
+          receive({ kind: "answer_head", status: 200, headers: STREAM_HEAD });
         }
         const bytes = createEvent(sequence);
-        say({ kind: "answer_data", bytes });
+        receive({ kind: "answer_data", bytes });
         if (!isLast) return;
-        const byteCount = sumOfEvents(sequence);
-        say({ kind: "answer_end", byteCount, queued: 0, running: 0 });
+        const byteCount = getTotalEventBytes(sequence);
+        receive({ kind: "answer_end", byteCount, queued: 0, running: 0 });
       },
     });
   }
 
-  #planReport(): void {
+  #scheduleReport(): void {
     this.#events.after(REPORT_INTERVAL_MS, () => {
-      this.#planReport();
+      this.#scheduleReport();
       const { now } = this.#events;
-      const { from, until } = this.#options.silence ?? { from: 0, until: 0 };
+      const { from, until } = this.#options.deciderOutage ??
+        { from: 0, until: 0 };
       if (now >= from && now < until) return;
       const snapshot = this.#group.observe();
       for (const entry of this.#entries) this.#report(entry, snapshot);
@@ -229,10 +231,10 @@
 
   #report(entry: Entry, { passMs, loads }: GroupSnapshot): void {
     const { now } = this.#events;
-    const { least, most } = REPORT_AGE;
-    const age = least + this.#random.nextFraction() * (most - least);
-    const at = Math.max(entry.heardAt, now + age);
-    entry.heardAt = at;
+    const { min, max } = REPORT_AGE_MS;
+    const age = min + this.#random.nextFraction() * (max - min);
+    const at = Math.max(entry.lastReportAt, now + age);
+    entry.lastReportAt = at;
     this.#events.after(at - now, () =>
       this.#dispatch(entry, {
         kind: "group_load_told",
@@ -241,25 +243,25 @@
           pool: POOL,
           group: GROUP,
           isOpen: true,
-          ageMs: least,
+          ageMs: min,
           passMs,
           loads,
         },
       }));
   }
 
-  #planTick(entry: Entry): void {
+  #scheduleTick(entry: Entry): void {
     this.#events.after(TICK_MS, () => {
       const { now } = this.#events;
       const isBusy = entry.reducer.inFlight > 0;
       if (isBusy) this.#dispatch(entry, { kind: "tick", now });
-      this.#planTick(entry);
+      this.#scheduleTick(entry);
     });
   }
 
   #restartEntries(): void {
     for (const [index, entry] of this.#entries.entries()) {
-      this.#callers.lose([...entry.requests]);
+      this.#callers.endCalls([...entry.requests]);
       entry.requests.clear();
       entry.reducer = this.#createReducer(index);
     }
@@ -283,13 +285,13 @@
 const RANK_NUMBERS = Array.from({ length: RANKS }, (_, rank) => rank);
 const INSTANCES = RANK_NUMBERS.map((rank) =>
   createInstance(`rank-${rank}`, {
-    address: addressOf(rank),
+    address: getEngineAddress(rank),
     pool: POOL,
     concurrency: SLOTS_PER_RANK,
   })
 );
 const LISTED_RANKS = RANK_NUMBERS.map((rank) => ({
-  engineAddress: addressOf(rank),
+  engineAddress: getEngineAddress(rank),
   group: GROUP,
 }));
 
@@ -299,7 +301,7 @@
   slotsPerRank: 8,
   maxNewExperts: 2,
   loadMs: 300,
-  pauseObjectiveMs: PAUSE_MS,
+  pauseObjectiveMs: PAUSE_OBJECTIVE_MS,
   stepMs: IDLE_PASS_MS / STRIDE,
   stride: STRIDE,
 }]]);
@@ -308,8 +310,11 @@
   return new TextEncoder().encode(`id: ${sequence}\ndata: x\n\n`);
 }
 
-/** Bytes of the events before a sequence number; the first has number 1. */
-function sumOfEvents(end: number): number {
+/**
+ * Returns the total bytes of the events before a sequence number; the first event has
+ * number 1.
+ */
+function getTotalEventBytes(end: number): number {
   let sum = 0;
   for (let sequence = 1; sequence < end; sequence++) {
     sum += createEvent(sequence).length;
@@ -317,10 +322,10 @@
   return sum;
 }
 
-function createTable(isPrioritised: boolean): RoutingTable {
-  const organisations = Array.from({ length: ORGANISATIONS }, (_, place) => ({
-    path: `/organisations/org-${place}`,
-    text: `kind: organisation\naccessKeySha256: ["${keyOf(place)}"]`,
+function createRoutingTable(isPrioritised: boolean): RoutingTable {
+  const organisations = Array.from({ length: ORGANISATIONS }, (_, index) => ({
+    path: `/organisations/org-${index}`,
+    text: `kind: organisation\naccessKeySha256: ["${getAccessKeyHash(index)}"]`,
   }));
   const services = KINDS.map(({ priority }, kind) => ({
     path: `/organisations/org-0/services/kind-${kind}`,
@@ -335,7 +340,7 @@
       `defaultDeadlineMs: ${DEADLINE_MS}`,
       `longestDeadlineMs: ${DEADLINE_MS}`,
       `objectiveMs: ${OBJECTIVE_MS}`,
-      `pauseObjectiveMs: ${PAUSE_MS}`,
+      `pauseObjectiveMs: ${PAUSE_OBJECTIVE_MS}`,
       ...isPrioritised ? [`priority: ${priority}`] : [],
     ].join("\n"),
   }));
--- a/src/testing/process_cluster.ts
+++ b/src/testing/process_cluster.ts
@@ -1,6 +1,6 @@
 /**
- * Entries and targets as real processes before stand-ins of the platform, for
- * tests that kill, stop and signal them.
+ * Runs entries and targets as real processes with stand-ins of the platform, for tests
+ * that kill, stop and signal them.
  *
  * @module
  */
@@ -24,48 +24,48 @@
 /** Secret of every deployment in tests. */
 export const TEST_SECRET = "a-secret-of-tests-only";
 const POLL_MS = 25;
-const PATIENCE_MS = 30_000;
+const WAIT_LIMIT_MS = 30_000;
 
 /** A running process of lagoonwharf. */
 export interface RunningProcess {
   readonly name: string;
   readonly role: "entry" | "target";
   readonly child: ChildProcess;
-  /** Where callers (entry) or entries (target) connect. */
+  /** Where callers (for an entry) or entries (for a target) connect. */
   readonly address: string;
-  /** The administration address of an entry, the address of a target. */
+  /** The administration address of an entry, or the address of a target. */
   readonly administrationAddress: string;
-  /** Everything that it logged. */
+  /** Returns everything that the process has logged. */
   readLog(): string;
 }
 
-/** What a finished command printed. */
+/** Exit code and output of a finished command. */
 export interface CommandResult {
   readonly code: number | null;
   readonly output: string;
   readonly errors: string;
 }
 
-/** Waits until `isTrue` says so; fails after a generous limit. */
+/** Waits until `isTrue` returns true; fails after 30 seconds. */
 export async function waitUntil(
-  what: string,
+  description: string,
   isTrue: () => boolean | Promise<boolean>,
 ): Promise<void> {
-  const end = Date.now() + PATIENCE_MS;
+  const end = Date.now() + WAIT_LIMIT_MS;
   while (!await isTrue()) {
-    if (Date.now() > end) throw new Error(`Waited in vain: ${what}`);
+    if (Date.now() > end) throw new Error(`Timed out waiting: ${description}`);
     await sleep(POLL_MS);
   }
 }
 
-/** Entries and targets as real processes. */
+/** Entries and targets that run as real processes. */
 export class ProcessCluster {
   readonly keyValue = new KeyValueStandIn();
   readonly machineList = new VirtualMachineListStandIn();
   readonly #folder = mkdtempSync(join(tmpdir(), "lagoonwharf-test-"));
   readonly #processes: RunningProcess[] = [];
   readonly #closers: (() => void)[] = [];
-  #machines: readonly VirtualMachine[] = [];
+  #virtualMachines: readonly VirtualMachine[] = [];
   #keyValueAddress = "";
   #machineListAddress = "";
 
@@ -84,7 +84,7 @@
     return cluster;
   }
 
-  /** Listens with a stand-in of a back end; it is closed with the cluster. */
+  /** Makes a stand-in of a back end listen; it is closed with the cluster. */
   async listen(
     backEnd: { listen(address: string): Promise<void>; close(): void },
   ): Promise<string> {
@@ -94,16 +94,16 @@
     return address;
   }
 
-  /** Starts an entry, and lists it. */
+  /** Starts an entry and adds it to the list of VMs. */
   async startEntry(
     name: string,
     changes: Readonly<Record<string, unknown>> = {},
   ): Promise<RunningProcess> {
     const address = await findFreeAddress();
     const administrationAddress = await findFreeAddress();
-    this.#list(name, "entry", administrationAddress, "");
+    this.#addToList(name, "entry", administrationAddress, "");
     return this.#start("entry", {
-      ...this.#common(name),
+      ...this.#getCommonSettings(name),
       callerAddress: address,
       administrationAddress,
       administratorTokenSha256: createHash("sha256").update(TEST_TOKEN)
@@ -112,7 +112,7 @@
     }, { address, administrationAddress });
   }
 
-  /** Starts a target, and lists it. */
+  /** Starts a target and adds it to the list of VMs. */
   async startTarget(
     name: string,
     backEndAddress: string,
@@ -120,9 +120,9 @@
   ): Promise<RunningProcess> {
     const address = await findFreeAddress();
     const pool = name.replace(/-.*$/, "");
-    this.#list(name, "target", address, pool);
+    this.#addToList(name, "target", address, pool);
     return this.#start("target", {
-      ...this.#common(name),
+      ...this.#getCommonSettings(name),
       address,
       pool,
       backEndAddress,
@@ -130,16 +130,16 @@
     }, { address, administrationAddress: address });
   }
 
-  /** Writes a file of settings for the commands. */
+  /** Writes a settings file for a command. */
   writeFile(name: string, text: string): string {
     const file = join(this.#folder, name);
     writeFileSync(file, text);
     return file;
   }
 
-  /** Runs a command to its end. */
-  async run(words: readonly string[]): Promise<CommandResult> {
-    const child = spawnProgram(words);
+  /** Runs a command until it exits. */
+  async run(commandLine: readonly string[]): Promise<CommandResult> {
+    const child = spawnProgram(commandLine);
     let output = "";
     let errors = "";
     child.stdout?.on("data", (chunk) => output += chunk);
@@ -148,7 +148,10 @@
     return { code: code as number | null, output, errors };
   }
 
-  /** Applies a settings document through an entry; it must be accepted. */
+  /**
+   * Applies a settings document through an entry and returns its revision; it must be
+   * accepted.
+   */
   async apply(
     entry: RunningProcess,
     path: string,
@@ -172,7 +175,7 @@
     return body.revision;
   }
 
-  /** The state that an entry tells. */
+  /** Reads the status of an entry. */
   async readStatus(entry: RunningProcess): Promise<StatusBody> {
     const response = await request(
       `http://${entry.administrationAddress}/administration/v1/status`,
@@ -180,14 +183,14 @@
     return await response.body.json() as StatusBody;
   }
 
-  /** Waits until an entry has targets and settings to serve with. */
+  /** Waits until an entry reports that all these targets answered. */
   async waitForTargets(
     entry: RunningProcess,
     names: readonly string[],
   ): Promise<void> {
     try {
-      await waitUntil(`${entry.name} sees ${names.join(" ")}`, async () => {
-        const status = await this.#tryStatus(entry);
+      await waitUntil(`${entry.name} reports ${names.join(" ")}`, async () => {
+        const status = await this.#tryReadStatus(entry);
         return names.every((name) =>
           status?.targets.some((target) =>
             target.name === name && target.kind === "answered"
@@ -200,27 +203,29 @@
     }
   }
 
-  /** Waits until every process has a revision in force. */
+  /** Waits until an entry and all its targets have a revision in force. */
   async waitForRevision(
     entry: RunningProcess,
     revision: number,
   ): Promise<void> {
     await waitUntil(`revision ${revision} at ${entry.name}`, async () => {
-      const status = await this.#tryStatus(entry);
+      const status = await this.#tryReadStatus(entry);
       return status !== undefined && status.revision >= revision &&
         status.targets.every((target) => (target.revision ?? 0) >= revision);
     });
   }
 
-  /** Changes what the machine list says of a machine. */
+  /** Changes the state of a VM in the list of VMs. */
   setState(name: string, state: VirtualMachine["state"]): void {
-    this.#machines = this.#machines.map((machine) =>
-      machine.name === name ? { ...machine, state } : machine
+    this.#virtualMachines = this.#virtualMachines.map((virtualMachine) =>
+      virtualMachine.name === name
+        ? { ...virtualMachine, state }
+        : virtualMachine
     );
-    this.machineList.setVirtualMachines(this.#machines);
+    this.machineList.setVirtualMachines(this.#virtualMachines);
   }
 
-  /** Ends whatever this cluster started. */
+  /** Ends all processes and stand-ins of the cluster. */
   async close(): Promise<void> {
     for (const { child } of this.#processes) {
       child.kill("SIGCONT");
@@ -233,7 +238,7 @@
     rmSync(this.#folder, { recursive: true, force: true });
   }
 
-  async #tryStatus(entry: RunningProcess): Promise<StatusBody | undefined> {
+  async #tryReadStatus(entry: RunningProcess): Promise<StatusBody | undefined> {
     try {
       return await this.readStatus(entry);
     } catch {
@@ -241,7 +246,7 @@
     }
   }
 
-  #common(name: string): Readonly<Record<string, unknown>> {
+  #getCommonSettings(name: string): Readonly<Record<string, unknown>> {
     return {
       name,
       deployment: "test",
@@ -252,14 +257,16 @@
     };
   }
 
-  #list(
+  #addToList(
     name: string,
     role: VirtualMachine["role"],
     address: string,
     pool: string,
   ): void {
-    const others = this.#machines.filter((machine) => machine.name !== name);
-    this.#machines = [...others, {
+    const others = this.#virtualMachines.filter((virtualMachine) =>
+      virtualMachine.name !== name
+    );
+    this.#virtualMachines = [...others, {
       name,
       address,
       role,
@@ -267,7 +274,7 @@
       pool,
       state: "live",
     }];
-    this.machineList.setVirtualMachines(this.#machines);
+    this.machineList.setVirtualMachines(this.#virtualMachines);
   }
 
   #start(
@@ -290,7 +297,7 @@
   }
 }
 
-/** The part of an entry's status that tests read. */
+/** The fields of an entry's status that tests read. */
 export interface StatusBody {
   readonly revision: number;
   readonly inFlight: number;
@@ -303,7 +310,7 @@
   }[];
 }
 
-/** The exit code of a process, once it has one; null after a signal. */
+/** Waits until a process exits. Returns its exit code, or null after a signal. */
 export async function exitOf(child: ChildProcess): Promise<number | null> {
   if (child.exitCode !== null || child.signalCode !== null) {
     return child.exitCode;
@@ -313,24 +320,26 @@
 }
 
 /**
- * Starts the program: the sources, or what a variable names in their place, either
- * the binary or the folder of the programs that each hold one role.
+ * Starts the program from its sources. An environment variable can select the binary, or
+ * the folder of the programs that each have one role, instead.
  */
-export function spawnProgram(words: readonly string[]): ChildProcess {
-  const [command, ...commandWords] = commandOf(words);
-  return spawn(command, commandWords, {
+export function spawnProgram(commandLine: readonly string[]): ChildProcess {
+  const [command, ...commandArguments] = resolveCommand(commandLine);
+  return spawn(command, commandArguments, {
     stdio: ["ignore", "pipe", "pipe"],
     env: { ...process.env, LAGOONWHARF_TOKEN: TEST_TOKEN },
   });
 }
 
-function commandOf(words: readonly string[]): readonly [string, ...string[]] {
+function resolveCommand(
+  commandLine: readonly string[],
+): readonly [string, ...string[]] {
   const folder = process.env["LAGOONWHARF_PROGRAMS"];
-  const [command, role, ...others] = words;
+  const [command, role, ...others] = commandLine;
   if (folder !== undefined && command === "platform") {
     return [process.execPath, `${folder}/${role}.cjs`, ...others];
   }
   const binary = process.env["LAGOONWHARF_BINARY"];
-  if (binary !== undefined) return [binary, ...words];
-  return [process.execPath, "--import", "tsx", "src/main.ts", ...words];
+  if (binary !== undefined) return [binary, ...commandLine];
+  return [process.execPath, "--import", "tsx", "src/main.ts", ...commandLine];
 }
--- a/src/testing/request_world.ts
+++ b/src/testing/request_world.ts
@@ -1,38 +1,41 @@
 /**
- * A small world around the reducers of entries and targets, for tests under
- * faults: messages under way, back ends that count runs, an owner table, and
- * callers that remember what they were told. Time is virtual.
+ * Simulates the reducers of entries and targets under faults, in virtual time:
+ * undelivered messages, back ends that count runs, an owner table, and callers that
+ * record their answers.
  *
  * @module
  */
 import { createRoutes } from "./fixtures.ts";
 import {
-  RequestWorldModel,
-  type RequestWorldOptions,
-  WORLD_POOL,
+  RequestSimulationModel,
+  type RequestSimulationOptions,
+  SIMULATION_POOL,
 } from "./request_world_model.ts";
 import type { Submission } from "./submissions.ts";
-import type { WorldCallers } from "./world_callers.ts";
-import { WorldOwnerTable } from "./world_owner_table.ts";
-import { nameOf } from "./world_targets.ts";
+import type { SimulatedCallers } from "./world_callers.ts";
+import { SimulatedOwnerTable } from "./world_owner_table.ts";
+import { getTargetName } from "./world_targets.ts";
 
 export {
-  type RequestWorldOptions,
-  WORLD_EPOCH_MS,
+  type RequestSimulationOptions as RequestWorldOptions,
+  SIMULATION_START_MS as WORLD_EPOCH_MS,
 } from "./request_world_model.ts";
 export { GONE_GRACE_MS } from "./world_owner_table.ts";
 
-/** Entries, targets, back ends and callers, in virtual time, and what goes wrong. */
+/**
+ * Entries, targets, back ends and callers in virtual time, with methods that cause
+ * faults.
+ */
 export class RequestWorld {
-  readonly #options: RequestWorldOptions;
-  readonly #model: RequestWorldModel;
-  readonly #table: WorldOwnerTable;
+  readonly #options: RequestSimulationOptions;
+  readonly #model: RequestSimulationModel;
+  readonly #table: SimulatedOwnerTable;
 
-  /** All processes are up and connected, and every slot has an owner. */
-  constructor(options: RequestWorldOptions) {
+  /** Starts and connects all processes and gives every slot an owner. */
+  constructor(options: RequestSimulationOptions) {
     this.#options = options;
-    this.#model = new RequestWorldModel(options);
-    this.#table = new WorldOwnerTable(this.#model);
+    this.#model = new RequestSimulationModel(options);
+    this.#table = new SimulatedOwnerTable(this.#model);
     for (let target = 0; target < options.targets; target++) {
       this.lookAtTable(target);
       this.connectAll();
@@ -40,8 +43,8 @@
     this.settle();
   }
 
-  /** The callers, and what each was told. */
-  get callers(): WorldCallers {
+  /** The callers with their submissions and outcomes. */
+  get callers(): SimulatedCallers {
     return this.#model.callers;
   }
 
@@ -50,7 +53,7 @@
     return this.#model.now;
   }
 
-  /** Whether nobody can read or write the owner table now. */
+  /** Whether the owner table can be neither read nor written. */
   get isKeyValueDown(): boolean {
     return this.#table.isDown;
   }
@@ -59,7 +62,7 @@
     this.#table.isDown = isDown;
   }
 
-  /** A caller sends a request through an entry. */
+  /** Sends a caller's request to an entry. */
   submit(
     entry: number,
     request: {
@@ -70,7 +73,7 @@
     },
   ): Submission {
     const submission = this.callers.add({ entry, ...request });
-    this.#model.toEntry(entry, {
+    this.#model.dispatchToEntry(entry, {
       kind: "request_arrived",
       now: this.now,
       request: {
@@ -86,102 +89,102 @@
     return submission;
   }
 
-  /** The caller of a submission closes its connection. */
+  /** Closes the connection of a submission's caller. */
   abandon(submission: Submission): void {
     if (submission.outcome !== undefined) return;
-    this.#model.toEntry(submission.entry, {
+    this.#model.dispatchToEntry(submission.entry, {
       kind: "caller_gone",
       now: this.now,
       requestId: submission.id,
     });
   }
 
-  /** Delivers the next message of a connection, picked by number. */
+  /** Delivers the next message of a connection, chosen by number. */
   deliver(choice: number): void {
     this.#model.deliver(choice);
   }
 
-  /** Delivers every message, but lets no run get on. */
+  /** Delivers every message without advancing any run. */
   deliverAll(): void {
     this.#model.deliverAll();
   }
 
-  /** Delivers everything and lets every run end. */
+  /** Delivers every message and completes every run. */
   settle(): void {
     this.#model.settle();
   }
 
-  /** Nothing gets through between these two for now. */
+  /** Stalls the connection between an entry and a target. */
   stallBetween(entry: number, target: number): void {
-    const connection = this.#model.connections.tryBetween(entry, target);
+    const connection = this.#model.connections.tryGetBetween(entry, target);
     if (connection !== undefined) connection.isStalled = true;
   }
 
-  /** The slot of a key of this world's service. */
+  /** Returns the slot of a key of the simulated service. */
   slotOf(key: string): number {
-    return this.#table.slotOf(key);
+    return this.#table.getSlot(key);
   }
 
-  /** The target that the owner table gives a key to. */
+  /** Returns the target that owns a key according to the owner table. */
   ownerOf(key: string): number | undefined {
-    return this.#table.ownerOf(key);
+    return this.#table.getOwner(key);
   }
 
-  /** A back end gets on with one of its runs. */
+  /** Advances one of the runs of a back end. */
   progressRun(target: number, choice: number): void {
     this.#model.progressRun(target, choice);
   }
 
-  /** A back end breaks off one of its answers. */
+  /** Fails one of the runs of a back end. */
   failRun(target: number, choice: number): void {
     this.#model.failRun(target, choice);
   }
 
-  /** Time passes, in small steps, for all that are not paused. */
+  /** Advances time in small steps for all processes that are not paused. */
   tick(milliseconds: number): void {
     this.#model.tick(milliseconds);
   }
 
-  /** Does something once virtual time has come so far. */
+  /** Schedules a callback at a virtual time. */
   at(time: number, run: () => void): void {
-    this.#model.at(time, run);
+    this.#model.scheduleAt(time, run);
   }
 
-  /** The connection is lost; both sides notice. */
+  /** Closes a connection; both sides notice. */
   disconnect(choice: number): void {
     const connection = this.#model.connections.tryPick(choice);
     if (connection !== undefined) this.#model.disconnect(connection);
   }
 
-  /** Nothing gets through for now. */
+  /** Stalls a connection. */
   stall(choice: number): void {
     const connection = this.#model.connections.tryPick(choice);
     if (connection !== undefined) connection.isStalled = true;
   }
 
-  /** Everything that was stalled gets through again. */
+  /** Makes all stalled connections work again. */
   unstallAll(): void {
     this.#model.connections.unstallAll();
   }
 
-  /** Connections are made where there are none. */
+  /** Connects every entry and target that are not connected. */
   connectAll(): void {
     this.#model.connectAll();
   }
 
-  /** kill -9 of a target's process; what its back end runs goes on. */
+  /** Kills a target's process, as with `kill -9`. */
   kill(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp) return;
     process.isUp = false;
     process.isPaused = false;
     process.runs.clear();
-    for (const connection of this.#model.connections.ofTarget(target)) {
+    for (const connection of this.#model.connections.listByTarget(target)) {
       this.#model.disconnect(connection);
     }
   }
 
-  /** The process starts anew on the same machine, without memory. */
+  /** Restarts the process on the same VM with empty state. */
   restart(target: number): void {
     const process = this.#model.targets.get(target);
     if (process.isUp) this.kill(target);
@@ -189,120 +192,126 @@
     this.connectAll();
   }
 
-  /** SIGSTOP. */
+  /** Pauses a target's process, as SIGSTOP does. */
   pause(target: number): void {
     if (this.#model.targets.get(target).isUp) {
       this.#model.targets.get(target).isPaused = true;
     }
   }
 
-  /** SIGCONT. */
+  /** Resumes a target's process, as SIGCONT does. */
   wake(target: number): void {
     this.#model.targets.get(target).isPaused = false;
   }
 
-  /** The platform says that the machine is gone, rightly or not. */
+  /** Makes the platform list the VM as gone, even if it still runs. */
   listGone(target: number): void {
     this.#model.targets.get(target).goneAt ??= this.now;
   }
 
-  /** The platform says that the machine is there. */
+  /** Makes the platform list the VM as live. */
   listLive(target: number): void {
     this.#model.targets.get(target).goneAt = undefined;
   }
 
-  /** A target reads the owner table, and later takes in what it read. */
+  /** Reads the owner table for a target, which processes it in {@link finishLook}. */
   startLook(target: number): void {
-    this.#table.startLook(target);
+    this.#table.startRead(target);
   }
 
-  /** A target claims by what it read: compare-and-swap, then its own use. */
+  /**
+   * Claims slots according to the table that was read: by compare-and-swap first, then in
+   * the target.
+   */
   finishLook(target: number): void {
-    this.#table.finishLook(target);
+    this.#table.finishRead(target);
   }
 
-  /** Reads the owner table and claims at once. */
+  /** Reads the owner table and claims slots immediately. */
   lookAtTable(target: number): void {
-    this.#table.lookAtTable(target);
+    this.#table.readAndClaim(target);
   }
 
-  /** A drained target gives back its slots, and waits for their new owners. */
+  /** Releases the slots of a drained target, which then waits for their new owners. */
   release(target: number): void {
     this.#table.release(target);
   }
 
-  /** A new owner asks for the keys of one slot that it took. */
+  /** Requests the keys of one slot that a new owner has claimed. */
   handOver(target: number): void {
     this.#table.handOver(target);
   }
 
-  /** A new owner asks for the keys of all slots that it took. */
+  /** Requests the keys of all slots that a new owner has claimed. */
   handOverAll(target: number): void {
     this.#table.handOverAll(target);
   }
 
-  /** Runs that a target has begun for an entry. */
+  /** Returns the number of runs that a target has started for an entry. */
   runsAt(target: number, entry: number): number {
-    return this.#model.runLog.countAt(target, entry);
+    return this.#model.runLog.countRuns(target, entry);
   }
 
-  /** When a target last began a run. */
+  /** Returns when a target last started a run. */
   lastRunAt(target: number): number {
-    return this.#model.runLog.lastAt(target);
+    return this.#model.runLog.getLastStart(target);
   }
 
-  /** The next message from a target to an entry is lost. */
+  /** Drops the next message from a target to an entry. */
   dropNext(entry: number, target: number): void {
-    this.#model.connections.tryBetween(entry, target)?.toEntry.shift();
+    this.#model.connections.tryGetBetween(entry, target)?.toEntry.shift();
   }
 
-  /** The target learns from the list or the settings whether it is leaving. */
+  /** Sets whether a target is leaving, as it learns from the list or the settings. */
   setLeaving(target: number, isLeaving: boolean): void {
-    this.#model.toTarget(target, {
+    this.#model.dispatchToTarget(target, {
       kind: "leaving_set",
       now: this.now,
       isLeaving,
     });
   }
 
-  /** Entries read in the list that a target is leaving. */
+  /** Makes entries read in the list that a target is leaving. */
   listLeaving(entries: readonly number[], target: number): void {
     for (const entry of entries) {
-      this.#model.toEntry(entry, {
+      this.#model.dispatchToEntry(entry, {
         kind: "machines_listed",
         now: this.now,
         virtualMachines: [{
-          name: nameOf(target),
+          name: getTargetName(target),
           address: "127.0.0.1:1",
           role: "target",
           failureDomain: `domain-${target}`,
-          pool: WORLD_POOL,
+          pool: SIMULATION_POOL,
           state: "leaving",
         }],
       });
     }
   }
 
-  /** Entries take in settings by which a target is leaving. */
+  /** Applies settings to entries in which a target is leaving. */
   setLeavingBySettings(entries: readonly number[], target: number): void {
     for (const entry of entries) {
-      this.#model.toEntry(entry, {
+      this.#model.dispatchToEntry(entry, {
         kind: "settings_in_force",
         now: this.now,
         routes: createRoutes({ service: this.#options.service }),
-        leavingTargets: new Set([nameOf(target)]),
+        leavingTargets: new Set([getTargetName(target)]),
       });
     }
   }
 
-  /** A target is told to end. */
+  /** Requests a target to drain and end. */
   drain(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp || process.isPaused) return;
-    this.#model.toTarget(target, { kind: "drain_requested", now: this.now });
+    this.#model.dispatchToTarget(target, {
+      kind: "drain_requested",
+      now: this.now,
+    });
   }
 
-  /** What must hold at every moment. */
+  /** Checks the conditions that must hold at every moment. */
   checkInvariants(): void {
     this.callers.check();
   }
--- a/src/testing/run_log.ts
+++ b/src/testing/run_log.ts
@@ -1,35 +1,35 @@
 /**
- * When targets began runs, and for which entries.
+ * Records when targets started runs, and for which entries.
  *
  * @module
  */
 
-/** One run that a target began. */
-export interface RunTime {
+/** One run that a target started. */
+export interface RunRecord {
   readonly target: number;
   readonly entry: number;
   /** Milliseconds of the virtual clock. */
   readonly at: number;
 }
 
-/** When targets began runs, and for which entries. */
+/** The runs that targets have started. */
 export class RunLog {
-  readonly #times: RunTime[] = [];
+  readonly #times: RunRecord[] = [];
 
-  /** A target began a run. */
-  note(time: RunTime): void {
+  /** Records the start of a run. */
+  record(time: RunRecord): void {
     this.#times.push(time);
   }
 
-  /** Runs that a target has begun for an entry. */
-  countAt(target: number, entry: number): number {
+  /** Returns the number of runs that a target has started for an entry. */
+  countRuns(target: number, entry: number): number {
     return this.#times.filter((one) =>
       one.target === target && one.entry === entry
     ).length;
   }
 
-  /** When a target last began a run. */
-  lastAt(target: number): number {
+  /** Returns when a target last started a run. */
+  getLastStart(target: number): number {
     const times = this.#times.filter((one) => one.target === target)
       .map((one) => one.at);
     return Math.max(Number.NEGATIVE_INFINITY, ...times);
--- a/src/testing/spoken_notices.ts
+++ b/src/testing/spoken_notices.ts
@@ -1,86 +1,92 @@
 /**
- * What targets say of themselves with their answers over a run: limits, backoffs, and that they
- * leave.
+ * Plans the notices that targets send with their answers during a run: rate limits,
+ * backoffs, and that they leave.
  *
  * @module
  */
 import type { AttemptMessage } from "../messages/types.ts";
 import {
-  type AttemptPlace,
+  type AttemptIdentity,
   createEmptyAnswer,
   createNotice,
   createRefused,
 } from "./fixtures.ts";
 
-/** A target names another limit, or none. */
+/** A target announces another limit, or that it has none. */
 export interface LimitChange {
-  /** Milliseconds since callers came. */
+  /** Milliseconds since callers started. */
   readonly at: number;
   /** Number of the target, from 0. */
   readonly target: number;
-  /** Requests a second; undefined: its limit ends. */
+  /** Requests per second; undefined: the limit ends. */
   readonly perSecond: number | undefined;
 }
 
-/** A target turns all requests away for a while. */
-export interface Refusing {
-  /** Milliseconds since callers came. */
+/** A time in which a target rejects all requests. */
+export interface RejectionPeriod {
+  /** Milliseconds since callers started. */
   readonly from: number;
   readonly to: number;
   /** Number of the target, from 0. */
   readonly target: number;
-  /** Milliseconds of the backoff that it asks for. */
+  /** Milliseconds of the backoff that the target requests. */
   readonly askedMs: number;
 }
 
-/** A target says from a moment on that it leaves. */
-export interface SaidLeaving {
-  /** Milliseconds since callers came. */
+/** A time from which a target announces that it leaves. */
+export interface LeavingAnnouncement {
+  /** Milliseconds since callers started. */
   readonly at: number;
   /** Number of the target, from 0. */
   readonly target: number;
 }
 
-/** What targets say over a run. */
+/** The notices that targets send during a run. */
 export interface NoticePlan {
   readonly changes: readonly LimitChange[];
-  readonly refusing?: readonly Refusing[];
-  readonly leaving?: readonly SaidLeaving[];
+  readonly refusing?: readonly RejectionPeriod[];
+  readonly leaving?: readonly LeavingAnnouncement[];
 }
 
-/** Answers requests as targets that say something of themselves. */
-export class SpokenNotices {
+/** Answers requests with the notices of a plan. */
+export class PlannedNotices {
   readonly #plan: NoticePlan;
 
-  /** Says what the plan has. */
+  /** Creates answers according to the plan. */
   constructor(plan: NoticePlan) {
     this.#plan = plan;
   }
 
-  /** The messages with which a target answers; `at` in milliseconds since callers came. */
+  /**
+   * Returns the messages with which a target answers; `at` is in milliseconds since
+   * callers started.
+   */
   answer(
-    place: AttemptPlace,
+    attemptId: AttemptIdentity,
     target: number,
     at: number,
   ): readonly AttemptMessage[] {
-    const refusing = this.#plan.refusing?.find((one) =>
+    const rejection = this.#plan.refusing?.find((one) =>
       one.target === target && one.from <= at && at < one.to
     );
-    if (refusing !== undefined) {
-      const milliseconds = refusing.askedMs;
+    if (rejection !== undefined) {
+      const milliseconds = rejection.askedMs;
       const notice = createNotice({
         backoff: { kind: "backoff", milliseconds },
       });
-      return [{ ...createRefused(place, "BACK_END_FULL"), notice }];
+      return [{ ...createRefused(attemptId, "BACK_END_FULL"), notice }];
     }
     const notice = createNotice({
-      rateLimit: this.#limitOf(target, at),
-      leaving: this.#leavingOf(target, at),
+      rateLimit: this.#getRateLimit(target, at),
+      leaving: this.#getLeaving(target, at),
     });
-    return createEmptyAnswer(place).map((message) => ({ ...message, notice }));
+    return createEmptyAnswer(attemptId).map((message) => ({
+      ...message,
+      notice,
+    }));
   }
 
-  #limitOf(target: number, at: number) {
+  #getRateLimit(target: number, at: number) {
     const change = this.#plan.changes.findLast((one) =>
       one.target === target && one.at <= at
     );
@@ -89,11 +95,11 @@
       : { kind: "limit", perSecond: change.perSecond } as const;
   }
 
-  #leavingOf(target: number, at: number) {
-    const hasSaid = this.#plan.leaving?.some((one) =>
+  #getLeaving(target: number, at: number) {
+    const hasAnnounced = this.#plan.leaving?.some((one) =>
       one.target === target && one.at <= at
     );
-    return hasSaid === true
+    return hasAnnounced === true
       ? { kind: "leaving" } as const
       : { kind: "none" } as const;
   }
--- a/src/testing/tcp_relay.ts
+++ b/src/testing/tcp_relay.ts
@@ -1,5 +1,5 @@
 /**
- * A relay between two processes that a test can cut, silence or slow down.
+ * Provides a TCP relay between two processes that a test can cut, freeze or slow down.
  *
  * @module
  */
@@ -9,17 +9,17 @@
 import { parseAddress } from "../process/address.ts";
 import { findFreeAddress } from "./free_address.ts";
 
-/** Which way bytes go through a relay. */
-type Way = "to_target" | "from_target";
+/** The direction of bytes through a relay. */
+type Direction = "to_target" | "from_target";
 
 /** A relay between two processes. */
 export class TcpRelay {
   readonly #address: string;
-  readonly #sockets: Readonly<Record<Way, Set<Socket>>> = {
+  readonly #sockets: Readonly<Record<Direction, Set<Socket>>> = {
     to_target: new Set(),
     from_target: new Set(),
   };
-  readonly #frozen = new Set<Way>();
+  readonly #frozen = new Set<Direction>();
   #isCut = false;
   #delayMs = 0;
   readonly #server;
@@ -29,7 +29,7 @@
     this.#server = createServer((socket) => this.#accept(socket, target));
   }
 
-  /** Listens on a free port and passes on to `target`. */
+  /** Listens on a free port and relays connections to `target`. */
   static async create(target: string): Promise<TcpRelay> {
     const address = await findFreeAddress();
     const relay = new TcpRelay(address, target);
@@ -39,47 +39,47 @@
     return relay;
   }
 
-  /** Where to connect to. */
+  /** The address on which the relay listens. */
   get address(): string {
     return this.#address;
   }
 
-  /** Breaks what is open and refuses what comes. */
+  /** Closes open connections and refuses new ones. */
   cut(): void {
     this.#isCut = true;
     this.reset();
   }
 
-  /** Breaks what is open; new connections work. */
+  /** Closes open connections; new ones work. */
   reset(): void {
-    for (const socket of this.#all()) socket.destroy();
+    for (const socket of this.#getSockets()) socket.destroy();
   }
 
-  /** Nothing gets through, and nobody is told. */
+  /** Stops relaying without closing connections. */
   freeze(): void {
     this.#freeze("to_target");
     this.#freeze("from_target");
   }
 
-  /** Requests get through, answers do not, and nobody is told. */
+  /** Stops relaying answers without closing connections; requests are still relayed. */
   freezeAnswers(): void {
     this.#freeze("from_target");
   }
 
-  /** Everything takes this much longer, in milliseconds. */
+  /** Delays all data by a number of milliseconds. */
   delay(delayMs: number): void {
     this.#delayMs = delayMs;
   }
 
-  /** Lets everything through again. */
+  /** Relays everything again. */
   join(): void {
     this.#isCut = false;
     this.#delayMs = 0;
     this.#frozen.clear();
-    for (const socket of this.#all()) socket.resume();
+    for (const socket of this.#getSockets()) socket.resume();
   }
 
-  /** Closes. */
+  /** Closes the relay. */
   close(): void {
     this.cut();
     this.#server.close();
@@ -92,35 +92,37 @@
     }
     const { hostname, port } = parseAddress(target);
     const other = connect(port, hostname);
-    this.#pass("to_target", socket, other);
-    this.#pass("from_target", other, socket);
+    this.#relay("to_target", socket, other);
+    this.#relay("from_target", other, socket);
   }
 
-  #pass(way: Way, from: Socket, to: Socket): void {
-    this.#sockets[way].add(from);
-    let passedOn = Promise.resolve();
+  #relay(direction: Direction, from: Socket, to: Socket): void {
+    this.#sockets[direction].add(from);
+    let pendingWrites = Promise.resolve();
     from.on("data", (data) => {
       if (this.#delayMs === 0) {
-        passedOn = passedOn.then(() => void to.write(data));
+        pendingWrites = pendingWrites.then(() => void to.write(data));
         return;
       }
       const due = sleep(this.#delayMs);
-      passedOn = passedOn.then(() => due).then(() => void to.write(data));
+      pendingWrites = pendingWrites.then(() => due).then(() =>
+        void to.write(data)
+      );
     });
     from.on("error", () => to.destroy());
     from.on("close", () => {
-      this.#sockets[way].delete(from);
-      passedOn = passedOn.then(() => void to.destroySoon());
+      this.#sockets[direction].delete(from);
+      pendingWrites = pendingWrites.then(() => void to.destroySoon());
     });
-    if (this.#frozen.has(way)) from.pause();
+    if (this.#frozen.has(direction)) from.pause();
   }
 
-  #freeze(way: Way): void {
-    this.#frozen.add(way);
-    for (const socket of this.#sockets[way]) socket.pause();
+  #freeze(direction: Direction): void {
+    this.#frozen.add(direction);
+    for (const socket of this.#sockets[direction]) socket.pause();
   }
 
-  #all(): readonly Socket[] {
+  #getSockets(): readonly Socket[] {
     return [...this.#sockets.to_target, ...this.#sockets.from_target];
   }
 }
--- a/src/testing/world_callers.ts
+++ b/src/testing/world_callers.ts
@@ -1,6 +1,6 @@
 /**
- * The callers of a world under faults: what each sent, how often it ran and what it was
- * told, and what must hold of that at every moment.
+ * Simulates callers: records what each sent, how often it ran and its outcome, and checks
+ * the conditions that must hold for these at every moment.
  *
  * @module
  */
@@ -21,17 +21,17 @@
   readonly body?: string;
 }
 
-/** The callers of a world. */
-export class WorldCallers {
+/** The callers of a simulation. */
+export class SimulatedCallers {
   readonly submissions: Submission[] = [];
-  /** Times that a key's request began to run. */
+  /** Number of times that the request of a key started to run. */
   readonly runsByKey = new Map<string, number>();
-  /** Retries that entries made. */
+  /** Number of retries that entries made. */
   retries = 0;
-  /** Answers that entries cut. */
+  /** Number of answers that entries cut off. */
   cutAnswers = 0;
 
-  /** A caller sends a request. */
+  /** Adds a submission of a caller. */
   add({ entry, method, key, body }: NewSubmission): Submission {
     const submission: Submission = {
       id: this.submissions.length + 1,
@@ -47,12 +47,12 @@
     return submission;
   }
 
-  /** The submission with a number. */
+  /** Returns the submission with an id. */
   get(id: number): Submission {
     return this.submissions[id - 1] as Submission;
   }
 
-  /** A back end began to run it. */
+  /** Records that a back end started to run a submission. */
   countRun(submission: Submission): void {
     submission.runs++;
     const { key } = submission;
@@ -60,8 +60,8 @@
     this.runsByKey.set(key, (this.runsByKey.get(key) ?? 0) + 1);
   }
 
-  /** Takes in what an entry does towards callers. */
-  note(effect: EntryEffect): void {
+  /** Records an effect of an entry that concerns a caller. */
+  recordEffect(effect: EntryEffect): void {
     switch (effect.kind) {
       case "continue_answer":
         this.get(effect.requestId).streamed += Buffer.from(effect.bytes)
@@ -69,23 +69,26 @@
         return;
       case "finish_answer": {
         const { streamed } = this.get(effect.requestId);
-        return this.#told(effect.requestId, {
+        return this.#recordOutcome(effect.requestId, {
           status: 200,
           body: streamed,
           isCut: false,
         });
       }
       case "whole_answer":
-        return this.#told(effect.requestId, {
+        return this.#recordOutcome(effect.requestId, {
           status: effect.status,
           body: Buffer.concat(effect.body).toString(),
           isCut: false,
         });
       case "cut_answer":
         this.cutAnswers++;
-        return this.#told(effect.requestId, { status: 200, isCut: true });
+        return this.#recordOutcome(effect.requestId, {
+          status: 200,
+          isCut: true,
+        });
       case "refuse_request":
-        return this.#told(effect.requestId, {
+        return this.#recordOutcome(effect.requestId, {
           status: effect.problem.status,
           problem: effect.problem,
           isCut: false,
@@ -98,7 +101,7 @@
     }
   }
 
-  /** What must hold at every moment. */
+  /** Checks the conditions that must hold at every moment. */
   check(): void {
     for (const [key, runs] of this.runsByKey) {
       assert.ok(runs <= 1, `Key ${key} ran ${runs} times`);
@@ -106,13 +109,17 @@
     for (const submission of this.submissions) checkSubmission(submission);
   }
 
-  #told(id: number, outcome: CallerOutcome): void {
+  #recordOutcome(id: number, outcome: CallerOutcome): void {
     const submission = this.get(id);
-    assert.equal(submission.outcome, undefined, "A caller is told once");
+    assert.equal(
+      submission.outcome,
+      undefined,
+      "A caller received more than one outcome",
+    );
     submission.outcome = outcome;
     const { key } = submission;
     if (key === undefined || outcome.problem?.outcome !== "not-run") return;
     const runs = this.runsByKey.get(key) ?? 0;
-    assert.equal(runs, 0, `Key ${key} has run and is said not to have`);
+    assert.equal(runs, 0, `Key ${key} ran but was reported as not run`);
   }
 }
