--- a/src/direct/drain_fleet_test.ts
+++ b/src/direct/drain_fleet_test.ts
@@ -98,9 +98,9 @@
           } ms, last arrival after ` +
             `${Math.round(result.lastArrivalMs)} ms of ${result.requests}`,
         );
-        assert.ok(result.arrivalsBefore > 0);
+        assert.ok(result.arrivalsBeforeDrain > 0);
         assert.ok(lastMs <= boundMs, `${lastMs} ms`);
-        assert.equal(result.unserved, 0);
+        assert.equal(result.unservedRequests, 0);
       });
     }
   }
--- a/src/direct/peers/reader_turns_test.ts
+++ b/src/direct/peers/reader_turns_test.ts
@@ -11,8 +11,8 @@
 import * as fc from "fast-check";
 import {
   type FleetFault,
-  ReadingFleet,
-  type ReadingFleetOptions,
+  StoreReaderFleet,
+  type StoreReaderFleetOptions,
 } from "../../testing/reading_fleet.ts";
 import { ReaderPolicy } from "./reader_turns.ts";
 
@@ -21,8 +21,8 @@
 const ENTRIES = 9;
 
 function createOptions(
-  changes: Partial<ReadingFleetOptions> = {},
-): ReadingFleetOptions {
+  changes: Partial<StoreReaderFleetOptions> = {},
+): StoreReaderFleetOptions {
   return {
     seed: 1,
     domains: 3,
@@ -42,11 +42,13 @@
 
 describe("entries that read the store for each other", () => {
   it("call it about as often as a single entry, however many there are", () => {
-    const single = new ReadingFleet(
+    const single = new StoreReaderFleet(
       createOptions({ domains: 1, entriesPerDomain: 1 }),
     ).run(RUN_MS);
     const many = createOptions({ domains: 5, entriesPerDomain: 20 });
-    const { lists, oldestMs } = new ReadingFleet(many).run(RUN_MS);
+    const { lists, maxAgeMs: oldestMs } = new StoreReaderFleet(many).run(
+      RUN_MS,
+    );
     // Each entry lists once at its start, and again when an answer was late.
     assert.ok(
       lists - 100 <= 4 * single.lists,
@@ -61,8 +63,8 @@
         fc.array(FAULTS, { maxLength: 12 }),
         fc.nat(1_000_000),
         (faults, seed) => {
-          const fleet = new ReadingFleet(createOptions({ faults, seed }));
-          const { oldestMs } = fleet.run(RUN_MS);
+          const fleet = new StoreReaderFleet(createOptions({ faults, seed }));
+          const { maxAgeMs: oldestMs } = fleet.run(RUN_MS);
           assert.ok(oldestMs <= LEAVING_LIMIT_MS, `${oldestMs}`);
         },
       ),
@@ -74,8 +76,8 @@
     const faults: readonly FleetFault[] = [
       { kind: "stands_still", entry: 0, at: 5000, forMs: 10_000 },
     ];
-    const baseline = new ReadingFleet(createOptions()).run(RUN_MS);
-    const result = new ReadingFleet(createOptions({ faults })).run(RUN_MS);
+    const baseline = new StoreReaderFleet(createOptions()).run(RUN_MS);
+    const result = new StoreReaderFleet(createOptions({ faults })).run(RUN_MS);
     assert.ok(result.lists <= baseline.lists + 45, `${result.lists}`);
   });
 });
@@ -91,8 +93,8 @@
       { kind: "turned_away", entry: 0, at: 3000, forMs: 15_000 },
     ];
     const options = { domains: 5, entriesPerDomain: 7 };
-    const baseline = new ReadingFleet(createOptions(options)).run(RUN_MS);
-    const fleet = new ReadingFleet(createOptions({ ...options, faults }));
+    const baseline = new StoreReaderFleet(createOptions(options)).run(RUN_MS);
+    const fleet = new StoreReaderFleet(createOptions({ ...options, faults }));
     const { lists } = fleet.run(RUN_MS);
     assert.ok(
       lists <= baseline.lists + 45,
--- a/src/entry/backing_off_fleet_test.ts
+++ b/src/entry/backing_off_fleet_test.ts
@@ -44,8 +44,8 @@
     targets,
     requestsPerSecond: 60,
     changes: [],
-    troubles: [],
-    refusing: refusing.map((target) => ({
+    faults: [],
+    rejections: refusing.map((target) => ({
       from: FROM_MS,
       to: UNTIL_MS,
       target,
--- a/src/entry/cold_targets_test.ts
+++ b/src/entry/cold_targets_test.ts
@@ -8,7 +8,7 @@
 import { describe, it } from "node:test";
 import type { ListChange } from "../testing/cold_targets.ts";
 import {
-  type EntryTrouble,
+  type EntryFault,
   LimitedEntries,
   type LimitedEntriesOptions,
   type LimitedEntriesResult,
@@ -33,7 +33,7 @@
     targets: 6,
     requestsPerSecond: 600,
     changes: [],
-    troubles: [],
+    faults: [],
     cold: createPlan([createListed([0, 1, 2], true)]),
     ...changes,
   };
@@ -191,7 +191,7 @@
 
 interface FaultRow {
   readonly name: string;
-  readonly faults: readonly EntryTrouble[];
+  readonly faults: readonly EntryFault[];
 }
 
 const FAULT_ROWS: readonly FaultRow[] = [
@@ -230,7 +230,7 @@
     for (const entries of [3, 41]) {
       it(`get no more than their limit: ${name}, ${entries} entries, all cold`, (test) => {
         const cold = createPlan([createListed(ALL, true)]);
-        const result = run({ seed: 1 + row, entries, cold, troubles: faults });
+        const result = run({ seed: 1 + row, entries, cold, faults: faults });
         test.diagnostic(`${checkBound(result, ALL)} requests in one second`);
       });
     }
--- a/src/entry/leaving_test.ts
+++ b/src/entry/leaving_test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { RequestWorld } from "../testing/request_world.ts";
+import { RequestSimulation } from "../testing/request_world.ts";
 
 /** Which processes learn that the first target is leaving, and how. */
 interface LeavingRow {
   readonly name: string;
-  readonly leave: (simulation: RequestWorld) => void;
+  readonly leave: (simulation: RequestSimulation) => void;
   /** Maximum time until its last new run starts, in virtual milliseconds. */
   readonly boundMs: number;
 }
@@ -19,10 +19,10 @@
 
 /** Applies the list or the settings after one more read interval. */
 function afterReadInterval(
-  simulation: RequestWorld,
+  simulation: RequestSimulation,
   apply: () => void,
 ): void {
-  simulation.at(simulation.now + READ_INTERVAL_MS, apply);
+  simulation.scheduleAt(simulation.now + READ_INTERVAL_MS, apply);
 }
 
 const LEAVING_ROWS: readonly LeavingRow[] = [
@@ -35,7 +35,7 @@
     name: "by signal, not received by one entry",
     leave: (simulation) => {
       simulation.drain(LEAVING);
-      simulation.dropNext(1, LEAVING);
+      simulation.dropNextMessage(1, LEAVING);
     },
     boundMs: STEP_MS,
   },
@@ -74,16 +74,19 @@
 describe("a target that is leaving", () => {
   for (const row of LEAVING_ROWS) {
     it(`gets no new requests after a few seconds: ${row.name}`, (context) => {
-      const simulation = new RequestWorld({ entries: ENTRIES, targets: 2 });
+      const simulation = new RequestSimulation({
+        entries: ENTRIES,
+        targets: 2,
+      });
       sendRequests(simulation, 1000);
       for (let entry = 0; entry < ENTRIES; entry++) {
-        const served = simulation.runsAt(LEAVING, entry);
+        const served = simulation.countRuns(LEAVING, entry);
         assert.ok(served > 0, `No request of entry ${entry} ran before`);
       }
       const leftAt = simulation.now;
       row.leave(simulation);
       sendRequests(simulation, OBSERVED_MS);
-      const last = simulation.lastRunAt(LEAVING) - leftAt;
+      const last = simulation.getLastRunAt(LEAVING) - leftAt;
       context.diagnostic(`last new run after ${Math.max(0, last)} ms`);
       assert.ok(last <= row.boundMs, `${last} ms until the last new run`);
     });
@@ -91,7 +94,10 @@
 });
 
 /** Sends requests through both entries for some virtual milliseconds. */
-function sendRequests(simulation: RequestWorld, milliseconds: number): void {
+function sendRequests(
+  simulation: RequestSimulation,
+  milliseconds: number,
+): void {
   const end = simulation.now + milliseconds;
   while (simulation.now < end) {
     // Enough concurrent requests that each entry needs the target of the other domain.
--- a/src/entry/limited_targets_test.ts
+++ b/src/entry/limited_targets_test.ts
@@ -7,7 +7,7 @@
 import { describe, it } from "node:test";
 import {
   type Arrival,
-  type EntryTrouble,
+  type EntryFault,
   LimitedEntries,
   type LimitedEntriesOptions,
   type LimitedEntriesResult,
@@ -34,7 +34,7 @@
     targets: 12,
     requestsPerSecond: 60,
     changes: [{ at: 1000, target: 0, perSecond: 1 }],
-    troubles: [],
+    faults: [],
     ...changes,
   };
 }
@@ -129,7 +129,7 @@
       );
       test.diagnostic(
         `${counts} in a span, permit requests: ${
-          results.map(({ questions }) => questions)
+          results.map(({ permitRequests: questions }) => questions)
         }`,
       );
       assert.ok(
@@ -182,13 +182,13 @@
 
 interface FaultRow {
   readonly name: string;
-  readonly faults: readonly EntryTrouble[];
+  readonly faults: readonly EntryFault[];
 }
 
 /** Returns the same fault for all entries, one after the other. */
 function createRollingFaults(
-  fault: Pick<EntryTrouble, "forMs" | "kind">,
-): readonly EntryTrouble[] {
+  fault: Pick<EntryFault, "forMs" | "kind">,
+): readonly EntryFault[] {
   return Array.from({ length: 9 }, (_, entry) => ({
     ...fault,
     at: 3000 + 2000 * entry,
@@ -237,7 +237,7 @@
           targets: 2,
           requestsPerSecond: 8 * perSecond,
           changes: [0, 1].map((target) => ({ at: 1000, target, perSecond })),
-          troubles: faults,
+          faults: faults,
         });
         const counts = results.map((result) =>
           getMaxInSpan(arrivalsAt(result, 0), 1000 + PROPAGATION_MS, RUN_MS)
@@ -273,7 +273,7 @@
         const waitMs = Math.max(...result.refusals.map(({ heldMs }) => heldMs));
         test.diagnostic(
           `${counts} in a span, sent ${sent} of ${allowed}, waited ${waitMs} ms, ` +
-            `permit requests: ${result.questions}, replications: ${result.told}`,
+            `permit requests: ${result.permitRequests}, replications: ${result.sentUpdates}`,
         );
         assert.ok(
           Math.max(...counts) <= getAllowedInSpan(perSecond),
--- a/src/entry/poison_fleet_test.ts
+++ b/src/entry/poison_fleet_test.ts
@@ -37,8 +37,8 @@
     groups: 1,
     ranksPerGroup: 12,
     requestsPerSecond: 60,
-    poisons: 0,
-    poisonEveryMs: 500,
+    poisonRequests: 0,
+    poisonIntervalMs: 500,
     losses: [],
     ...changes,
   };
@@ -69,17 +69,17 @@
 const ROWS: readonly FleetRow[] = [
   {
     name: "one poison request, one group",
-    changes: { poisons: 1 },
+    changes: { poisonRequests: 1 },
     maxCrashes: 3,
   },
   {
     name: "three poison requests, one group",
-    changes: { poisons: 3 },
+    changes: { poisonRequests: 3 },
     maxCrashes: 9,
   },
   {
     name: "one poison request, three groups, 39 entries",
-    changes: { poisons: 1, groups: 3, ranksPerGroup: 24, entries: 39 },
+    changes: { poisonRequests: 1, groups: 3, ranksPerGroup: 24, entries: 39 },
     maxCrashes: 6,
   },
   {
@@ -106,7 +106,7 @@
   {
     name: "loss of all ranks twice, with one poison request",
     changes: {
-      poisons: 1,
+      poisonRequests: 1,
       losses: [{ at: 10_000, share: 1 }, { at: 16_000, share: 1 }],
     },
     maxCrashes: 3,
@@ -118,17 +118,17 @@
     it(name, (test) => {
       const results = runAll(changes);
       const crashes = results.map((result) => result.crashes);
-      const unaffected = sumOf(results, (result) => result.innocent);
-      const refused = sumOf(results, (result) => result.refusedInnocent);
+      const unaffected = sumOf(results, (result) => result.harmless);
+      const refused = sumOf(results, (result) => result.refusedHarmless);
       const served = sumOf(results, (result) => result.served);
       test.diagnostic(
         `crashes ${crashes}, replications ${
-          Math.max(...results.map(({ mostTold }) => mostTold))
+          Math.max(...results.map(({ maxUpdatesSent: mostTold }) => mostTold))
         }, refused ${refused} and served ${served} of ${unaffected}`,
       );
       assert.ok(Math.max(...crashes) <= maxCrashes, `${crashes}`);
       const replications = Math.max(
-        ...results.map(({ mostTold }) => mostTold),
+        ...results.map(({ maxUpdatesSent: mostTold }) => mostTold),
       );
       assert.ok(
         replications <= MAX_REPLICATIONS,
--- a/src/entry/poison_requests_test.ts
+++ b/src/entry/poison_requests_test.ts
@@ -17,9 +17,9 @@
 /** Sends the request again and crashes its target; returns the attempt. */
 function crashTarget(pool: CrashingPool, body = POISON): SentAttempt {
   const sent = pool.send(body);
-  pool.pass(100);
+  pool.advance(100);
   pool.break(sent);
-  pool.pass(GONE_DETECTED_AFTER_MS);
+  pool.advance(GONE_DETECTED_AFTER_MS);
   pool.replace(sent.target);
   return sent;
 }
@@ -29,9 +29,9 @@
     const pool = new CrashingPool(TARGETS);
     crashTarget(pool);
     crashTarget(pool);
-    pool.arrive(POISON);
-    assert.equal(pool.refusedFor, "CRASHES_TARGETS");
-    assert.deepEqual(pool.sent, []);
+    pool.receive(POISON);
+    assert.equal(pool.refusalReason, "CRASHES_TARGETS");
+    assert.deepEqual(pool.sentAttempts, []);
     pool.answer(pool.send("another"));
   });
 
@@ -42,10 +42,10 @@
     ];
     crashTarget(source);
     crashTarget(source);
-    replica.pass(source.now);
-    replica.tell(source.remembered);
-    replica.arrive(POISON);
-    assert.equal(replica.refusedFor, "CRASHES_TARGETS");
+    replica.advance(source.now);
+    replica.mergeCrashes(source.crashedRequests);
+    replica.receive(POISON);
+    assert.equal(replica.refusalReason, "CRASHES_TARGETS");
   });
 
   it("is refused immediately when the crashes are replicated while it waits", () => {
@@ -55,18 +55,18 @@
     ];
     crashTarget(source);
     crashTarget(source);
-    replica.pass(source.now);
+    replica.advance(source.now);
     replica.retire(replica.targets[0] as string);
     replica.entry.reduce({
       kind: "instances_listed",
       now: replica.now,
       instances: [],
     });
-    replica.arrive(POISON);
-    assert.deepEqual(replica.sent, []);
-    replica.tell(source.remembered);
-    replica.pass(1);
-    assert.equal(replica.refusedFor, "CRASHES_TARGETS");
+    replica.receive(POISON);
+    assert.deepEqual(replica.sentAttempts, []);
+    replica.mergeCrashes(source.crashedRequests);
+    replica.advance(1);
+    assert.equal(replica.refusalReason, "CRASHES_TARGETS");
   });
 
   it("is detected as soon as another instance answers at the address of its target", () => {
@@ -74,25 +74,25 @@
     const sent = pool.send(POISON);
     const other = pool.send("beside");
     pool.break(sent);
-    assert.deepEqual(pool.remembered, []);
-    pool.misdirect(other);
-    assert.equal(pool.remembered.length, 1);
+    assert.deepEqual(pool.crashedRequests, []);
+    pool.rejectAsWrongInstance(other);
+    assert.equal(pool.crashedRequests.length, 1);
   });
 
   it("crashes at most one target per attempt in a service whose requests may run twice", () => {
     const pool = new CrashingPool(TARGETS, ["idempotentMethods: [POST]"]);
     const first = pool.send(POISON);
-    pool.pass(100);
+    pool.advance(100);
     pool.break(first);
-    const [second] = pool.sent;
+    const [second] = pool.sentAttempts;
     assert.ok(
       second !== undefined,
       "The request was not retried before a crash was known",
     );
-    pool.leave(second);
+    pool.disconnectCaller(second);
     pool.replace(first.target);
     pool.break(pool.send(POISON));
-    assert.deepEqual(pool.sent, []);
+    assert.deepEqual(pool.sentAttempts, []);
   });
 
   it("is refused if its targets stop answering without breaking the connection", () => {
@@ -102,19 +102,19 @@
       pool.answer(other);
       for (const target of pool.targets) answerFrom(pool, target);
       const sent = pool.send(POISON);
-      pool.pass(GONE_DETECTED_AFTER_MS);
+      pool.advance(GONE_DETECTED_AFTER_MS);
       pool.replace(sent.target);
-      pool.leave(sent);
+      pool.disconnectCaller(sent);
     }
-    pool.arrive(POISON);
-    assert.equal(pool.refusedFor, "CRASHES_TARGETS");
+    pool.receive(POISON);
+    assert.equal(pool.refusalReason, "CRASHES_TARGETS");
   });
 
   it("may run again after a minute", () => {
     const pool = new CrashingPool(TARGETS);
     crashTarget(pool);
     crashTarget(pool);
-    pool.pass(60_000);
+    pool.advance(60_000);
     pool.send(POISON);
   });
 });
@@ -155,7 +155,7 @@
     simulate: (pool) => {
       for (let times = 0; times < 8; times++) {
         pool.break(pool.send(POISON));
-        pool.pass(GONE_DETECTED_AFTER_MS);
+        pool.advance(GONE_DETECTED_AFTER_MS);
       }
     },
   },
@@ -178,7 +178,7 @@
         const other = pool.send("beside");
         pool.startLeaving(sent.target);
         pool.break(sent);
-        pool.misdirect(other);
+        pool.rejectAsWrongInstance(other);
         pool.replace(sent.target);
       }
     },
@@ -187,9 +187,9 @@
     name: "that ran at several targets when all were lost at once",
     simulate: (pool) => {
       const sent = [1, 2, 3].map(() => pool.send(POISON));
-      pool.pass(100);
+      pool.advance(100);
       for (const attempt of sent) pool.break(attempt);
-      pool.pass(GONE_DETECTED_AFTER_MS);
+      pool.advance(GONE_DETECTED_AFTER_MS);
       for (const target of pool.targets) pool.replace(target);
     },
   },
@@ -197,13 +197,13 @@
     name: "that waited for two targets that stopped answering at once",
     simulate: (pool) => {
       for (const target of pool.targets) answerFrom(pool, target);
-      pool.pass(50);
+      pool.advance(50);
       const first = pool.send(POISON);
-      pool.pass(2000);
-      pool.leave(first);
+      pool.advance(2000);
+      pool.disconnectCaller(first);
       const second = sendElsewhere(pool, first.target);
-      pool.pass(2000);
-      pool.leave(second);
+      pool.advance(2000);
+      pool.disconnectCaller(second);
       for (const { target } of [first, second]) pool.replace(target);
     },
   },
@@ -221,10 +221,10 @@
       const other = pool.send(POISON);
       for (let times = 0; times < 2; times++) {
         const sent = pool.send("the cause");
-        pool.pass(100);
+        pool.advance(100);
         pool.break(sent);
         if (sent.target === other.target) pool.break(other);
-        pool.pass(GONE_DETECTED_AFTER_MS);
+        pool.advance(GONE_DETECTED_AFTER_MS);
         pool.replace(sent.target);
       }
     },
--- a/src/entry/priority_burst_test.ts
+++ b/src/entry/priority_burst_test.ts
@@ -2,54 +2,57 @@
 import { describe, it } from "node:test";
 import {
   assertBetter,
-  BURST_FROM_MS,
-  createWorld,
-  LEAST_URGENT,
-  LONGEST_CALL_MS,
-  meanScore,
-  MOST_URGENT,
-  play,
+  BURST_START_MS,
+  computeMeanScore,
+  createSimulation,
+  LEAST_URGENT_BURST,
+  MAX_CALL_MS,
+  MOST_URGENT_BURST,
+  runBurst,
   SEEDS,
 } from "../testing/burst_cases.ts";
 import { scoreCalls } from "../testing/burst_score.ts";
 
 describe("a burst of requests to a rank group", () => {
-  for (const burst of [LEAST_URGENT, MOST_URGENT]) {
+  for (const burst of [LEAST_URGENT_BURST, MOST_URGENT_BURST]) {
     const { name } = burst;
-    const unprioritised = meanScore(
-      SEEDS.map((seed) => play(burst, { seed, isPrioritised: false })),
+    const unprioritised = computeMeanScore(
+      SEEDS.map((seed) => runBurst(burst, { seed, isPrioritised: false })),
     );
 
     it(`of ${name} delays the answers of all kinds equally if there is one priority`, () => {
-      const { late, onTime } = unprioritised;
+      const { lateFraction: late, onTimeFractions: onTime } = unprioritised;
       assert.ok(late >= 0.4 && late <= 0.5, `${late} late`);
       const spread = Math.max(...onTime) - Math.min(...onTime);
       assert.ok(spread < 0.1, `${onTime} on time, spread too large`);
     });
 
     it(`of ${name} does not delay the most urgent requests`, () => {
-      const scores = SEEDS.map((seed) => play(burst, { seed }));
-      assertBetter(unprioritised, meanScore(scores));
+      const scores = SEEDS.map((seed) => runBurst(burst, { seed }));
+      assertBetter(unprioritised, computeMeanScore(scores));
     });
   }
 
   it("leaves no request waiting if the decider or all entries restart during it", () => {
-    const until = BURST_FROM_MS + LEAST_URGENT.lastsMs;
+    const until = BURST_START_MS + LEAST_URGENT_BURST.durationMs;
     const faults = [
-      { silence: { from: BURST_FROM_MS + 1000, until: until + 1000 } },
-      { restartAt: BURST_FROM_MS + 2500 },
+      { silence: { from: BURST_START_MS + 1000, until: until + 1000 } },
+      { restartAt: BURST_START_MS + 2500 },
     ];
     for (const fault of faults) {
-      const simulation = createWorld(LEAST_URGENT, { seed: 1, ...fault });
-      const end = until + 3 * LONGEST_CALL_MS;
+      const simulation = createSimulation(LEAST_URGENT_BURST, {
+        seed: 1,
+        ...fault,
+      });
+      const end = until + 3 * MAX_CALL_MS;
       const ended = simulation.run(end);
       assert.ok(
-        simulation.oldestCallMs < LONGEST_CALL_MS,
+        simulation.oldestCallMs < MAX_CALL_MS,
         `${simulation.oldestCallMs}`,
       );
-      const from = until + LONGEST_CALL_MS;
-      const after = scoreCalls(ended, { from, until: end - LONGEST_CALL_MS });
-      const served = after.kinds.map((kind) => kind.served);
+      const from = until + MAX_CALL_MS;
+      const after = scoreCalls(ended, { from, until: end - MAX_CALL_MS });
+      const served = after.kinds.map((kind) => kind.servedFraction);
       assert.ok(Math.min(...served) > 0.97, `${served} served`);
     }
   });
@@ -59,13 +62,13 @@
   it("gets the same requests as if its settings were not known", () => {
     const record = (knowsGroup: boolean) => {
       const effects: string[] = [];
-      const simulation = createWorld(MOST_URGENT, {
+      const simulation = createSimulation(MOST_URGENT_BURST, {
         seed: 1,
         isPrioritised: false,
         knowsGroup,
         onEffect: (effect) => effects.push(JSON.stringify(effect)),
       });
-      simulation.run(BURST_FROM_MS + 2 * MOST_URGENT.lastsMs);
+      simulation.run(BURST_START_MS + 2 * MOST_URGENT_BURST.durationMs);
       return effects;
     };
     const effects = record(true);
--- a/src/entry/priority_fleet_test.ts
+++ b/src/entry/priority_fleet_test.ts
@@ -1,10 +1,10 @@
 import { describe, it } from "node:test";
 import {
   assertBetter,
-  LEAST_URGENT,
-  meanScore,
-  MOST_URGENT,
-  play,
+  computeMeanScore,
+  LEAST_URGENT_BURST,
+  MOST_URGENT_BURST,
+  runBurst,
 } from "../testing/burst_cases.ts";
 
 /**
@@ -14,13 +14,16 @@
 const SIZES = [[3, [1, 2, 3, 4]], [720, [1]]] as const;
 
 describe("a burst of requests to a rank group, with few or many entries", () => {
-  for (const burst of [LEAST_URGENT, MOST_URGENT]) {
+  for (const burst of [LEAST_URGENT_BURST, MOST_URGENT_BURST]) {
     for (const [entries, seeds] of SIZES) {
       it(`of ${burst.name} does not delay the most urgent requests, ${entries} entries`, () => {
         const [baseline, prioritised] = [false, true].map((isPrioritised) =>
-          seeds.map((seed) => play(burst, { seed, entries, isPrioritised }))
+          seeds.map((seed) => runBurst(burst, { seed, entries, isPrioritised }))
+        );
+        assertBetter(
+          computeMeanScore(baseline ?? []),
+          computeMeanScore(prioritised ?? []),
         );
-        assertBetter(meanScore(baseline ?? []), meanScore(prioritised ?? []));
       });
     }
   }
--- a/src/group/formed/drifting_group_test.ts
+++ b/src/group/formed/drifting_group_test.ts
@@ -31,7 +31,9 @@
     results.reduce((sum, result) => sum + read(result), 0) / results.length;
   return {
     meanSkew: mean(({ meanSkew }) => meanSkew),
-    partTooLong: mean(({ partTooLong }) => partTooLong),
+    overloadedFraction: mean(({ overloadedFraction: partTooLong }) =>
+      partTooLong
+    ),
   };
 }
 
@@ -42,7 +44,9 @@
    * each copy is charged a full slowdown, 2.47 and 0.36.
    */
   it("adapt quickly with few copies at each rank and many in total", () => {
-    const { meanSkew, partTooLong } = getMeanResult(COUNT_INTERVAL_MS);
+    const { meanSkew, overloadedFraction: partTooLong } = getMeanResult(
+      COUNT_INTERVAL_MS,
+    );
     assert.ok(meanSkew <= MAX_MEAN_SKEW, `${meanSkew}`);
     assert.ok(partTooLong <= MAX_FRACTION_TOO_LONG, `${partTooLong}`);
   });
@@ -68,7 +72,7 @@
         countIntervalMs: 200,
         shape,
         copiesPerRank,
-      }).run(8400).partTooLong;
+      }).run(8400).overloadedFraction;
     const limited = getFractionTooLong();
     const fourCopies = getFractionTooLong(4);
     assert.ok(
--- a/src/group/formed/give_until_answered_test.ts
+++ b/src/group/formed/give_until_answered_test.ts
@@ -7,7 +7,7 @@
 
 function createEngine(unanswered: number): FormedEngineFixture {
   const engine = new FormedEngineFixture(1, 3);
-  engine.unanswered = unanswered;
+  engine.unansweredOrders = unanswered;
   return engine;
 }
 
@@ -19,7 +19,7 @@
   it("is resent immediately when it is not answered", async () => {
     const engine = createEngine(2);
     assert.equal(await sendUntilAnswered(engine, HOLD), "accepted");
-    assert.equal(engine.given.length, 3);
+    assert.equal(engine.receivedOrders.length, 3);
   });
 
   it("is sent once when it is answered, even if it is rejected", async () => {
@@ -27,12 +27,12 @@
     await sendUntilAnswered(engine, HOLD);
     const later = { ...HOLD, pass: 4 };
     assert.equal(await sendUntilAnswered(engine, later), "rejected");
-    assert.equal(engine.given.length, 2);
+    assert.equal(engine.receivedOrders.length, 2);
   });
 
   it("is returned as unanswered after a limited number of sends", async () => {
     const engine = createEngine(100);
     assert.equal(await sendUntilAnswered(engine, HOLD), "unanswered");
-    assert.ok(engine.given.length < 10);
+    assert.ok(engine.receivedOrders.length < 10);
   });
 });
--- a/src/group/formed/held_switch_incident_test.ts
+++ b/src/group/formed/held_switch_incident_test.ts
@@ -27,7 +27,7 @@
 } from "../../testing/formed_group_faults.ts";
 import {
   type FormedGroupResult,
-  FormedGroupWorld,
+  FormedGroupSimulation,
 } from "../../testing/formed_group_world.ts";
 
 const SEEDS = 200;
@@ -50,7 +50,7 @@
   seed: number,
   faults: Partial<FormedGroupFaults>,
 ): FormedGroupResult {
-  const simulation = new FormedGroupWorld(
+  const simulation = new FormedGroupSimulation(
     seed,
     createFormedGroupFaults(faults),
   );
@@ -98,7 +98,7 @@
   it("waits in few freezes: those between an order and its answer", (test) => {
     const results = Array.from(
       { length: SEEDS },
-      (_, index) => runSimulation(index + 1, { freezesEveryMs: 8000 }),
+      (_, index) => runSimulation(index + 1, { freezeIntervalMs: 8000 }),
     );
     const sumOf = (read: (result: FormedGroupResult) => number) =>
       results.reduce((sum, result) => sum + read(result), 0);
@@ -130,8 +130,8 @@
   it("never mixes maps and is awaited only while its rank is undecidable", () => {
     for (const seed of seeds) {
       for (const at of freezeTimes) {
-        const faults = createFormedGroupFaults({ freezesAt: [at] });
-        const result = new FormedGroupWorld(seed, faults)
+        const faults = createFormedGroupFaults({ freezeTimes: [at] });
+        const result = new FormedGroupSimulation(seed, faults)
           .run(at + AFTER_FREEZE_MS);
         const label = `seed ${seed}, ${at}: ${JSON.stringify(result)}`;
         assert.deepEqual(result.mixedPasses, [], label);
@@ -148,9 +148,10 @@
     // Any action of theirs would be wrong in one of the two runs, so they have to wait.
     const armedByMessages = new Map<string, Set<boolean>>();
     for (const at of freezeTimes) {
-      const faults = createFormedGroupFaults({ freezesAt: [at] });
-      const { saidBefore, wasArmed } = new FormedGroupWorld(1, faults)
-        .run(at + 1);
+      const faults = createFormedGroupFaults({ freezeTimes: [at] });
+      const { sentBeforeFreeze: saidBefore, wasArmedAtFreeze: wasArmed } =
+        new FormedGroupSimulation(1, faults)
+          .run(at + 1);
       const messages = saidBefore.join();
       armedByMessages.set(
         messages,
--- a/src/group/formed/rank_agent_test.ts
+++ b/src/group/formed/rank_agent_test.ts
@@ -40,7 +40,7 @@
     const report = await execute({ kind: "fence", epoch: EPOCH, version: 8 });
     assert.equal(report?.isDone, true);
     assert.equal(report.state.preparedVersion, 8);
-    const [, fence] = engine.given;
+    const [, fence] = engine.receivedOrders;
     assert.ok(fence?.kind === "prepare");
     assert.deepEqual(fence.map.layers[0]?.experts, [[0], [1], [2]]);
   });
@@ -62,12 +62,15 @@
   it("resends an order after a single poll shows that it was not executed", async () => {
     const { engine, execute } = createFixture();
     await execute(PREPARE);
-    engine.unanswered = 2;
-    engine.looks = 0;
+    engine.unansweredOrders = 2;
+    engine.stateReads = 0;
     const report = await execute(ARM);
     assert.equal(report?.isDone, true);
-    assert.equal(engine.given.filter(({ kind }) => kind === "arm").length, 3);
-    assert.equal(engine.looks, 3);
+    assert.equal(
+      engine.receivedOrders.filter(({ kind }) => kind === "arm").length,
+      3,
+    );
+    assert.equal(engine.stateReads, 3);
   });
 
   it("cannot fence an engine that is armed", async () => {
--- a/src/group/formed/rank_links_test.ts
+++ b/src/group/formed/rank_links_test.ts
@@ -57,7 +57,9 @@
     await fixture.start();
     await fixture.send({ kind: "hold", epoch: 1, pass: 3 });
     fixture.links.stop();
-    assert.deepEqual(fixture.engine.given.map(({ kind }) => kind), ["hold"]);
+    assert.deepEqual(fixture.engine.receivedOrders.map(({ kind }) => kind), [
+      "hold",
+    ]);
     assert.equal(fixture.reports[0]?.isDone, true);
   });
 
--- a/src/group/formed/rank_questions_test.ts
+++ b/src/group/formed/rank_questions_test.ts
@@ -13,7 +13,7 @@
 import { describe, it } from "node:test";
 import {
   type LinkedGroupOptions,
-  LinkedGroupWorld,
+  LinkedGroupSimulation,
 } from "../../testing/linked_group_world.ts";
 import { createRankState } from "../../testing/rank_state.ts";
 import { RankQueries } from "./rank_questions.ts";
@@ -45,28 +45,32 @@
 describe("queries of a decider on a slow link", () => {
   for (const ranks of [24, 64, 128]) {
     it(`collect the experts of ${ranks} ranks within a second`, () => {
-      const { settledAt } = new LinkedGroupWorld(createOptions(ranks))
+      const { settledAt } = new LinkedGroupSimulation(createOptions(ranks))
         .run(RUN_MS);
       assert.ok(settledAt !== undefined && settledAt <= 1000, `${settledAt}`);
     });
 
     it(`leave capacity on the link with ${ranks} ranks`, () => {
-      const simulation = new LinkedGroupWorld(createOptions(ranks));
-      const { linkUse, longestWaitMs } = simulation.run(RUN_MS);
+      const simulation = new LinkedGroupSimulation(createOptions(ranks));
+      const { linkUtilisation: linkUse, longestWaitMs } = simulation.run(
+        RUN_MS,
+      );
       assert.ok(linkUse <= MAX_LINK_USE, `use ${linkUse}`);
       assert.ok(longestWaitMs <= MAX_WAIT_MS, `wait ${longestWaitMs}`);
     });
   }
 
   it("sample enough counts and receive the state of every rank each second", () => {
-    const result = new LinkedGroupWorld(createOptions(64)).run(RUN_MS);
+    const result = new LinkedGroupSimulation(createOptions(64)).run(RUN_MS);
     assert.ok(result.countsPerSecond >= 20, `${result.countsPerSecond}`);
     assert.ok(result.oldestStateMs <= 1000, `${result.oldestStateMs}`);
   });
 
   it("receive the other states and counts while some ranks do not answer", () => {
     const silent = new Set([3, 9, 10, 40]);
-    const result = new LinkedGroupWorld(createOptions(64, silent)).run(RUN_MS);
+    const result = new LinkedGroupSimulation(createOptions(64, silent)).run(
+      RUN_MS,
+    );
     assert.ok(result.countsPerSecond >= 20, `${result.countsPerSecond}`);
     assert.ok(result.oldestStateMs <= 1000, `${result.oldestStateMs}`);
   });
--- a/src/group/formed/switch_orders_test.ts
+++ b/src/group/formed/switch_orders_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { SwitchOrdersWorld } from "../../testing/switch_orders_world.ts";
+import { SwitchOrdersSimulation } from "../../testing/switch_orders_world.ts";
 
 const SEEDS = 4000;
 const EVENTS = 1500;
@@ -11,7 +11,7 @@
   it("never cause a pass to begin with two maps", () => {
     let switches = 0;
     for (let seed = 1; seed <= SEEDS; seed++) {
-      const result = new SwitchOrdersWorld(seed).run(EVENTS);
+      const result = new SwitchOrdersSimulation(seed).run(EVENTS);
       assert.deepEqual(result.mixedPasses, [], `seed ${seed}`);
       switches += result.switches;
     }
--- a/src/group/formed/switch_schedules_test.ts
+++ b/src/group/formed/switch_schedules_test.ts
@@ -4,7 +4,7 @@
   createFormedGroupFaults,
   type FormedGroupFaults,
 } from "../../testing/formed_group_faults.ts";
-import { FormedGroupWorld } from "../../testing/formed_group_world.ts";
+import { FormedGroupSimulation } from "../../testing/formed_group_world.ts";
 
 const SEEDS = 40;
 const RUN_MS = 120_000;
@@ -104,7 +104,7 @@
   for (const row of ROWS) {
     it(`never mixes maps in a pass, and makes progress, under ${row.name}`, () => {
       for (let seed = 1; seed <= SEEDS; seed++) {
-        const simulation = new FormedGroupWorld(
+        const simulation = new FormedGroupSimulation(
           seed,
           createFormedGroupFaults(row.faults),
         );
--- a/src/group/group_process_test.ts
+++ b/src/group/group_process_test.ts
@@ -4,10 +4,10 @@
 import type { LinkFault } from "../messages/codec.ts";
 import { RankGroupStandIn } from "../../standins/rank_group_stand_in.ts";
 import {
-  exitOf,
   ProcessCluster,
   type RunningProcess,
   TEST_SECRET,
+  waitForExit,
   waitUntil,
 } from "../testing/process_cluster.ts";
 import { findFreeAddress } from "../testing/free_address.ts";
@@ -96,7 +96,7 @@
   it("keeps stepping when the process at rank 0 is killed and restarted", async () => {
     const [first] = targets as [RunningProcess];
     first.child.kill("SIGKILL");
-    await exitOf(first.child);
+    await waitForExit(first.child);
     await waitForSteps();
     targets[0] = await startRank(0);
     group.tokens = EVEN.map((_, expert) => expert === 5 ? 200 : 10);
@@ -154,7 +154,7 @@
   it("switches maps after a member's process was killed and restarted", async () => {
     const last = targets[2] as RunningProcess;
     last.child.kill("SIGKILL");
-    await exitOf(last.child);
+    await waitForExit(last.child);
     targets[2] = await startRank(2);
     group.tokens = EVEN.map((_, expert) => expert % 2 === 0 ? 150 : 10);
     await waitForMap();
--- a/src/group/member_test.ts
+++ b/src/group/member_test.ts
@@ -18,13 +18,13 @@
   readonly engine = new FakeEngine(false);
 
   constructor() {
-    this.engine.carryOut(
+    this.engine.execute(
       { kind: "assemble", incarnation: 1, version: 6, map: MAP },
       1,
     );
-    this.engine.carryOut({ kind: "activate", version: 6, step: 0 }, 1);
-    this.engine.carryOut({ kind: "stage", version: 7, map: MAP }, 1);
-    this.engine.carryOut({ kind: "hold", version: 7, step: 5 }, 1);
+    this.engine.execute({ kind: "activate", version: 6, step: 0 }, 1);
+    this.engine.execute({ kind: "stage", version: 7, map: MAP }, 1);
+    this.engine.execute({ kind: "hold", version: 7, step: 5 }, 1);
     this.member.reduce({
       kind: "engine_said",
       now: 0,
@@ -40,7 +40,7 @@
   execute(
     effect: Extract<MemberEffect, { kind: "order" }>,
   ): readonly MemberEffect[] {
-    this.engine.carryOut(effect.order, effect.fencingNumber);
+    this.engine.execute(effect.order, effect.fencingNumber);
     return this.member.reduce({
       kind: "engine_said",
       now: 0,
--- a/src/group/switch_schedules_test.ts
+++ b/src/group/switch_schedules_test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import {
   type Action,
-  GroupWorld,
+  GroupSimulation,
   RANKS,
   STEPS_AFTER_HEALING,
 } from "../testing/group_world.ts";
@@ -85,7 +85,7 @@
             maxLength: 200,
           }),
           (actions) => {
-            const simulation = new GroupWorld(row);
+            const simulation = new GroupSimulation(row);
             simulation.heal();
             const initialStep = simulation.lowestStep;
             assert.ok(
@@ -103,7 +103,7 @@
               simulation.isIdle,
               "A rank did not learn the last decision",
             );
-            committed += simulation.committed;
+            committed += simulation.committedSwitches;
           },
         ),
         { seed: SEED, numRuns: RUNS, includeErrorInReport: true },
--- a/src/process/cut_process_test.ts
+++ b/src/process/cut_process_test.ts
@@ -190,7 +190,7 @@
   });
 
   it("receive newer settings and run no key twice after the connections are restored", async () => {
-    for (const relay of relays) relay.join();
+    for (const relay of relays) relay.restore();
     for (const { entry } of [reachableDomain, isolatedDomain]) {
       await cluster.waitForTargets(entry, ["confirm-a", "confirm-b"]);
       await cluster.waitForRevision(entry, serviceRevision + 1);
@@ -218,6 +218,6 @@
     const late = outcomes.filter((one) => one.status === 504).length;
     assert.ok(answered > 0, "Expected keys that the domain owns to run");
     assert.equal(answered + late, KEYS.length);
-    for (const relay of relays) relay.join();
+    for (const relay of relays) relay.restore();
   });
 });
--- a/src/process/process_test.ts
+++ b/src/process/process_test.ts
@@ -4,9 +4,9 @@
 import { ModelEngineStandIn } from "../../standins/model_engine_stand_in.ts";
 import { PlainServiceStandIn } from "../../standins/plain_service_stand_in.ts";
 import {
-  exitOf,
   ProcessCluster,
   type RunningProcess,
+  waitForExit,
   waitUntil,
 } from "../testing/process_cluster.ts";
 
@@ -255,7 +255,7 @@
     leaving.child.kill("SIGTERM");
     const text = await stream.readRest();
     assert.match(text, /plan-3 token 200\n\ndata: \[DONE\]/);
-    assert.equal(await exitOf(leaving.child), 0);
+    assert.equal(await waitForExit(leaving.child), 0);
     cluster.setState("plan-3", "gone");
   });
 
@@ -273,7 +273,7 @@
     const first = targets.get("confirm-1") as RunningProcess;
     cluster.setState("confirm-1", "leaving");
     first.child.kill("SIGTERM");
-    assert.equal(await exitOf(first.child), 0);
+    assert.equal(await waitForExit(first.child), 0);
     cluster.setState("confirm-1", "gone");
     for (const [index, key] of keys.entries()) {
       let again = await submit(key);
@@ -301,7 +301,7 @@
       }
     });
     assert.match(await stream.readRest(), /token 200\n\ndata: \[DONE\]/);
-    assert.equal(await exitOf(second.child), 0);
+    assert.equal(await waitForExit(second.child), 0);
   });
 
   it("ends at a second signal and logs how many requests were cut off", async () => {
@@ -313,7 +313,7 @@
     await waitUntil("it drains", () => second.readLog().includes("DRAINING"));
     second.child.kill("SIGTERM");
     await assert.rejects(stream.readRest());
-    assert.equal(await exitOf(second.child), 3);
+    assert.equal(await waitForExit(second.child), 3);
     assert.match(second.readLog(), /CUT_AT_END.*"cut":1/);
   });
 });
--- a/src/settings/settings_schedules_test.ts
+++ b/src/settings/settings_schedules_test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import fc from "fast-check";
 import {
-  type CallFate,
+  type CallOutcome,
   FakeKeyValueService,
 } from "../testing/fake_key_value_service.ts";
 import { BodyCache, KeyValueBodySource } from "./body_source.ts";
@@ -94,7 +94,7 @@
   return { head, byRevision };
 }
 
-function createFate(row: FaultRow, seed: number): () => CallFate {
+function createFate(row: FaultRow, seed: number): () => CallOutcome {
   let state = seed;
   return () => {
     state = (state * 1_103_515_245 + 12_345) % 2_147_483_648;
@@ -116,8 +116,8 @@
           fc.array(fc.nat(1), { minLength: 9, maxLength: 9 }),
           async (scheduler, seed, picks) => {
             const service = new FakeKeyValueService({
-              pass: () => scheduler.schedule(Promise.resolve()),
-              fate: createFate(row, seed),
+              delay: () => scheduler.schedule(Promise.resolve()),
+              chooseOutcome: createFate(row, seed),
             });
             const operators = Array.from(
               { length: OPERATORS },
--- a/src/target/key_ownership_test.ts
+++ b/src/target/key_ownership_test.ts
@@ -11,8 +11,8 @@
 import { v7 as createUuid } from "uuid";
 import {
   GONE_GRACE_MS,
-  RequestWorld,
-  WORLD_EPOCH_MS,
+  RequestSimulation,
+  SIMULATION_START_MS,
 } from "../testing/request_world.ts";
 import type { Submission } from "../testing/submissions.ts";
 
@@ -20,29 +20,34 @@
 const OTHER = 1;
 const MINUTE_MS = 60_000;
 
-function createSimulation(service: readonly string[] = []): RequestWorld {
-  return new RequestWorld({ entries: 2, targets: 2, concurrency: 1, service });
+function createSimulation(service: readonly string[] = []): RequestSimulation {
+  return new RequestSimulation({
+    entries: 2,
+    targets: 2,
+    concurrency: 1,
+    service,
+  });
 }
 
 /** Creates a key whose timestamp is the current time. */
-function createKey(simulation: RequestWorld): string {
-  return createUuid({ msecs: WORLD_EPOCH_MS + simulation.now });
+function createKey(simulation: RequestSimulation): string {
+  return createUuid({ msecs: SIMULATION_START_MS + simulation.now });
 }
 
 /** Creates a key in a slot of the first target. */
-function createOwnedKey(simulation: RequestWorld, prefix = ""): string {
+function createOwnedKey(simulation: RequestSimulation, prefix = ""): string {
   for (let number = 0; number < 1000; number++) {
     const key = prefix === "" ? createKey(simulation) : `${prefix}-${number}`;
-    if (simulation.ownerOf(key) === OWNER) return key;
+    if (simulation.getOwner(key) === OWNER) return key;
   }
   throw new Error("No key of the first target was found");
 }
 
 /** Lists the owner's VM as gone and lets the other target claim its slots. */
-function moveSlotsToOther(simulation: RequestWorld): void {
+function moveSlotsToOther(simulation: RequestSimulation): void {
   simulation.listGone(OWNER);
   simulation.tick(GONE_GRACE_MS + 1);
-  simulation.lookAtTable(OTHER);
+  simulation.readAndClaim(OTHER);
   simulation.settle();
 }
 
@@ -132,7 +137,7 @@
     const quick = simulation.submit(1, { key });
     simulation.settle();
     assert.equal(getReason(quick), "answered");
-    simulation.wake(OWNER);
+    simulation.resume(OWNER);
     simulation.settle();
     simulation.checkInvariants();
     assert.equal(getReason(slow), "OWNER_UNCERTAIN");
@@ -141,14 +146,14 @@
   it("does not trust a table read that was requested before a freeze", () => {
     const simulation = createSimulation();
     const sample = createOwnedKey(simulation);
-    simulation.startLook(OWNER);
+    simulation.startRead(OWNER);
     simulation.pause(OWNER);
     simulation.stallBetween(0, OTHER);
     moveSlotsToOther(simulation);
     simulation.tick(2 * MINUTE_MS);
-    simulation.wake(OWNER);
+    simulation.resume(OWNER);
     simulation.tick(1);
-    simulation.finishLook(OWNER);
+    simulation.finishRead(OWNER);
     const key = createKeyOfSameSlot(simulation, sample, { isTimed: true });
     simulation.submit(1, { key });
     const slow = simulation.submit(0, { key });
@@ -169,7 +174,7 @@
     simulation.deliverAll();
     simulation.pause(OWNER);
     simulation.tick(MINUTE_MS);
-    simulation.wake(OWNER);
+    simulation.resume(OWNER);
     simulation.settle();
     assert.equal(getReason(submission), "OWNER_UNCERTAIN");
     assert.equal(submission.runs, 0);
@@ -233,7 +238,7 @@
     simulation.settle();
     simulation.release(OTHER);
     simulation.listGone(OTHER);
-    simulation.lookAtTable(OWNER);
+    simulation.readAndClaim(OWNER);
     simulation.handOverAll(OWNER);
     simulation.settle();
     const again = simulation.submit(0, { key });
@@ -251,7 +256,7 @@
     simulation.pause(OTHER);
     simulation.listGone(OTHER);
     simulation.tick(GONE_GRACE_MS + 1);
-    simulation.lookAtTable(OWNER);
+    simulation.readAndClaim(OWNER);
     simulation.settle();
     const first = simulation.submit(0, { key });
     simulation.settle();
@@ -261,7 +266,7 @@
       getReason(first),
     );
     const fresh = createUuid({
-      msecs: WORLD_EPOCH_MS + simulation.now + 2 * MINUTE_MS,
+      msecs: SIMULATION_START_MS + simulation.now + 2 * MINUTE_MS,
     });
     const late = createTimedKeyOfSameSlot(simulation, key, fresh);
     simulation.submit(0, { key: late });
@@ -269,10 +274,10 @@
     assert.equal(simulation.callers.runsByKey.get(late), 1);
     simulation.kill(OWNER);
     simulation.listGone(OWNER);
-    simulation.wake(OTHER);
+    simulation.resume(OTHER);
     simulation.listLive(OTHER);
     simulation.tick(GONE_GRACE_MS + 1);
-    simulation.lookAtTable(OTHER);
+    simulation.readAndClaim(OTHER);
     simulation.settle();
     const again = simulation.submit(1, { key: late });
     simulation.settle();
@@ -288,7 +293,7 @@
     simulation.drain(OWNER);
     simulation.release(OWNER);
     assert.equal(
-      simulation.ownerOf(old),
+      simulation.getOwner(old),
       OWNER,
       "The owner has not drained yet",
     );
@@ -307,7 +312,7 @@
 
 /** Creates a key in the slot of `key` with the timestamp of `sample`. */
 function createTimedKeyOfSameSlot(
-  simulation: RequestWorld,
+  simulation: RequestSimulation,
   key: string,
   sample: string,
 ): string {
@@ -315,7 +320,7 @@
   for (let number = 0; number < 10_000; number++) {
     const tail = number.toString(16).padStart(12, "0");
     const candidate = `${time}-7000-8000-${tail}`;
-    if (simulation.slotOf(candidate) === simulation.slotOf(key)) {
+    if (simulation.getSlot(candidate) === simulation.getSlot(key)) {
       return candidate;
     }
   }
@@ -323,25 +328,25 @@
 }
 
 /** Drains the owner and lets the other target claim its slots and fetch its keys. */
-function leaveAndHandOver(simulation: RequestWorld): void {
+function leaveAndHandOver(simulation: RequestSimulation): void {
   simulation.drain(OWNER);
   simulation.settle();
   simulation.release(OWNER);
   simulation.listGone(OWNER);
-  simulation.lookAtTable(OTHER);
+  simulation.readAndClaim(OTHER);
   simulation.handOverAll(OTHER);
   simulation.settle();
 }
 
 /** Creates another key in the slot of `sample`. */
 function createKeyOfSameSlot(
-  simulation: RequestWorld,
+  simulation: RequestSimulation,
   sample: string,
   options: { readonly isTimed?: boolean } = {},
 ): string {
   for (let number = 0; number < 10_000; number++) {
     const key = options.isTimed ? createKey(simulation) : `mate-${number}`;
-    if (simulation.slotOf(key) === simulation.slotOf(sample)) return key;
+    if (simulation.getSlot(key) === simulation.getSlot(sample)) return key;
   }
   throw new Error("No other key of the slot was found");
 }
--- a/src/target/request_schedules_test.ts
+++ b/src/target/request_schedules_test.ts
@@ -9,8 +9,8 @@
 import { describe, it } from "node:test";
 import fc from "fast-check";
 import {
-  RequestWorld,
-  type RequestWorldOptions,
+  RequestSimulation,
+  type RequestSimulationOptions,
 } from "../testing/request_world.ts";
 import type { Submission } from "../testing/submissions.ts";
 
@@ -65,7 +65,7 @@
 interface FaultCase {
   readonly name: string;
   readonly faultWeights: Partial<Record<ActionKind, number>>;
-  readonly options?: Partial<RequestWorldOptions>;
+  readonly options?: Partial<RequestSimulationOptions>;
 }
 
 const FAULT_CASES: readonly FaultCase[] = [
@@ -157,7 +157,7 @@
   });
 }
 
-function performAction(simulation: RequestWorld, action: Action): void {
+function performAction(simulation: RequestSimulation, action: Action): void {
   const { target, choice } = action;
   switch (action.kind) {
     case "submit":
@@ -171,7 +171,7 @@
       return;
     case "abandon": {
       const submission = simulation.callers.submissions.at(-1 - choice % 5);
-      if (submission !== undefined) simulation.abandon(submission);
+      if (submission !== undefined) simulation.disconnectCaller(submission);
       return;
     }
     case "deliver":
@@ -198,7 +198,7 @@
     case "pause":
       return simulation.pause(target);
     case "wake":
-      return simulation.wake(target);
+      return simulation.resume(target);
     case "list_gone":
       return simulation.listGone(target);
     case "list_live":
@@ -207,9 +207,9 @@
       simulation.isKeyValueDown = choice % 2 === 0;
       return;
     case "start_look":
-      return simulation.startLook(target);
+      return simulation.startRead(target);
     case "finish_look":
-      return simulation.finishLook(target);
+      return simulation.finishRead(target);
     case "drain":
       return simulation.drain(target);
     case "release":
@@ -231,7 +231,7 @@
             maxLength: 250,
           }),
           (actions) => {
-            const simulation = new RequestWorld({
+            const simulation = new RequestSimulation({
               entries: ENTRIES,
               targets: TARGETS,
               ...faultCase.options,
@@ -243,7 +243,7 @@
             simulation.unstallAll();
             simulation.connectAll();
             for (let target = 0; target < TARGETS; target++) {
-              simulation.wake(target);
+              simulation.resume(target);
             }
             simulation.settle();
             simulation.checkInvariants();
--- a/src/testing/burst_cases.ts
+++ b/src/testing/burst_cases.ts
@@ -18,14 +18,14 @@
  */
 export const SEEDS = [1, 2, 3, 4, 5, 6] as const;
 /** When bursts begin, in virtual milliseconds. */
-export const BURST_FROM_MS = 10_000;
+export const BURST_START_MS = 10_000;
 /**
  * Calls that begin within this time after a burst are scored, too, as its backlog affects
  * them.
  */
 const TAIL_MS = 1000;
 /** Milliseconds after which every scored call has ended. */
-export const LONGEST_CALL_MS = 9000;
+export const MAX_CALL_MS = 9000;
 
 /** A burst, with a rate at which 40 to 50% of all answers are late without priorities. */
 export interface BurstCase {
@@ -34,24 +34,24 @@
   /** Index in {@link KINDS}. */
   readonly kind: number;
   readonly factor: number;
-  readonly lastsMs: number;
+  readonly durationMs: number;
 }
 
 /** A burst of the least urgent kind. */
-export const LEAST_URGENT: BurstCase = {
+export const LEAST_URGENT_BURST: BurstCase = {
   name: "the least urgent kind",
   perSecond: 53.5,
   kind: 2,
   factor: 2.4,
-  lastsMs: 5000,
+  durationMs: 5000,
 };
 /** A burst of the most urgent kind. */
-export const MOST_URGENT: BurstCase = {
+export const MOST_URGENT_BURST: BurstCase = {
   name: "the most urgent kind",
   perSecond: 69,
   kind: 0,
   factor: 1.8,
-  lastsMs: 3000,
+  durationMs: 3000,
 };
 
 /**
@@ -63,29 +63,29 @@
   & Pick<BurstSimulationOptions, "seed">;
 
 /** Creates the simulation in which a burst is run. */
-export function createWorld(
-  { perSecond, kind, factor, lastsMs: durationMs }: BurstCase,
+export function createSimulation(
+  { perSecond, kind, factor, durationMs: durationMs }: BurstCase,
   changes: BurstOptionChanges,
 ): PriorityBurstSimulation {
-  const until = BURST_FROM_MS + durationMs;
+  const until = BURST_START_MS + durationMs;
   return new PriorityBurstSimulation({
     entries: 41,
     perSecond,
-    burst: { kind, factor, from: BURST_FROM_MS, until },
+    burst: { kind, factor, from: BURST_START_MS, until },
     isPrioritised: true,
     ...changes,
   });
 }
 
 /** Runs a burst and scores the calls that it affects. */
-export function play(
+export function runBurst(
   burst: BurstCase,
   changes: BurstOptionChanges,
 ): BurstScore {
-  const until = BURST_FROM_MS + burst.lastsMs;
-  const simulation = createWorld(burst, changes);
-  const ended = simulation.run(until + TAIL_MS + LONGEST_CALL_MS);
-  return scoreCalls(ended, { from: BURST_FROM_MS, until: until + TAIL_MS });
+  const until = BURST_START_MS + burst.durationMs;
+  const simulation = createSimulation(burst, changes);
+  const ended = simulation.run(until + TAIL_MS + MAX_CALL_MS);
+  return scoreCalls(ended, { from: BURST_START_MS, until: until + TAIL_MS });
 }
 
 function computeMean(
@@ -98,24 +98,26 @@
 /** Mean results of several runs; fractions are listed in the order of {@link KINDS}. */
 export interface MeanScore {
   /** Fraction of all answers that were late. */
-  readonly late: number;
+  readonly lateFraction: number;
   readonly benefit: number;
-  readonly onTime: readonly number[];
+  readonly onTimeFractions: readonly number[];
   readonly servedFractions: readonly number[];
   readonly minOrganisationShare: number;
 }
 
 /** Computes means over runs, and the minimum of all runs for organisations. */
-export function meanScore(scores: readonly BurstScore[]): MeanScore {
+export function computeMeanScore(scores: readonly BurstScore[]): MeanScore {
   const meanByKind = (read: (score: KindScore) => number) =>
     KINDS.map((_, kind) =>
       computeMean(scores, ({ kinds }) => read(kinds[kind] as KindScore))
     );
   return {
-    late: computeMean(scores, ({ lateFraction }) => lateFraction),
+    lateFraction: computeMean(scores, ({ lateFraction }) => lateFraction),
     benefit: computeMean(scores, ({ benefit }) => benefit),
-    onTime: meanByKind(({ onTimeFraction }) => onTimeFraction),
-    servedFractions: meanByKind(({ served: servedFraction }) => servedFraction),
+    onTimeFractions: meanByKind(({ onTimeFraction }) => onTimeFraction),
+    servedFractions: meanByKind(({ servedFraction: servedFraction }) =>
+      servedFraction
+    ),
     minOrganisationShare: Math.min(
       ...scores.map(({ minOrganisationShare }) => minOrganisationShare),
     ),
@@ -134,8 +136,8 @@
 ): void {
   const scores = JSON.stringify({ without, with: withPriorities });
   const [first = 0, middle = 0, last = 0] = withPriorities.servedFractions;
-  const [firstOnTime = 0] = withPriorities.onTime;
-  const [firstBefore = 1] = without.onTime;
+  const [firstOnTime = 0] = withPriorities.onTimeFractions;
+  const [firstBefore = 1] = without.onTimeFractions;
   assert.ok(firstOnTime > firstBefore + 0.15, `most urgent: ${scores}`);
   assert.ok(
     withPriorities.benefit > without.benefit + 0.05,
--- a/src/testing/burst_score.ts
+++ b/src/testing/burst_score.ts
@@ -10,7 +10,7 @@
   readonly sent: number;
   /** Fractions of all calls that were sent. */
   readonly onTimeFraction: number;
-  readonly served: number;
+  readonly servedFraction: number;
 }
 
 /** Results of all callers. */
@@ -66,7 +66,7 @@
   return {
     sent: calls.length,
     onTimeFraction: onTime.length / calls.length,
-    served: getServedFraction(calls),
+    servedFraction: getServedFraction(calls),
   };
 }
 
--- a/src/testing/crashing_pool.ts
+++ b/src/testing/crashing_pool.ts
@@ -59,7 +59,7 @@
   }
 
   /** Why the last event made the entry refuse a request, if it did. */
-  get refusedFor(): RefusalName | undefined {
+  get refusalReason(): RefusalName | undefined {
     for (const effect of this.#effects) {
       if (effect.kind === "refuse_request") {
         return effect.problem.reason as RefusalName;
@@ -69,7 +69,7 @@
   }
 
   /** Attempts that the entry sent because of the last event. */
-  get sent(): readonly SentAttempt[] {
+  get sentAttempts(): readonly SentAttempt[] {
     return this.#effects.flatMap((effect) => {
       if (effect.kind !== "send" || effect.message.kind !== "submit") return [];
       const { requestId, attempt } = effect.message;
@@ -78,26 +78,26 @@
   }
 
   /** The crashed requests that the entry has recorded. */
-  get remembered(): readonly CrashedRequest[] {
+  get crashedRequests(): readonly CrashedRequest[] {
     return this.entry.crashes.list();
   }
 
   /** Advances the virtual time. */
-  pass(milliseconds: number): void {
+  advance(milliseconds: number): void {
     this.now += milliseconds;
     this.#reduce({ kind: "tick", now: this.now });
   }
 
   /** Sends a request with this body to the entry, which must send an attempt. */
   send(body: string): SentAttempt {
-    this.arrive(body);
-    const [sent] = this.sent;
-    assert.ok(sent !== undefined, `Refused: ${this.refusedFor}`);
+    this.receive(body);
+    const [sent] = this.sentAttempts;
+    assert.ok(sent !== undefined, `Refused: ${this.refusalReason}`);
     return sent;
   }
 
   /** Sends a request with this body to the entry. */
-  arrive(body: string): void {
+  receive(body: string): void {
     const request = createCallerRequest({
       id: ++this.#lastRequestId,
       body: Buffer.from(body),
@@ -111,7 +111,7 @@
   }
 
   /** Answers an attempt as another instance at the target's address does. */
-  misdirect(sent: SentAttempt): void {
+  rejectAsWrongInstance(sent: SentAttempt): void {
     this.#receiveMessage(sent, createRefused(sent, "WRONG_INSTANCE"));
   }
 
@@ -123,7 +123,7 @@
   }
 
   /** Disconnects the caller of an attempt. */
-  leave({ requestId }: SentAttempt): void {
+  disconnectCaller({ requestId }: SentAttempt): void {
     this.#reduce({ kind: "caller_gone", now: this.now, requestId });
   }
 
@@ -150,7 +150,7 @@
   }
 
   /** Delivers the crashed requests that another entry has recorded. */
-  tell(requests: readonly CrashedRequest[]): void {
+  mergeCrashes(requests: readonly CrashedRequest[]): void {
     this.#reduce({ kind: "crashes_told", now: this.now, requests });
   }
 
--- a/src/testing/drain_fleet.ts
+++ b/src/testing/drain_fleet.ts
@@ -72,7 +72,7 @@
   /**
    * Requests that reached targets of the drained domain before the operator drained it.
    */
-  readonly arrivalsBefore: number;
+  readonly arrivalsBeforeDrain: number;
   /**
    * Milliseconds from the operator's write to the last arrival at a drained target from
    * an entry that was not frozen.
@@ -84,7 +84,7 @@
    */
   readonly lastInForceMs: number;
   /** Requests that were refused because no target was available. */
-  readonly unserved: number;
+  readonly unservedRequests: number;
 }
 
 interface FleetEntry {
@@ -150,12 +150,12 @@
     this.#queue.runUntil(untilMs);
     return {
       requests: this.#requests,
-      arrivalsBefore: this.#arrivalsBeforeDrain,
+      arrivalsBeforeDrain: this.#arrivalsBeforeDrain,
       lastArrivalMs: this.#lastArrivalMs,
       lastInForceMs: this.#entries.every((one) => this.#isInForceAt(one))
         ? this.#lastInForceMs
         : Number.POSITIVE_INFINITY,
-      unserved: this.#unservedRequests,
+      unservedRequests: this.#unservedRequests,
     };
   }
 
--- a/src/testing/drifting_group.ts
+++ b/src/testing/drifting_group.ts
@@ -64,7 +64,7 @@
    * Fraction of the time in which the most loaded rank had more than 2.5 times the mean
    * load.
    */
-  readonly partTooLong: number;
+  readonly overloadedFraction: number;
 }
 
 const LONG_PASS_SKEW = 2.5;
@@ -104,7 +104,7 @@
     const overloaded = skews.filter((skew) => skew > LONG_PASS_SKEW);
     return {
       meanSkew: skews.reduce((sum, skew) => sum + skew, 0) / skews.length,
-      partTooLong: overloaded.length / skews.length,
+      overloadedFraction: overloaded.length / skews.length,
     };
   }
 
--- a/src/testing/fake_engine.ts
+++ b/src/testing/fake_engine.ts
@@ -41,7 +41,7 @@
   /**
    * Returns the map of the next step, or undefined if the engine may not begin the step.
    */
-  tryMapOfNextStep(): VersionedMap | undefined {
+  tryGetNextMap(): VersionedMap | undefined {
     const { holdBefore, step, maps } = this.#state;
     if (holdBefore !== undefined && step >= holdBefore) return undefined;
     const { activation, activeVersion } = this.#state;
@@ -52,7 +52,7 @@
 
   /** Runs one step. */
   runStep(): void {
-    const version = this.tryMapOfNextStep()?.version ?? 0;
+    const version = this.tryGetNextMap()?.version ?? 0;
     this.#state = {
       ...this.#state,
       step: this.#state.step + 1,
@@ -61,7 +61,7 @@
   }
 
   /** Executes an order, or ignores it if its fencing number is too low. */
-  carryOut(order: EngineOrder, fencingNumber: number): void {
+  execute(order: EngineOrder, fencingNumber: number): void {
     if (this.#checksFencing && fencingNumber < this.#fencingNumber) return;
     this.#fencingNumber = Math.max(fencingNumber, this.#fencingNumber);
     switch (order.kind) {
--- a/src/testing/fake_key_value_service.ts
+++ b/src/testing/fake_key_value_service.ts
@@ -13,14 +13,14 @@
 } from "../external/key_value_service.ts";
 
 /** The outcome of one call. */
-export type CallFate = "answered" | "refused" | "reply_lost";
+export type CallOutcome = "answered" | "refused" | "reply_lost";
 
 /** Options of a {@link FakeKeyValueService}. */
 export interface FakeKeyValueOptions {
   /** Called before and after each call takes effect; may wait. */
-  readonly pass?: () => Promise<void>;
+  readonly delay?: () => Promise<void>;
   /** Chooses the outcome of a call. */
-  readonly fate?: (key: string) => CallFate;
+  readonly chooseOutcome?: (key: string) => CallOutcome;
 }
 
 /** A key-value service in memory. */
@@ -57,10 +57,10 @@
   }
 
   override async tryRead(key: string): Promise<KeyValueEntry | undefined> {
-    await this.#options.pass?.();
+    await this.#options.delay?.();
     const callOutcome = this.#getOutcome(key);
     const entry = this.#values.get(key);
-    await this.#options.pass?.();
+    await this.#options.delay?.();
     if (callOutcome !== "answered") throw new KeyValueUnavailableError("Fault");
     return entry;
   }
@@ -69,12 +69,12 @@
     key: string,
     options: SwapOptions,
   ): Promise<SwapOutcome> {
-    await this.#options.pass?.();
+    await this.#options.delay?.();
     const callOutcome = this.#getOutcome(key);
     const outcome = callOutcome === "refused"
       ? undefined
       : this.#swap(key, options);
-    await this.#options.pass?.();
+    await this.#options.delay?.();
     if (outcome === undefined || callOutcome === "reply_lost") {
       return { kind: "unknown", cause: "Fault" };
     }
@@ -85,9 +85,9 @@
     return await this.tryRead(key);
   }
 
-  #getOutcome(key: string): CallFate {
+  #getOutcome(key: string): CallOutcome {
     if (this.isDown) return "refused";
-    return this.#options.fate?.(key) ?? "answered";
+    return this.#options.chooseOutcome?.(key) ?? "answered";
   }
 
   #swap(key: string, options: SwapOptions): SwapOutcome {
--- a/src/testing/formed_engine_fixture.ts
+++ b/src/testing/formed_engine_fixture.ts
@@ -20,11 +20,11 @@
 /** An engine that executes each order immediately and copies maps without delay. */
 export class FormedEngineFixture extends FormedEngine {
   readonly fake: FakeFormedEngine;
-  readonly given: EngineOrder[] = [];
+  readonly receivedOrders: EngineOrder[] = [];
   /** Number of the next orders that are neither executed nor answered. */
-  unanswered = 0;
+  unansweredOrders = 0;
   /** Number of reads of the engine's state. */
-  looks = 0;
+  stateReads = 0;
   readonly #rank: number;
   readonly #ranks: number;
 
@@ -37,7 +37,7 @@
   }
 
   override tryReadState(): Promise<RankState | undefined> {
-    this.looks++;
+    this.stateReads++;
     return Promise.resolve(this.fake.state);
   }
 
@@ -51,9 +51,9 @@
   }
 
   override sendOrder(order: EngineOrder): Promise<OrderOutcome> {
-    this.given.push(order);
-    if (this.unanswered > 0) {
-      this.unanswered--;
+    this.receivedOrders.push(order);
+    if (this.unansweredOrders > 0) {
+      this.unansweredOrders--;
       return Promise.resolve("unanswered");
     }
     const isAccepted = this.fake.execute(order);
--- a/src/testing/formed_group_faults.ts
+++ b/src/testing/formed_group_faults.ts
@@ -22,9 +22,9 @@
   /**
    * Mean milliseconds between two random times at which the decider is frozen; 0: never.
    */
-  readonly freezesEveryMs: number;
+  readonly freezeIntervalMs: number;
   /** Times at which the decider is frozen, in milliseconds. */
-  readonly freezesAt: readonly number[];
+  readonly freezeTimes: readonly number[];
   /** Whether only an order to hold a pass can be the last message before a freeze. */
   readonly freezesAfterHoldsOnly: boolean;
   /**
@@ -49,8 +49,8 @@
   lostMessages: 0,
   deciderLifeMs: 0,
   deciderFreezes: 0,
-  freezesEveryMs: 0,
-  freezesAt: [],
+  freezeIntervalMs: 0,
+  freezeTimes: [],
   freezesAfterHoldsOnly: false,
   rankFreezes: 0,
   forgottenOrders: 0,
--- a/src/testing/formed_group_world.ts
+++ b/src/testing/formed_group_world.ts
@@ -58,9 +58,9 @@
    */
   readonly undecidableFreezes: number;
   /** Messages that had left the decider's VM before its first freeze. */
-  readonly saidBefore: readonly string[];
+  readonly sentBeforeFreeze: readonly string[];
   /** Whether the decider's own rank was armed at that time. */
-  readonly wasArmed: boolean;
+  readonly wasArmedAtFreeze: boolean;
 }
 
 /** A process beside a rank that decides switches or recovers them. */
@@ -78,7 +78,7 @@
 }
 
 /** A formed group in virtual time. */
-export class FormedGroupWorld {
+export class FormedGroupSimulation {
   readonly #queue = new EventQueue();
   readonly #random: RandomSource;
   readonly #faults: FormedGroupFaults;
@@ -124,12 +124,12 @@
     this.#repeat(PROPOSAL_MS, () => this.#propose());
     this.#repeat(HOLD_CHECK_INTERVAL_MS, () => this.#checkHeldPass());
     if (faults.deciderLifeMs > 0) this.#scheduleDeciderEnd();
-    if (faults.freezesEveryMs > 0) {
+    if (faults.freezeIntervalMs > 0) {
       // Small seeds give similar first random numbers, so the first freeze is scheduled
       // later.
       this.#queue.after(FIRST_FREEZE_MS, () => this.#scheduleFreeze());
     }
-    for (const at of faults.freezesAt) {
+    for (const at of faults.freezeTimes) {
       this.#queue.after(at, () => this.#freeze(0));
     }
     if (faults.epochMs > 0) {
@@ -148,8 +148,8 @@
       longestAvoidableHoldMs: this.#holds.longestAvoidableMs,
       freezes: this.#freezes,
       undecidableFreezes: this.#undecidableFreezes.size,
-      saidBefore: this.#sentBeforeFreeze,
-      wasArmed: this.#wasArmedAtFreeze,
+      sentBeforeFreeze: this.#sentBeforeFreeze,
+      wasArmedAtFreeze: this.#wasArmedAtFreeze,
     };
   }
 
@@ -215,7 +215,7 @@
   }
 
   #scheduleFreeze(): void {
-    const { freezesEveryMs: freezeIntervalMs } = this.#faults;
+    const { freezeIntervalMs: freezeIntervalMs } = this.#faults;
     this.#queue.after(this.#random.nextExponential(freezeIntervalMs), () => {
       this.#freeze(0);
       this.#scheduleFreeze();
--- a/src/testing/group_world.ts
+++ b/src/testing/group_world.ts
@@ -68,17 +68,17 @@
   }
 }
 
-/** Options of a {@link GroupWorld}. */
+/** Options of a {@link GroupSimulation}. */
 export interface GroupSimulationOptions {
   readonly checksFencing: boolean;
 }
 
 /** A group, its undelivered messages, and the map of each step. */
-export class GroupWorld {
+export class GroupSimulation {
   readonly ranks: Rank[] = [];
   readonly versionByStep = new Map<string, number>();
   readonly mapByVersion = new Map<number, string>();
-  committed = 0;
+  committedSwitches = 0;
   #coordinator!: GroupCoordinator;
   #coordinatorId = 0;
   #outbox: MessageToCoordinator[] = [];
@@ -235,7 +235,7 @@
     const { currentOrder } = rankState;
     if (currentOrder === undefined) return;
     rankState.currentOrder = undefined;
-    rankState.engine.carryOut(currentOrder.order, currentOrder.fencingNumber);
+    rankState.engine.execute(currentOrder.order, currentOrder.fencingNumber);
     this.#perform(
       rank,
       rankState.member.reduce({
@@ -259,7 +259,7 @@
         rankState.engine.state.incarnation === incarnation &&
         rankState.engine.state.step >= step
       );
-    const map = engine.tryMapOfNextStep();
+    const map = engine.tryGetNextMap();
     if (!isInStep || map === undefined) return;
     const key = `${incarnation}/${step}`;
     const recordedVersion = this.versionByStep.get(key) ?? map.version;
@@ -307,7 +307,7 @@
   #restartMember(rank: number, choice: number): void {
     const rankState = this.#getRank(rank);
     if (rankState.currentOrder !== undefined && choice % 2 === 0) {
-      rankState.engine.carryOut(
+      rankState.engine.execute(
         rankState.currentOrder.order,
         rankState.currentOrder.fencingNumber,
       );
@@ -373,7 +373,7 @@
         });
       }
       if (effect.kind === "switch_decided" && effect.isCommitted) {
-        this.committed++;
+        this.committedSwitches++;
       }
     }
   }
--- a/src/testing/limited_entries.ts
+++ b/src/testing/limited_entries.ts
@@ -30,7 +30,7 @@
 const START_MS = 6000;
 
 /** A temporary fault of an entry. */
-export interface EntryTrouble {
+export interface EntryFault {
   readonly at: number;
   readonly forMs: number;
   /**
@@ -51,7 +51,7 @@
   readonly targets: number;
   /** Request rate of all callers together. */
   readonly requestsPerSecond: number;
-  readonly troubles: readonly EntryTrouble[];
+  readonly faults: readonly EntryFault[];
   /** Changes of the list of targets, and how targets warm up. */
   readonly cold?: ColdPlan;
 }
@@ -79,9 +79,9 @@
   readonly arrivals: readonly Arrival[];
   readonly refusals: readonly Refusal[];
   /** Number of permit requests. */
-  readonly questions: number;
+  readonly permitRequests: number;
   /** Number of times that an entry sent changes to the others. */
-  readonly told: number;
+  readonly sentUpdates: number;
 }
 
 interface EntryState {
@@ -138,7 +138,7 @@
     for (const entry of this.#options.cold ? this.#entries : []) {
       this.#scheduleList(entry, this.#random.nextBelow(LIST_INTERVAL_MS));
     }
-    for (const fault of this.#options.troubles) this.#scheduleFault(fault);
+    for (const fault of this.#options.faults) this.#scheduleFault(fault);
     const end = START_MS + milliseconds;
     this.#queue.after(START_MS, () => this.#scheduleRequest(end));
     this.#queue.runUntil(end);
@@ -146,8 +146,8 @@
       requests: this.#requests,
       arrivals: this.#arrivals,
       refusals: this.#refusals,
-      questions: this.#permitRequests,
-      told: this.#sentUpdates,
+      permitRequests: this.#permitRequests,
+      sentUpdates: this.#sentUpdates,
     };
   }
 
@@ -205,7 +205,7 @@
     });
   }
 
-  #scheduleFault({ at, forMs, kind, entry }: EntryTrouble): void {
+  #scheduleFault({ at, forMs, kind, entry }: EntryFault): void {
     this.#queue.after(START_MS + at, () => {
       const affected = this
         .#entries[entry ?? this.#findPrimaryIssuer()] as EntryState;
--- a/src/testing/linked_group_world.ts
+++ b/src/testing/linked_group_world.ts
@@ -44,7 +44,7 @@
   /** Longest time for which an answer waited for the link, in milliseconds. */
   readonly longestWaitMs: number;
   /** Fraction of the run in which the link was in use. */
-  readonly linkUse: number;
+  readonly linkUtilisation: number;
   /** Mean number of ranks whose counts were received each second. */
   readonly countsPerSecond: number;
   /** Longest time since a rank last reported its state, at the end of the run. */
@@ -52,7 +52,7 @@
 }
 
 /** A decider behind a link of limited bandwidth. */
-export class LinkedGroupWorld {
+export class LinkedGroupSimulation {
   readonly #options: LinkedGroupOptions;
   readonly #queue = new EventQueue();
   readonly #engines: readonly FakeFormedEngine[];
@@ -100,7 +100,7 @@
     return {
       settledAt: this.#settledAt,
       longestWaitMs: this.#longestWaitMs,
-      linkUse: this.#linkBusyMs / untilMs,
+      linkUtilisation: this.#linkBusyMs / untilMs,
       countsPerSecond: this.#counts * 1000 / untilMs,
       oldestStateMs: untilMs - Math.min(...stateTimes),
     };
--- a/src/testing/poison_fleet.ts
+++ b/src/testing/poison_fleet.ts
@@ -52,9 +52,9 @@
   /** Rate of requests that crash no ranks. */
   readonly requestsPerSecond: number;
   /** Number of poison requests. */
-  readonly poisons: number;
+  readonly poisonRequests: number;
   /** Milliseconds between two arrivals of each poison request. */
-  readonly poisonEveryMs: number;
+  readonly poisonIntervalMs: number;
   /** Ranks that crash at the same time for other reasons. */
   readonly losses: readonly RankLoss[];
 }
@@ -71,13 +71,13 @@
   /** Crashes of ranks caused by poison requests. */
   readonly crashes: number;
   /** Requests that crash no ranks. */
-  readonly innocent: number;
+  readonly harmless: number;
   /** Number of those that were refused as if they crashed ranks. */
-  readonly refusedInnocent: number;
+  readonly refusedHarmless: number;
   /** Number of those that were answered. */
   readonly served: number;
   /** Maximum number of times that one entry sent changes to the others. */
-  readonly mostTold: number;
+  readonly maxUpdatesSent: number;
 }
 
 interface Call {
@@ -128,17 +128,17 @@
   run(milliseconds: number): PoisonFleetResult {
     this.#entries.forEach((entry) => this.#start(entry));
     this.#scheduleRequest(milliseconds);
-    for (let poison = 0; poison < this.#options.poisons; poison++) {
+    for (let poison = 0; poison < this.#options.poisonRequests; poison++) {
       this.#schedulePoisonRequest(`poison ${poison}`);
     }
     for (const loss of this.#options.losses) this.#scheduleLoss(loss);
     this.#queue.runUntil(milliseconds + CLIENT_DEADLINE_MS);
     return {
       crashes: this.#ranks.crashes,
-      innocent: this.#harmless,
-      refusedInnocent: this.#refusedHarmless.size,
+      harmless: this.#harmless,
+      refusedHarmless: this.#refusedHarmless.size,
       served: this.#served,
-      mostTold: Math.max(0, ...this.#sentUpdates.values()),
+      maxUpdatesSent: Math.max(0, ...this.#sentUpdates.values()),
     };
   }
 
@@ -228,7 +228,7 @@
   }
 
   #schedulePoisonRequest(body: string): void {
-    const { poisonEveryMs: poisonIntervalMs } = this.#options;
+    const { poisonIntervalMs: poisonIntervalMs } = this.#options;
     this.#repeat(
       this.#random.nextBelow(poisonIntervalMs),
       poisonIntervalMs,
--- a/src/testing/process_cluster.ts
+++ b/src/testing/process_cluster.ts
@@ -231,7 +231,7 @@
       child.kill("SIGCONT");
       child.kill("SIGKILL");
     }
-    await Promise.all(this.#processes.map(({ child }) => exitOf(child)));
+    await Promise.all(this.#processes.map(({ child }) => waitForExit(child)));
     for (const close of this.#closers) close();
     this.keyValue.close();
     this.machineList.close();
@@ -311,7 +311,7 @@
 }
 
 /** Waits until a process exits. Returns its exit code, or null after a signal. */
-export async function exitOf(child: ChildProcess): Promise<number | null> {
+export async function waitForExit(child: ChildProcess): Promise<number | null> {
   if (child.exitCode !== null || child.signalCode !== null) {
     return child.exitCode;
   }
--- a/src/testing/reading_fleet.ts
+++ b/src/testing/reading_fleet.ts
@@ -27,8 +27,8 @@
   readonly forMs: number;
 }
 
-/** Options of a {@link ReadingFleet}. */
-export interface ReadingFleetOptions {
+/** Options of a {@link StoreReaderFleet}. */
+export interface StoreReaderFleetOptions {
   readonly seed: number;
   readonly domains: number;
   readonly entriesPerDomain: number;
@@ -44,7 +44,7 @@
   /**
    * Maximum age of the state known to an entry that could reach the store all the time.
    */
-  readonly oldestMs: number;
+  readonly maxAgeMs: number;
 }
 
 interface Reader {
@@ -61,8 +61,8 @@
 }
 
 /** Entries that read the store for each other. */
-export class ReadingFleet {
-  readonly #options: ReadingFleetOptions;
+export class StoreReaderFleet {
+  readonly #options: StoreReaderFleetOptions;
   readonly #random: RandomSource;
   readonly #queue = new EventQueue();
   readonly #readers: readonly Reader[];
@@ -70,7 +70,7 @@
   #maxAgeMs = 0;
 
   /** Creates the entries; the same options give the same run. */
-  constructor(options: ReadingFleetOptions) {
+  constructor(options: StoreReaderFleetOptions) {
     this.#options = options;
     this.#random = new RandomSource(options.seed);
     const entries = createEntries(options);
@@ -91,7 +91,7 @@
   /** Runs up to a virtual time in milliseconds. */
   run(untilMs: number): StoreReaderFleetResult {
     this.#queue.runUntil(untilMs);
-    return { lists: this.#lists, oldestMs: this.#maxAgeMs };
+    return { lists: this.#lists, maxAgeMs: this.#maxAgeMs };
   }
 
   get #now(): number {
@@ -180,7 +180,7 @@
 }
 
 function createEntries(
-  { domains, entriesPerDomain }: ReadingFleetOptions,
+  { domains, entriesPerDomain }: StoreReaderFleetOptions,
 ): readonly ListedEntry[] {
   return Array.from(
     { length: domains },
--- a/src/testing/request_world.ts
+++ b/src/testing/request_world.ts
@@ -17,8 +17,8 @@
 import { getTargetName } from "./world_targets.ts";
 
 export {
-  type RequestSimulationOptions as RequestWorldOptions,
-  SIMULATION_START_MS as WORLD_EPOCH_MS,
+  type RequestSimulationOptions as RequestSimulationOptions,
+  SIMULATION_START_MS as SIMULATION_START_MS,
 } from "./request_world_model.ts";
 export { GONE_GRACE_MS } from "./world_owner_table.ts";
 
@@ -26,7 +26,7 @@
  * Entries, targets, back ends and callers in virtual time, with methods that cause
  * faults.
  */
-export class RequestWorld {
+export class RequestSimulation {
   readonly #options: RequestSimulationOptions;
   readonly #model: RequestSimulationModel;
   readonly #table: SimulatedOwnerTable;
@@ -37,7 +37,7 @@
     this.#model = new RequestSimulationModel(options);
     this.#table = new SimulatedOwnerTable(this.#model);
     for (let target = 0; target < options.targets; target++) {
-      this.lookAtTable(target);
+      this.readAndClaim(target);
       this.connectAll();
     }
     this.settle();
@@ -90,7 +90,7 @@
   }
 
   /** Closes the connection of a submission's caller. */
-  abandon(submission: Submission): void {
+  disconnectCaller(submission: Submission): void {
     if (submission.outcome !== undefined) return;
     this.#model.dispatchToEntry(submission.entry, {
       kind: "caller_gone",
@@ -121,12 +121,12 @@
   }
 
   /** Returns the slot of a key of the simulated service. */
-  slotOf(key: string): number {
+  getSlot(key: string): number {
     return this.#table.getSlot(key);
   }
 
   /** Returns the target that owns a key according to the owner table. */
-  ownerOf(key: string): number | undefined {
+  getOwner(key: string): number | undefined {
     return this.#table.getOwner(key);
   }
 
@@ -146,7 +146,7 @@
   }
 
   /** Schedules a callback at a virtual time. */
-  at(time: number, run: () => void): void {
+  scheduleAt(time: number, run: () => void): void {
     this.#model.scheduleAt(time, run);
   }
 
@@ -200,7 +200,7 @@
   }
 
   /** Resumes a target's process, as SIGCONT does. */
-  wake(target: number): void {
+  resume(target: number): void {
     this.#model.targets.get(target).isPaused = false;
   }
 
@@ -214,8 +214,8 @@
     this.#model.targets.get(target).goneAt = undefined;
   }
 
-  /** Reads the owner table for a target, which processes it in {@link finishLook}. */
-  startLook(target: number): void {
+  /** Reads the owner table for a target, which processes it in {@link finishRead}. */
+  startRead(target: number): void {
     this.#table.startRead(target);
   }
 
@@ -223,12 +223,12 @@
    * Claims slots according to the table that was read: by compare-and-swap first, then in
    * the target.
    */
-  finishLook(target: number): void {
+  finishRead(target: number): void {
     this.#table.finishRead(target);
   }
 
   /** Reads the owner table and claims slots immediately. */
-  lookAtTable(target: number): void {
+  readAndClaim(target: number): void {
     this.#table.readAndClaim(target);
   }
 
@@ -248,17 +248,17 @@
   }
 
   /** Returns the number of runs that a target has started for an entry. */
-  runsAt(target: number, entry: number): number {
+  countRuns(target: number, entry: number): number {
     return this.#model.runLog.countRuns(target, entry);
   }
 
   /** Returns when a target last started a run. */
-  lastRunAt(target: number): number {
+  getLastRunAt(target: number): number {
     return this.#model.runLog.getLastStart(target);
   }
 
   /** Drops the next message from a target to an entry. */
-  dropNext(entry: number, target: number): void {
+  dropNextMessage(entry: number, target: number): void {
     this.#model.connections.tryGetBetween(entry, target)?.toEntry.shift();
   }
 
--- a/src/testing/spoken_notices.ts
+++ b/src/testing/spoken_notices.ts
@@ -44,7 +44,7 @@
 /** The notices that targets send during a run. */
 export interface NoticePlan {
   readonly changes: readonly LimitChange[];
-  readonly refusing?: readonly RejectionPeriod[];
+  readonly rejections?: readonly RejectionPeriod[];
   readonly leaving?: readonly LeavingAnnouncement[];
 }
 
@@ -66,7 +66,7 @@
     target: number,
     at: number,
   ): readonly AttemptMessage[] {
-    const rejection = this.#plan.refusing?.find((one) =>
+    const rejection = this.#plan.rejections?.find((one) =>
       one.target === target && one.from <= at && at < one.to
     );
     if (rejection !== undefined) {
--- a/src/testing/switch_orders_world.ts
+++ b/src/testing/switch_orders_world.ts
@@ -60,7 +60,7 @@
 }
 
 /** A small formed group in which the next event is chosen at random. */
-export class SwitchOrdersWorld {
+export class SwitchOrdersSimulation {
   readonly #random: RandomSource;
   readonly #probabilities: Probabilities;
   readonly #engines = Array.from(
--- a/src/testing/tcp_relay.ts
+++ b/src/testing/tcp_relay.ts
@@ -72,7 +72,7 @@
   }
 
   /** Relays everything again. */
-  join(): void {
+  restore(): void {
     this.#isCut = false;
     this.#delayMs = 0;
     this.#frozen.clear();
--- a/standins/rank_group_stand_in.ts
+++ b/standins/rank_group_stand_in.ts
@@ -98,7 +98,7 @@
         readonly order: EngineOrder;
         readonly fencingNumber: number;
       }>();
-      this.#getEngine(rank).carryOut(order, fencingNumber);
+      this.#getEngine(rank).execute(order, fencingNumber);
       return context.json(this.#getEngine(rank).state);
     });
     return app;
@@ -111,7 +111,7 @@
     const isInLockStep = states.every((state) =>
       state.incarnation === first?.incarnation && state.step === first.step
     );
-    const maps = this.#engines.map((engine) => engine.tryMapOfNextStep());
+    const maps = this.#engines.map((engine) => engine.tryGetNextMap());
     if (!isInLockStep || maps.some((map) => map === undefined)) return;
     const versions = new Set(maps.map((map) => map?.version));
     if (versions.size > 1) this.#mixedMapSteps.push(`Step ${first?.step}`);
