--- a/src/direct/direct_entry_driver.ts
+++ b/src/direct/direct_entry_driver.ts
@@ -240,7 +240,7 @@
         this.#server.dispatch({
           kind: "group_seen",
           now: performance.now(),
-          observation: observation,
+          observation,
         }),
     });
     const { pages } = this.#metrics;
--- a/src/entry/admission_gate.ts
+++ b/src/entry/admission_gate.ts
@@ -201,7 +201,7 @@
     const requestFraction = this.#getOrder(inFlight.pool)
       .getDeferralProbability(ordered, {
         now,
-        deferredFraction: deferredFraction,
+        deferredFraction,
         knownPriorities: known,
       });
     if (state.number >= requestFraction) return false;
--- a/src/entry/cold_targets_test.ts
+++ b/src/entry/cold_targets_test.ts
@@ -230,7 +230,7 @@
     for (const entries of [3, 41]) {
       it(`get no more than their limit: ${name}, ${entries} entries, all cold`, (test) => {
         const cold = createPlan([createListed(ALL, true)]);
-        const result = run({ seed: 1 + row, entries, cold, faults: faults });
+        const result = run({ seed: 1 + row, entries, cold, faults });
         test.diagnostic(`${checkBound(result, ALL)} requests in one second`);
       });
     }
--- a/src/entry/limited_targets_test.ts
+++ b/src/entry/limited_targets_test.ts
@@ -237,7 +237,7 @@
           targets: 2,
           requestsPerSecond: 8 * perSecond,
           changes: [0, 1].map((target) => ({ at: 1000, target, perSecond })),
-          faults: faults,
+          faults,
         });
         const counts = results.map((result) =>
           getMaxInSpan(arrivalsAt(result, 0), 1000 + PROPAGATION_MS, RUN_MS)
--- a/src/entry/request_dispatcher.ts
+++ b/src/entry/request_dispatcher.ts
@@ -161,7 +161,7 @@
   #requestPermits(permitRequest: PermitRequest): void {
     this.#options.effects.push({
       kind: "ask_permits",
-      permitRequest: permitRequest,
+      permitRequest,
     });
   }
 
--- a/src/target/start_claims.ts
+++ b/src/target/start_claims.ts
@@ -72,7 +72,7 @@
       kind: "claims_confirmed",
       now: performance.now(),
       claims,
-      requestedAt: requestedAt,
+      requestedAt,
     });
   };
 }
--- a/src/testing/burst_cases.ts
+++ b/src/testing/burst_cases.ts
@@ -64,7 +64,7 @@
 
 /** Creates the simulation in which a burst is run. */
 export function createSimulation(
-  { perSecond, kind, factor, durationMs: durationMs }: BurstCase,
+  { perSecond, kind, factor, durationMs }: BurstCase,
   changes: BurstOptionChanges,
 ): PriorityBurstSimulation {
   const until = BURST_START_MS + durationMs;
@@ -115,9 +115,7 @@
     lateFraction: computeMean(scores, ({ lateFraction }) => lateFraction),
     benefit: computeMean(scores, ({ benefit }) => benefit),
     onTimeFractions: meanByKind(({ onTimeFraction }) => onTimeFraction),
-    servedFractions: meanByKind(({ servedFraction: servedFraction }) =>
-      servedFraction
-    ),
+    servedFractions: meanByKind(({ servedFraction }) => servedFraction),
     minOrganisationShare: Math.min(
       ...scores.map(({ minOrganisationShare }) => minOrganisationShare),
     ),
--- a/src/testing/formed_group_world.ts
+++ b/src/testing/formed_group_world.ts
@@ -215,7 +215,7 @@
   }
 
   #scheduleFreeze(): void {
-    const { freezeIntervalMs: freezeIntervalMs } = this.#faults;
+    const { freezeIntervalMs } = this.#faults;
     this.#queue.after(this.#random.nextExponential(freezeIntervalMs), () => {
       this.#freeze(0);
       this.#scheduleFreeze();
--- a/src/testing/poison_fleet.ts
+++ b/src/testing/poison_fleet.ts
@@ -228,7 +228,7 @@
   }
 
   #schedulePoisonRequest(body: string): void {
-    const { poisonIntervalMs: poisonIntervalMs } = this.#options;
+    const { poisonIntervalMs } = this.#options;
     this.#repeat(
       this.#random.nextBelow(poisonIntervalMs),
       poisonIntervalMs,
--- a/src/testing/request_world.ts
+++ b/src/testing/request_world.ts
@@ -17,8 +17,8 @@
 import { getTargetName } from "./world_targets.ts";
 
 export {
-  type RequestSimulationOptions as RequestSimulationOptions,
-  SIMULATION_START_MS as SIMULATION_START_MS,
+  type RequestSimulationOptions,
+  SIMULATION_START_MS,
 } from "./request_world_model.ts";
 export { GONE_GRACE_MS } from "./world_owner_table.ts";
 
