--- a/scripts/check_layers.ts
+++ b/scripts/check_layers.ts
@@ -39,7 +39,7 @@
   },
   {
     from: "src/testing/process_cluster.ts",
-    to: "standins/machine_list_stand_in.ts",
+    to: "standins/virtual_machine_list_stand_in.ts",
     reason: STAND_INS_REASON,
   },
   createException("entry", "hono_listener", SHARED_REASON),
--- a/src/direct/direct_entry_driver.ts
+++ b/src/direct/direct_entry_driver.ts
@@ -34,7 +34,7 @@
 import type { ListedProcess } from "../messages/listed_process.ts";
 import { ProcessRegistry } from "./process_registry.ts";
 import { readReducerGauges } from "./reducer_gauges.ts";
-import { createReplicatedState } from "./reducer_memories.ts";
+import { createReplicatedState } from "./reducer_replicated_state.ts";
 import { SettingsFollower } from "./settings_follower.ts";
 
 /**
--- a/src/direct/entry_audience_test.ts
+++ b/src/direct/entry_subscribers_test.ts
@@ -3,7 +3,7 @@
 import type { GroupLoad } from "../messages/formed_group_types.ts";
 import { encodeFrame } from "../messages/codec.ts";
 import type { Message } from "../messages/types.ts";
-import { type EntryLink, EntrySubscribers } from "./entry_audience.ts";
+import { type EntryLink, EntrySubscribers } from "./entry_subscribers.ts";
 
 /** 4.2 Mbit/s, the link of VMs that run engines of the largest groups. */
 const LINK_BYTES_PER_SECOND = 525_000;
--- a/src/direct/peers/entry_peers.ts
+++ b/src/direct/peers/entry_peers.ts
@@ -16,13 +16,13 @@
 } from "../../policy/send_permits.ts";
 import type { Directory } from "../directory_follower.ts";
 import type { DrainSet } from "../../messages/peer_types.ts";
-import type { ReplicatedState } from "./entry_memories.ts";
+import type { ReplicatedState } from "./replicated_state.ts";
 import { type ListedEntry, listReaderCandidates } from "./peer_choice.ts";
 import { PeerFollower } from "./peer_follower.ts";
 import { type KnownStoreState, PeerServer } from "./peer_server.ts";
-import { PermitRequester } from "./permit_asker.ts";
+import { PermitRequester } from "./permit_requester.ts";
 import { ReaderFollower } from "./reader_follower.ts";
-import { ReaderPolicy } from "./reader_turns.ts";
+import { ReaderPolicy } from "./reader_policy.ts";
 import type {
   DirectoryUpdate,
   KnownVersions,
--- a/src/direct/peers/peer_client.ts
+++ b/src/direct/peers/peer_client.ts
@@ -12,7 +12,7 @@
   getDigests,
   type ReplicatedState,
   type StateReplicator,
-} from "./entry_memories.ts";
+} from "./replicated_state.ts";
 import type {
   KnownVersions,
   StoreUpdateMessage,
--- a/src/direct/peers/peer_follower.ts
+++ b/src/direct/peers/peer_follower.ts
@@ -6,7 +6,7 @@
  */
 import type { RandomSource } from "../../core/random_source.ts";
 import type { LinkIdentity } from "../../links/link_server.ts";
-import type { ReplicatedState } from "./entry_memories.ts";
+import type { ReplicatedState } from "./replicated_state.ts";
 import { PeerClient } from "./peer_client.ts";
 import { choosePeers } from "./peer_choice.ts";
 import type {
--- a/src/direct/peers/peer_server.ts
+++ b/src/direct/peers/peer_server.ts
@@ -18,7 +18,7 @@
   type ReplicatedState,
   type StateDigests,
   type StateReplicator,
-} from "./entry_memories.ts";
+} from "./replicated_state.ts";
 import type {
   KnownVersions,
   ProcessUpdate,
--- a/src/direct/peers/reader_follower.ts
+++ b/src/direct/peers/reader_follower.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { LinkIdentity } from "../../links/link_server.ts";
-import type { ReplicatedState } from "./entry_memories.ts";
+import type { ReplicatedState } from "./replicated_state.ts";
 import { PeerClient } from "./peer_client.ts";
 import type {
   KnownVersions,
--- a/src/direct/peers/reader_turns_test.ts
+++ b/src/direct/peers/reader_policy_test.ts
@@ -13,8 +13,8 @@
   type FleetFault,
   StoreReaderFleet,
   type StoreReaderFleetOptions,
-} from "../../testing/reading_fleet.ts";
-import { ReaderPolicy } from "./reader_turns.ts";
+} from "../../testing/store_reader_fleet.ts";
+import { ReaderPolicy } from "./reader_policy.ts";
 
 const LEAVING_LIMIT_MS = 2000;
 const RUN_MS = 20_000;
--- a/src/direct/peers/entry_memories.ts
+++ b/src/direct/peers/replicated_state.ts
@@ -16,7 +16,7 @@
   EMPTY_DIGEST,
   type ReplicatedSection,
   SectionReplicator,
-} from "./memory_teller.ts";
+} from "./section_replicator.ts";
 import type {
   CrashedRequestUpdate,
   LeavingTargetUpdate,
--- a/src/direct/peers/entry_memories_test.ts
+++ b/src/direct/peers/replicated_state_test.ts
@@ -11,7 +11,7 @@
   EMPTY_DIGESTS,
   getDigests,
   ReplicatedState,
-} from "./entry_memories.ts";
+} from "./replicated_state.ts";
 
 const CRASHED: CrashedRequest = {
   request: "digest",
--- a/src/direct/rank_driver.ts
+++ b/src/direct/rank_driver.ts
@@ -14,7 +14,7 @@
 import { DeciderDriver } from "../group/formed/decider_driver.ts";
 import { MapDecoder } from "../group/formed/map_changes.ts";
 import { RankAgent, type ReportSender } from "../group/formed/rank_agent.ts";
-import { SwitchRecovery } from "../group/formed/switch_rescuer.ts";
+import { SwitchRecovery } from "../group/formed/switch_recovery.ts";
 import {
   getHolderRank,
   type RankOrderMessage,
@@ -29,7 +29,7 @@
 import type { Drainable } from "../process/shutdown.ts";
 import { createTextPages } from "../process/text_pages.ts";
 import { CountedStore } from "./counted_store.ts";
-import { EntrySubscribers } from "./entry_audience.ts";
+import { EntrySubscribers } from "./entry_subscribers.ts";
 import type { ListedProcess } from "../messages/listed_process.ts";
 import { ProcessRegistry } from "./process_registry.ts";
 import { RankMetrics, type RankMetricsSource } from "./rank_metrics.ts";
--- a/src/direct/reducer_memories.ts
+++ b/src/direct/reducer_replicated_state.ts
@@ -6,7 +6,7 @@
 import { performance } from "node:perf_hooks";
 import type { EntryReducer } from "../entry/entry_reducer.ts";
 import type { EntryEvent } from "../entry/types.ts";
-import { ReplicatedState } from "./peers/entry_memories.ts";
+import { ReplicatedState } from "./peers/replicated_state.ts";
 
 /**
  * Creates the replicated state of a reducer. Updates from other entries are dispatched to
--- a/src/entry/admission_gate.ts
+++ b/src/entry/admission_gate.ts
@@ -18,7 +18,7 @@
   GroupUtilization,
 } from "../policy/group_capacity.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
-import type { GroupState } from "./group_belief.ts";
+import type { GroupState } from "./group_state.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
 import type { TargetRecord } from "./target_record.ts";
 import type { EntryEffect } from "./types.ts";
--- a/src/entry/answer_receiver.ts
+++ b/src/entry/answer_receiver.ts
@@ -19,7 +19,7 @@
 import type { InFlightRequest } from "./in_flight_request.ts";
 import type { NoticeWatch } from "./notice_watch.ts";
 import type { RequestDispatcher } from "./request_dispatcher.ts";
-import type { TargetEventContext, TargetUpdater } from "./target_news.ts";
+import type { TargetEventContext, TargetUpdater } from "./target_updater.ts";
 import type { TargetRecord } from "./target_record.ts";
 import type { EntryEffect } from "./types.ts";
 
--- a/src/entry/crash_watch.ts
+++ b/src/entry/crash_watch.ts
@@ -10,7 +10,7 @@
  * @module
  */
 import { type CrashedRequest, CrashHistory } from "../policy/crash_history.ts";
-import { createCrashRecord } from "./decision_notes.ts";
+import { createCrashRecord } from "./decision_records.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
 import type { LostAttempt } from "./lost_attempt.ts";
 import type {
--- a/src/entry/entry_driver.ts
+++ b/src/entry/entry_driver.ts
@@ -15,7 +15,7 @@
   type WelcomeMessage,
 } from "../messages/types.ts";
 import type { KeyValueService } from "../external/key_value_service.ts";
-import { VirtualMachineListReader } from "../external/machine_list_reader.ts";
+import { VirtualMachineListReader } from "../external/virtual_machine_list_reader.ts";
 import type {
   VirtualMachine,
   VirtualMachineList,
--- a/src/entry/entry_reducer.ts
+++ b/src/entry/entry_reducer.ts
@@ -18,7 +18,7 @@
 import type { AdmissionGate } from "./admission_gate.ts";
 import { AnswerReceiver } from "./answer_receiver.ts";
 import { CrashWatch, type ReplicatedCrashes } from "./crash_watch.ts";
-import { createCallerLeftRecord } from "./decision_notes.ts";
+import { createCallerLeftRecord } from "./decision_records.ts";
 import { DrainWatch } from "./drain_watch.ts";
 import { createUnknownFailure } from "./failures.ts";
 import { InFlightRequest } from "./in_flight_request.ts";
@@ -29,10 +29,10 @@
   createForwardEffect,
 } from "./request_effects.ts";
 import { RetryPolicy } from "./retry_policy.ts";
-import { RetryingCallers } from "./returning_callers.ts";
+import { RetryingCallers } from "./retrying_callers.ts";
 import type { Route } from "./routing_table.ts";
 import type { TargetAvailability } from "./target_availability.ts";
-import { TargetUpdater } from "./target_news.ts";
+import { TargetUpdater } from "./target_updater.ts";
 import { TargetRegistry } from "./target_registry.ts";
 import { TargetSelection } from "./target_selection.ts";
 import type {
--- a/src/entry/group_belief_test.ts
+++ b/src/entry/group_state_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { GroupState } from "./group_belief.ts";
+import { GroupState } from "./group_state.ts";
 
 describe("the known state of a rank group", () => {
   it("is that the group runs until it is observed as closed", () => {
--- a/src/entry/leaving_test.ts
+++ b/src/entry/leaving_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { RequestSimulation } from "../testing/request_world.ts";
+import { RequestSimulation } from "../testing/request_simulation.ts";
 
 /** Which processes learn that the first target is leaving, and how. */
 interface LeavingRow {
--- a/src/entry/notice_watch.ts
+++ b/src/entry/notice_watch.ts
@@ -25,7 +25,7 @@
   createLeavingRecord,
   createLimitRecord,
   createUnreadableRecord,
-} from "./notice_notes.ts";
+} from "./notice_records.ts";
 import type { TargetRecord } from "./target_record.ts";
 import type {
   EntryEffect,
--- a/src/entry/rank_groups.ts
+++ b/src/entry/rank_groups.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { GroupLoad } from "../messages/formed_group_types.ts";
-import { type GroupObservation, GroupState } from "./group_belief.ts";
+import { type GroupObservation, GroupState } from "./group_state.ts";
 import type { ListedRank } from "./types.ts";
 
 /** Tracks the rank groups that an entry knows. */
--- a/src/entry/request_dispatcher.ts
+++ b/src/entry/request_dispatcher.ts
@@ -13,7 +13,7 @@
   createAttemptFailedRecord,
   createSentRecord,
   createWaitsRecord,
-} from "./decision_notes.ts";
+} from "./decision_records.ts";
 import type { DrainWatch } from "./drain_watch.ts";
 import {
   createUnsentFailure,
--- a/src/entry/request_effects.ts
+++ b/src/entry/request_effects.ts
@@ -4,13 +4,13 @@
  * @module
  */
 import { Debug } from "../core/debug.ts";
-import { getRetryDelayMs } from "../policy/return_time.ts";
+import { getRetryDelayMs } from "../policy/retry_delay.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import { createProblem } from "../refusals/problem.ts";
 import {
   createFailedRecord,
   createNotAdmittedRecord,
-} from "./decision_notes.ts";
+} from "./decision_records.ts";
 import {
   createOverallFailure,
   createUnsentFailure,
@@ -18,7 +18,7 @@
 } from "./failures.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
 import type { Route } from "./routing_table.ts";
-import { type RefusalCause, tryCreateRetryDetails } from "./return_facts.ts";
+import { type RefusalCause, tryCreateRetryDetails } from "./retry_details.ts";
 import type { CallerRequest, EntryEffect, SendToTarget } from "./types.ts";
 
 /** Refuses a request that was not admitted. */
--- a/src/entry/return_facts.ts
+++ b/src/entry/retry_details.ts
@@ -7,7 +7,7 @@
 import type {
   RetryInput,
   UnavailabilityReason,
-} from "../policy/return_time.ts";
+} from "../policy/retry_delay.ts";
 import type { RefusalName } from "../refusals/catalogue.ts";
 import type { Failure } from "./failures.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
--- a/src/entry/returning_callers.ts
+++ b/src/entry/retrying_callers.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { DeadlineTracker } from "../policy/deadline_memory.ts";
+import { DeadlineTracker } from "../policy/deadline_tracker.ts";
 import type { Route } from "./routing_table.ts";
 import type { CallerRequest } from "./types.ts";
 
--- a/src/entry/target_record.ts
+++ b/src/entry/target_record.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { GroupState } from "./group_belief.ts";
+import type { GroupState } from "./group_state.ts";
 import type { TargetView } from "../policy/target_view.ts";
 import type { TargetIdentity } from "./types.ts";
 
--- a/src/entry/target_selection.ts
+++ b/src/entry/target_selection.ts
@@ -6,7 +6,7 @@
 import { Err, Ok, type Result } from "ts-results-es";
 import type { RandomSource } from "../core/random_source.ts";
 import type { BackEndInstance } from "../messages/back_end_instance.ts";
-import { getUnknownLoadLimit } from "../policy/blind_limit.ts";
+import { getUnknownLoadLimit } from "../policy/unknown_load_limit.ts";
 import { PrefixIndex } from "../policy/prefix_index.ts";
 import {
   estimateLoad,
--- a/src/entry/target_news.ts
+++ b/src/entry/target_updater.ts
@@ -11,7 +11,7 @@
   createGroupObservedRecord,
   createReachabilityRecord,
   createTargetEndedRecord,
-} from "./decision_notes.ts";
+} from "./decision_records.ts";
 import { isTargetFault } from "./failures.ts";
 import type { TargetRecord } from "./target_record.ts";
 import type { TargetRegistry } from "./target_registry.ts";
--- a/src/entry/waiting_requests.ts
+++ b/src/entry/waiting_requests.ts
@@ -5,9 +5,9 @@
  */
 import { DEFAULT_PRIORITY } from "../messages/priority.ts";
 import { FairQueue, type QueuedItem } from "../policy/fair_queue.ts";
-import { getMaxWaitMs } from "../policy/return_time.ts";
+import { getMaxWaitMs } from "../policy/retry_delay.ts";
 import type { InFlightRequest } from "./in_flight_request.ts";
-import { tryCreateRetryDetails } from "./return_facts.ts";
+import { tryCreateRetryDetails } from "./retry_details.ts";
 import type { NoTargetReason, Unavailability } from "./target_availability.ts";
 
 /** Maximum number of requests that wait at one entry. */
--- a/src/external/contracts_test.ts
+++ b/src/external/contracts_test.ts
@@ -4,7 +4,7 @@
 import process from "node:process";
 import { after, before, describe, it } from "node:test";
 import { KeyValueStandIn } from "../../standins/key_value_stand_in.ts";
-import { VirtualMachineListStandIn } from "../../standins/machine_list_stand_in.ts";
+import { VirtualMachineListStandIn } from "../../standins/virtual_machine_list_stand_in.ts";
 import { PlainServiceStandIn } from "../../standins/plain_service_stand_in.ts";
 import { RankGroupStandIn } from "../../standins/rank_group_stand_in.ts";
 import { findFreeAddress } from "../testing/free_address.ts";
--- a/src/external/whole_call_test.ts
+++ b/src/external/fetch_answer_test.ts
@@ -6,7 +6,7 @@
   type BackEndListener,
   type BackEndRequest,
 } from "./back_end.ts";
-import { CallFailedError, fetchAnswer } from "./whole_call.ts";
+import { CallFailedError, fetchAnswer } from "./fetch_answer.ts";
 
 const REQUEST: BackEndRequest = {
   method: "GET",
--- a/src/group/formed/base_maps_test.ts
+++ b/src/group/formed/base_map_pacer_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { BaseMapPacer } from "./base_maps.ts";
+import { BaseMapPacer } from "./base_map_pacer.ts";
 
 /** 4.2 Mbit/s, the link capacity of the VMs in the largest groups. */
 const LINK_BYTES_PER_SECOND = 525_000;
--- a/src/group/formed/counts_memory_test.ts
+++ b/src/group/formed/counts_encoder_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { encodeFrame } from "../../messages/codec.ts";
-import { CountsEncoder } from "./counts_memory.ts";
+import { CountsEncoder } from "./counts_encoder.ts";
 import { Popularity } from "./popularity.ts";
 import type {
   CountsReport,
--- a/src/group/formed/decider.ts
+++ b/src/group/formed/decider.ts
@@ -35,7 +35,7 @@
 import { recordRankReport, tryGetSettledMap } from "./gathered_ranks.ts";
 import { readHeldPass } from "./held_pass.ts";
 import { HoldMargin } from "./hold_margin.ts";
-import { classifyRejection, hasStrayHold } from "./judge_report.ts";
+import { classifyRejection, hasStrayHold } from "./classify_report.ts";
 import { MapVersions } from "./map_versions.ts";
 import { OpenOrders } from "./open_orders.ts";
 import { PassTimes } from "./pass_times.ts";
--- a/src/group/formed/decider_driver.ts
+++ b/src/group/formed/decider_driver.ts
@@ -12,7 +12,7 @@
 import type { GroupSettings } from "../../external/operator_settings.ts";
 import type { LinkIdentity } from "../../links/link_server.ts";
 import { tryPlanIncrement } from "../../policy/placement/incremental_planner.ts";
-import { BaseMapPacer } from "./base_maps.ts";
+import { BaseMapPacer } from "./base_map_pacer.ts";
 import { getMaxCopiesPerRank } from "./copies_per_rank.ts";
 import { FormedGroupDecider } from "./decider.ts";
 import type {
@@ -26,7 +26,7 @@
   RankLinks,
   type RankMember,
 } from "./rank_links.ts";
-import { RankQueries, type RankQuery } from "./rank_questions.ts";
+import { RankQueries, type RankQuery } from "./rank_queries.ts";
 import {
   getHolderRank,
   type GroupLoad,
--- a/src/group/formed/held_switch_incident_test.ts
+++ b/src/group/formed/held_switch_freeze_test.ts
@@ -28,7 +28,7 @@
 import {
   type FormedGroupResult,
   FormedGroupSimulation,
-} from "../../testing/formed_group_world.ts";
+} from "../../testing/formed_group_simulation.ts";
 
 const SEEDS = 200;
 const RUN_MS = 60_000;
--- a/src/group/formed/rank_agent.ts
+++ b/src/group/formed/rank_agent.ts
@@ -7,7 +7,7 @@
 import { performance } from "node:perf_hooks";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { FormedEngine } from "../../external/formed_engine.ts";
-import { CountsEncoder } from "./counts_memory.ts";
+import { CountsEncoder } from "./counts_encoder.ts";
 import { createFenceMap } from "./fence_map.ts";
 import {
   type EngineOrder,
--- a/src/group/formed/rank_links.ts
+++ b/src/group/formed/rank_links.ts
@@ -12,7 +12,7 @@
 import type { LinkIdentity } from "../../links/link_server.ts";
 import type { Message } from "../../messages/types.ts";
 import type { SendOrder } from "./decider_types.ts";
-import { sendUntilAnswered } from "./give_until_answered.ts";
+import { sendUntilAnswered } from "./send_until_answered.ts";
 import { MapEncoder } from "./map_changes.ts";
 import { RankAgent, REMOTE_ENGINE_POLLING } from "./rank_agent.ts";
 import type {
--- a/src/group/formed/rank_questions_test.ts
+++ b/src/group/formed/rank_queries_test.ts
@@ -14,9 +14,9 @@
 import {
   type LinkedGroupOptions,
   LinkedGroupSimulation,
-} from "../../testing/linked_group_world.ts";
+} from "../../testing/linked_group_simulation.ts";
 import { createRankState } from "../../testing/rank_state.ts";
-import { RankQueries } from "./rank_questions.ts";
+import { RankQueries } from "./rank_queries.ts";
 
 /** 4.2 Mbit/s, the link capacity of the VMs in the largest groups. */
 const LINK_BYTES_PER_SECOND = 525_000;
--- a/src/group/formed/give_until_answered_test.ts
+++ b/src/group/formed/send_until_answered_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { FormedEngineFixture } from "../../testing/formed_engine_fixture.ts";
-import { sendUntilAnswered } from "./give_until_answered.ts";
+import { sendUntilAnswered } from "./send_until_answered.ts";
 
 const HOLD = { kind: "hold", epoch: 1, pass: 3 } as const;
 
--- a/src/group/formed/switch_orders_test.ts
+++ b/src/group/formed/switch_orders_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { SwitchOrdersSimulation } from "../../testing/switch_orders_world.ts";
+import { SwitchOrdersSimulation } from "../../testing/switch_orders_simulation.ts";
 
 const SEEDS = 4000;
 const EVENTS = 1500;
--- a/src/group/formed/switch_schedules_test.ts
+++ b/src/group/formed/switch_schedules_test.ts
@@ -4,7 +4,7 @@
   createFormedGroupFaults,
   type FormedGroupFaults,
 } from "../../testing/formed_group_faults.ts";
-import { FormedGroupSimulation } from "../../testing/formed_group_world.ts";
+import { FormedGroupSimulation } from "../../testing/formed_group_simulation.ts";
 
 const SEEDS = 40;
 const RUN_MS = 120_000;
--- a/src/group/switch_schedules_test.ts
+++ b/src/group/switch_schedules_test.ts
@@ -6,7 +6,7 @@
   GroupSimulation,
   RANKS,
   STEPS_AFTER_HEALING,
-} from "../testing/group_world.ts";
+} from "../testing/group_simulation.ts";
 
 const SEED = 20261202;
 const RUNS = 600;
--- a/src/policy/deadline_memory_test.ts
+++ b/src/policy/deadline_tracker_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { RandomSource } from "../core/random_source.ts";
-import { DeadlineTracker } from "./deadline_memory.ts";
+import { DeadlineTracker } from "./deadline_tracker.ts";
 
 /** Longest deadline that callers of the service use, in milliseconds. */
 const MAX_DEADLINE_MS = 8000;
--- a/src/policy/return_time_test.ts
+++ b/src/policy/retry_delay_test.ts
@@ -4,7 +4,7 @@
   getMaxWaitMs,
   getRetryDelayMs,
   type RetryInput,
-} from "./return_time.ts";
+} from "./retry_delay.ts";
 
 const DEADLINE_MS = 8000;
 const OBJECTIVE_MS = 400;
--- a/src/policy/blind_limit_test.ts
+++ b/src/policy/unknown_load_limit_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { RandomSource } from "../core/random_source.ts";
-import { getUnknownLoadLimit } from "./blind_limit.ts";
+import { getUnknownLoadLimit } from "./unknown_load_limit.ts";
 
 describe("requests to a pool of unknown load", () => {
   /** Counts the requests sent when the callers of a burst choose entries at random. */
--- a/src/target/key_ownership_test.ts
+++ b/src/target/key_ownership_test.ts
@@ -13,7 +13,7 @@
   GONE_GRACE_MS,
   RequestSimulation,
   SIMULATION_START_MS,
-} from "../testing/request_world.ts";
+} from "../testing/request_simulation.ts";
 import type { Submission } from "../testing/submissions.ts";
 
 const OWNER = 0;
--- a/src/target/request_schedules_test.ts
+++ b/src/target/request_schedules_test.ts
@@ -11,7 +11,7 @@
 import {
   RequestSimulation,
   type RequestSimulationOptions,
-} from "../testing/request_world.ts";
+} from "../testing/request_simulation.ts";
 import type { Submission } from "../testing/submissions.ts";
 
 const SEED = 20261202;
--- a/src/target/target_driver.ts
+++ b/src/target/target_driver.ts
@@ -6,7 +6,7 @@
 import { performance } from "node:perf_hooks";
 import { assertNever } from "../core/debug.ts";
 import type { EventLog } from "../events/event_log.ts";
-import { GroupParticipant } from "../group/group_part.ts";
+import { GroupParticipant } from "../group/group_participant.ts";
 import type { Link } from "../links/link.ts";
 import { LinkServer, type LinkServerListener } from "../links/link_server.ts";
 import { PeerBodySource } from "../settings/peer_body_source.ts";
@@ -19,7 +19,7 @@
 import type { BackEnd } from "../external/back_end.ts";
 import type { KeyValueService } from "../external/key_value_service.ts";
 import type { RankEngine } from "../external/rank_engine.ts";
-import { VirtualMachineListReader } from "../external/machine_list_reader.ts";
+import { VirtualMachineListReader } from "../external/virtual_machine_list_reader.ts";
 import type {
   VirtualMachine,
   VirtualMachineList,
--- a/src/testing/burst_cases.ts
+++ b/src/testing/burst_cases.ts
@@ -10,7 +10,7 @@
 import {
   type BurstSimulationOptions,
   PriorityBurstSimulation,
-} from "./priority_burst_world.ts";
+} from "./priority_burst_simulation.ts";
 
 /**
  * Seeds of the runs. Several are needed, as runs differ by when the cost of a request
--- a/src/testing/limited_entries.ts
+++ b/src/testing/limited_entries.ts
@@ -14,7 +14,7 @@
 } from "../policy/send_permits.ts";
 import { type ColdPlan, ColdTargets } from "./cold_targets.ts";
 import { EventQueue } from "./event_queue.ts";
-import { type NoticePlan, PlannedNotices } from "./spoken_notices.ts";
+import { type NoticePlan, PlannedNotices } from "./planned_notices.ts";
 import { createCallerRequest, createRoutes } from "./fixtures.ts";
 
 /** Delay of a message between entries in milliseconds: minimum and random addition. */
--- a/src/testing/linked_group_world.ts
+++ b/src/testing/linked_group_simulation.ts
@@ -8,7 +8,7 @@
 import { RandomSource } from "../core/random_source.ts";
 import { FormedGroupDecider } from "../group/formed/decider.ts";
 import type { DeciderEvent } from "../group/formed/decider_types.ts";
-import { RankQueries, type RankQuery } from "../group/formed/rank_questions.ts";
+import { RankQueries, type RankQuery } from "../group/formed/rank_queries.ts";
 import type {
   ExpertCounts,
   RankExperts,
--- a/src/testing/process_cluster.ts
+++ b/src/testing/process_cluster.ts
@@ -15,7 +15,7 @@
 import { request } from "undici";
 import { stringify } from "yaml";
 import { KeyValueStandIn } from "../../standins/key_value_stand_in.ts";
-import { VirtualMachineListStandIn } from "../../standins/machine_list_stand_in.ts";
+import { VirtualMachineListStandIn } from "../../standins/virtual_machine_list_stand_in.ts";
 import type { VirtualMachine } from "../external/virtual_machine_list.ts";
 import { findFreeAddress } from "./free_address.ts";
 
--- a/src/testing/request_world.ts
+++ b/src/testing/request_simulation.ts
@@ -10,17 +10,17 @@
   RequestSimulationModel,
   type RequestSimulationOptions,
   SIMULATION_POOL,
-} from "./request_world_model.ts";
+} from "./request_simulation_model.ts";
 import type { Submission } from "./submissions.ts";
-import type { SimulatedCallers } from "./world_callers.ts";
-import { SimulatedOwnerTable } from "./world_owner_table.ts";
-import { getTargetName } from "./world_targets.ts";
+import type { SimulatedCallers } from "./simulated_callers.ts";
+import { SimulatedOwnerTable } from "./simulated_owner_table.ts";
+import { getTargetName } from "./simulated_targets.ts";
 
 export {
   type RequestSimulationOptions,
   SIMULATION_START_MS,
-} from "./request_world_model.ts";
-export { GONE_GRACE_MS } from "./world_owner_table.ts";
+} from "./request_simulation_model.ts";
+export { GONE_GRACE_MS } from "./simulated_owner_table.ts";
 
 /**
  * Entries, targets, back ends and callers in virtual time, with methods that cause
--- a/src/testing/request_world_model.ts
+++ b/src/testing/request_simulation_model.ts
@@ -11,17 +11,17 @@
 import type { TargetEffect, TargetEvent } from "../target/types.ts";
 import { createRoutes } from "./fixtures.ts";
 import { RunLog } from "./run_log.ts";
-import { SimulatedCallers } from "./world_callers.ts";
+import { SimulatedCallers } from "./simulated_callers.ts";
 import {
   type Connection,
   hasMessages,
   SimulatedConnections,
-} from "./world_connections.ts";
+} from "./simulated_connections.ts";
 import {
   getTargetName,
   SimulatedTargets,
   type SimulatedTargetsOptions,
-} from "./world_targets.ts";
+} from "./simulated_targets.ts";
 
 /** Wall-clock milliseconds at which every simulation begins. */
 export const SIMULATION_START_MS = Date.UTC(2026, 11, 2);
--- a/src/testing/world_owner_table.ts
+++ b/src/testing/simulated_owner_table.ts
@@ -16,8 +16,8 @@
 import {
   type RequestSimulationModel,
   SIMULATION_START_MS,
-} from "./request_world_model.ts";
-import { getTargetName } from "./world_targets.ts";
+} from "./request_simulation_model.ts";
+import { getTargetName } from "./simulated_targets.ts";
 
 /** Milliseconds for which a VM must be gone before it loses its slots. */
 export const GONE_GRACE_MS = 60_000;
--- a/src/testing/reading_fleet.ts
+++ b/src/testing/store_reader_fleet.ts
@@ -9,7 +9,7 @@
   type ListedEntry,
   listReaderCandidates,
 } from "../direct/peers/peer_choice.ts";
-import { ReaderPolicy } from "../direct/peers/reader_turns.ts";
+import { ReaderPolicy } from "../direct/peers/reader_policy.ts";
 import { EventQueue } from "./event_queue.ts";
 
 const ACTION_INTERVAL_MS = 50;
