--- a/src/direct/peers/entry_peers.ts
+++ b/src/direct/peers/entry_peers.ts
@@ -197,7 +197,7 @@
   /**
    * Whether other entries exist but none is followed as a reader. The entry then queries
    * peers, because the replicated state is in no store: without queries it would neither
-   * send nor receive, for example, a request that crashes targets.
+   * send nor receive, for example, the crash history of a request.
    */
   get #isWithoutReader(): boolean {
     return this.#candidateCount > 0 && !this.#readerPolicy.isFollowingReader;
@@ -210,7 +210,7 @@
 
   /**
    * Stops relying on the reader after this process was frozen, because earlier updates
-   * say nothing about the time since.
+   * do not cover the time since.
    */
   invalidateReader(): void {
     this.#setFollowingReader(false);
--- a/src/direct/peers/reader_policy.ts
+++ b/src/direct/peers/reader_policy.ts
@@ -41,7 +41,7 @@
 /** Milliseconds after which a reader that has not answered is queried again. */
 const ANSWER_TIMEOUT_MS = 300;
 /** Unanswered queries in a row after which another reader is queried. */
-const MAX_MISSES = 2;
+const MAX_UNANSWERED_QUERIES = 2;
 /**
  * Milliseconds for which a failed reader is not queried again. Doubled for each further
  * failure.
@@ -86,7 +86,7 @@
   #candidates: readonly string[] = [];
   readonly #failures = new Map<string, ReaderFailure>();
   #pendingQuery: PendingQuery | undefined;
-  #misses = 0;
+  #unansweredCount = 0;
   #queriedAt = Number.NEGATIVE_INFINITY;
   #listedAt = Number.NEGATIVE_INFINITY;
   /** Everything that the store contained at this time is known here. */
@@ -134,7 +134,7 @@
     const knownAt = askedAt - ageMs;
     // A late answer is too old to be useful, but does not mean that the reader failed.
     if (now - knownAt > this.#maxAgeMs) return;
-    this.#misses = 0;
+    this.#unansweredCount = 0;
     this.#failures.delete(address);
     this.#knownAt = Math.max(this.#knownAt, knownAt);
     this.#isFollowingReader = true;
@@ -147,7 +147,7 @@
     const until = now + FAILED_READER_PAUSE_MS * doubled;
     this.#failures.set(address, { until, failureCount });
     this.#isFollowingReader = false;
-    this.#misses = 0;
+    this.#unansweredCount = 0;
     if (this.#pendingQuery?.address === address) this.#pendingQuery = undefined;
   }
 
@@ -170,9 +170,9 @@
       this.#listedAt = now;
       return { kind: "list" };
     }
-    const mayAsk = this.#pendingQuery === undefined &&
+    const mayQuery = this.#pendingQuery === undefined &&
       now - this.#queriedAt >= this.#queryIntervalMs;
-    if (reader === undefined || !mayAsk) return NO_ACTION;
+    if (reader === undefined || !mayQuery) return NO_ACTION;
     this.#queriedAt = now;
     this.#pendingQuery = { address: reader, askedAt: now };
     return { kind: "ask", address: reader };
@@ -184,8 +184,8 @@
       pendingQuery === undefined ||
       now - pendingQuery.askedAt < ANSWER_TIMEOUT_MS
     ) return;
-    this.#misses++;
-    if (this.#misses >= MAX_MISSES) {
+    this.#unansweredCount++;
+    if (this.#unansweredCount >= MAX_UNANSWERED_QUERIES) {
       return this.recordFailure(pendingQuery.address, now);
     }
     this.#pendingQuery = undefined;
--- a/src/direct/peers/reader_policy_test.ts
+++ b/src/direct/peers/reader_policy_test.ts
@@ -46,7 +46,7 @@
       createOptions({ domains: 1, entriesPerDomain: 1 }),
     ).run(RUN_MS);
     const many = createOptions({ domains: 5, entriesPerDomain: 20 });
-    const { lists, maxAgeMs: oldestMs } = new StoreReaderFleet(many).run(
+    const { lists, maxAgeMs } = new StoreReaderFleet(many).run(
       RUN_MS,
     );
     // Each entry lists once at its start, and again when an answer was late.
@@ -54,7 +54,7 @@
       lists - 100 <= 4 * single.lists,
       `${lists}, single entry ${single.lists}`,
     );
-    assert.ok(oldestMs <= LEAVING_LIMIT_MS, `${oldestMs}`);
+    assert.ok(maxAgeMs <= LEAVING_LIMIT_MS, `${maxAgeMs}`);
   });
 
   it("never know a state older than the limit, whichever entries fail", () => {
@@ -64,8 +64,8 @@
         fc.nat(1_000_000),
         (faults, seed) => {
           const fleet = new StoreReaderFleet(createOptions({ faults, seed }));
-          const { maxAgeMs: oldestMs } = fleet.run(RUN_MS);
-          assert.ok(oldestMs <= LEAVING_LIMIT_MS, `${oldestMs}`);
+          const { maxAgeMs } = fleet.run(RUN_MS);
+          assert.ok(maxAgeMs <= LEAVING_LIMIT_MS, `${maxAgeMs}`);
         },
       ),
       { numRuns: 150 },
--- a/src/direct/peers/section_replicator.ts
+++ b/src/direct/peers/section_replicator.ts
@@ -33,7 +33,7 @@
   /**
    * Creates the update for an entry whose section has the digest `other`; undefined if
    * both are empty. The items are sent once for each difference: items that the other
-   * entry does not store, because it holds more already, are not sent again and again.
+   * entry does not store, because its section is full, are not sent again and again.
    * `now` is in milliseconds.
    *
    * @example
--- a/src/direct/store_watch.ts
+++ b/src/direct/store_watch.ts
@@ -56,7 +56,7 @@
   readonly #options: StoreWatchOptions;
   #revision = 0;
   #checkedAt = Number.NEGATIVE_INFINITY;
-  #round = new AbortController();
+  #abortController = new AbortController();
   #isStarted = false;
   #isStopped = false;
   #isFollowingReader = false;
@@ -90,7 +90,7 @@
   /** Stops following the keys. */
   stop(): void {
     this.#isStopped = true;
-    this.#round.abort();
+    this.#abortController.abort();
     this.#wake?.();
   }
 
@@ -99,7 +99,7 @@
    * died unnoticed while other calls are answered or rejected.
    */
   restart(): void {
-    this.#round.abort();
+    this.#abortController.abort();
   }
 
   /**
@@ -108,7 +108,7 @@
   setFollowingReader(isFollowing: boolean): void {
     if (isFollowing === this.#isFollowingReader) return;
     this.#isFollowingReader = isFollowing;
-    if (isFollowing) this.#round.abort();
+    if (isFollowing) this.#abortController.abort();
     else this.#wake?.();
   }
 
@@ -132,7 +132,7 @@
     if (this.#isStopped) return false;
     const isCurrent = this.#options.listsOnReaderLoss === true &&
       await this.#tryRound(false);
-    this.#round = new AbortController();
+    this.#abortController = new AbortController();
     await this.#pause(READER_LOSS_DELAY_MS);
     return isCurrent;
   }
@@ -143,7 +143,7 @@
    */
   async #tryRound(isCurrent: boolean): Promise<boolean> {
     const { reachability } = this.#options;
-    this.#round = new AbortController();
+    this.#abortController = new AbortController();
     const startedAt = performance.now();
     try {
       const isNowCurrent = isCurrent ? await this.#watch() : await this.#list();
@@ -197,7 +197,7 @@
       prefix,
       afterRevision: this.#revision,
       waitMs,
-      signal: this.#round.signal,
+      signal: this.#abortController.signal,
     });
     if (outcome.kind === "history_lost") return false;
     this.#revision = outcome.revision;
@@ -208,7 +208,7 @@
   }
 
   async #pause(milliseconds: number): Promise<void> {
-    const { signal } = this.#round;
+    const { signal } = this.#abortController;
     await sleep(milliseconds, undefined, { ref: false, signal })
       .catch(
         () => {
--- a/src/links/link_client.ts
+++ b/src/links/link_client.ts
@@ -131,14 +131,14 @@
     welcome: WelcomeMessage,
     nonces: readonly [string, string],
   ): void {
-    const isProved = isValidProof(welcome.proof, {
+    const isAuthenticated = isValidProof(welcome.proof, {
       ...this.#options.identity,
       side: "dialled",
       name: welcome.name,
       incarnation: welcome.incarnation,
       nonces,
     });
-    if (!isProved) {
+    if (!isAuthenticated) {
       link.close("WRONG_PROOF");
       return;
     }
--- a/src/links/link_server.ts
+++ b/src/links/link_server.ts
@@ -136,7 +136,7 @@
     if (message.kind !== "hello") return "UNEXPECTED_MESSAGE";
     if (message.protocol !== PROTOCOL_VERSION) return "WRONG_PROTOCOL";
     if (message.deployment !== identity.deployment) return "WRONG_DEPLOYMENT";
-    const isProved = isValidProof(message.proof, {
+    const isAuthenticated = isValidProof(message.proof, {
       secret: identity.secret,
       side: "dialling",
       deployment: message.deployment,
@@ -144,6 +144,6 @@
       incarnation: message.incarnation,
       nonces: [nonce, message.nonce],
     });
-    return isProved ? undefined : "WRONG_PROOF";
+    return isAuthenticated ? undefined : "WRONG_PROOF";
   }
 }
--- a/src/policy/crash_history.ts
+++ b/src/policy/crash_history.ts
@@ -5,9 +5,9 @@
  * A target crashes, the caller of a request gets no answer and sends it again, and the
  * next target crashes. Each may take its whole rank group down for seconds. After one
  * crash all requests that ran on the target are equally suspect, and a power or rack
- * failure ends many targets at once. The order of events identifies the cause: the
+ * failure crashes many targets at once. The order of events identifies the cause: the
  * request was sent again to a live target after an earlier target had crashed under it,
- * that target crashed as well, and no entry saw the request answered in between.
+ * that target crashed as well, and no entry received an answer to the request in between.
  *
  * @module
  */
--- a/src/policy/group_capacity.ts
+++ b/src/policy/group_capacity.ts
@@ -1,6 +1,6 @@
 /**
  * Computes how many requests a rank group can process before its passes exceed the pause
- * that callers tolerate between two pieces of an answer.
+ * that callers tolerate between two chunks of an answer.
  *
  * All ranks of a group run each pass together, so each request lengthens every pass for
  * all requests. The cost of a request varies: the popularity of experts changes every few
@@ -28,7 +28,7 @@
 /** The conditions for which the capacity is computed. */
 export interface CapacityContext {
   readonly now: number;
-  /** Pause between two pieces of an answer that callers tolerate, in milliseconds. */
+  /** Pause between two chunks of an answer that callers tolerate, in milliseconds. */
   readonly pauseMs: number;
   /** Time of a pass without requests, in milliseconds. */
   readonly idlePassMs: number;
--- a/src/policy/late_admission.ts
+++ b/src/policy/late_admission.ts
@@ -5,7 +5,7 @@
  * When a lost group opens again, all requests that waited for it would be sent at once,
  * in addition to new ones. All ranks run each pass together, so each further request
  * lengthens every pass. Passes soon exceed the pause that callers tolerate between two
- * pieces of an answer, and every answer in progress is late, although an answer in time
+ * chunks of an answer, and every answer in progress is late, although an answer in time
  * is worth twice as much.
  *
  * Late requests are therefore admitted at the rate of the decider's reports of the pass
@@ -51,7 +51,7 @@
 const MAX_PER_UNKNOWN_REPORT = 1;
 /**
  * Milliseconds after which a late request is no longer deferred: its caller gives up two
- * seconds after arrival, and the first piece of an answer takes some passes.
+ * seconds after arrival, and the first chunk of an answer takes some passes.
  */
 const MAX_DEFERRAL_MS = 1300;
 /** Milliseconds after which a report is ignored, as the decider is unavailable. */
--- a/src/policy/late_admission_test.ts
+++ b/src/policy/late_admission_test.ts
@@ -10,8 +10,8 @@
 const WAITING = 250;
 /** New requests a second, over all entries. */
 const NEW_PER_SECOND = 50;
-/** Pieces of one answer, one in each pass. */
-const PIECES = 28;
+/** Chunks of one answer, one in each pass. */
+const CHUNKS = 28;
 /** Milliseconds of a pass without requests, and the increase by each running request. */
 const EMPTY_PASS_MS = 30;
 const PASS_MS_PER_REQUEST = 0.35;
@@ -44,7 +44,7 @@
         if (isLimited && !mayAdmitAt(admission, now)) break;
         admission.recordAdmitted();
         waiting--;
-        running.push(PIECES);
+        running.push(CHUNKS);
       }
     }
     const tookMs = EMPTY_PASS_MS + PASS_MS_PER_REQUEST * running.length;
@@ -55,7 +55,7 @@
     running = running.map((remaining) => remaining - 1).filter((remaining) =>
       remaining > 0
     );
-    for (; pendingNew >= 1; pendingNew--) running.push(PIECES);
+    for (; pendingNew >= 1; pendingNew--) running.push(CHUNKS);
   }
   return longestPassMs;
 }
--- a/src/policy/placement/greedy_packer.ts
+++ b/src/policy/placement/greedy_packer.ts
@@ -59,7 +59,7 @@
   total: number,
 ): readonly Replica[] {
   const counts = tokens.map(() => 1);
-  for (let spare = total - tokens.length; spare > 0; spare--) {
+  for (let remaining = total - tokens.length; remaining > 0; remaining--) {
     let hottest = 0;
     for (let expert = 1; expert < tokens.length; expert++) {
       if (
@@ -104,8 +104,8 @@
     if (held.length >= slots) continue;
     const tokens = (packing.tokens[rank] ?? 0) + replica.tokens;
     // A second replica on the same rank has no benefit.
-    const isWasted = held.includes(replica.expert);
-    const time = isWasted ? Number.MAX_VALUE : tokens /
+    const isDuplicate = held.includes(replica.expert);
+    const time = isDuplicate ? Number.MAX_VALUE : tokens /
       (packing.load.speeds[rank] ?? 1);
     if (time >= bestTime && best >= 0) continue;
     best = rank;
--- a/src/policy/placement/placement_draft.ts
+++ b/src/policy/placement/placement_draft.ts
@@ -194,9 +194,9 @@
     }
     if (dropped === undefined) return;
     const share = this.shareOf(dropped);
-    const burden = this.#addedShareOf(dropped);
+    const addedShare = this.#addedShareOf(dropped);
     for (const holder of this.#holdersOf(dropped)) {
-      this.#add(holder, holder === rank ? -share : burden);
+      this.#add(holder, holder === rank ? -share : addedShare);
     }
   }
 
--- a/src/policy/placement/rank_times.ts
+++ b/src/policy/placement/rank_times.ts
@@ -48,8 +48,8 @@
 ): number {
   let moves = 0;
   for (const [rank, experts] of after.experts.entries()) {
-    const had = new Set(before.experts[rank]);
-    for (const expert of new Set(experts)) if (!had.has(expert)) moves++;
+    const heldBefore = new Set(before.experts[rank]);
+    for (const expert of new Set(experts)) if (!heldBefore.has(expert)) moves++;
   }
   return moves;
 }
--- a/src/policy/retry_delay.ts
+++ b/src/policy/retry_delay.ts
@@ -62,7 +62,7 @@
 const FIRST_WAIT_FRACTION = 0.2;
 /**
  * Milliseconds for which a request waits silently. Callers give up on a silent connection
- * after two seconds, and the first piece of an answer takes up to 0.3 s.
+ * after two seconds, and the first chunk of an answer takes up to 0.3 s.
  */
 const MAX_SILENT_WAIT_MS = 1700;
 /** Fraction of the remaining time up to which callers honour a retry delay. */
--- a/src/policy/target_view.ts
+++ b/src/policy/target_view.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** A target as seen by a target choice. */
+/** A target as known to a target choice. */
 export interface TargetView {
   readonly name: string;
   readonly failureDomain: string;
--- a/src/policy/unknown_load_limit.ts
+++ b/src/policy/unknown_load_limit.ts
@@ -14,8 +14,8 @@
 /**
  * Ratio of the requests that all entries together may send to the pool's concurrency.
  * Callers are spread unevenly over entries, so less than half of the allowance is used: a
- * factor of 0.75 filled 31 of 80 slots and refused requests that could have run, and no
- * limit sent 111.
+ * factor of 0.75 filled 31 of 80 slots and refused requests that could have run;
+ * without a limit 111 requests were sent.
  */
 const OVERCOMMIT_FACTOR = 1.25;
 
