--- a/src/direct/peers/entry_peers.ts
+++ b/src/direct/peers/entry_peers.ts
@@ -53,7 +53,7 @@
   /** Returns the state of the store as known to this entry. */
   readonly getStoreState: () => KnownStoreState;
   readonly replicatedState: ReplicatedState;
-  /** Issues permits to another entry for a target that has named a limit. */
+  /** Issues permits to another entry for a target that has a limit. */
   readonly issuePermits: (target: string, count: number) => PermitResponse;
   /** Called with the outcome of a permit request. */
   readonly onPermits: (outcome: PermitOutcome) => void;
--- a/src/direct/peers/peer_server.ts
+++ b/src/direct/peers/peer_server.ts
@@ -52,7 +52,7 @@
   readonly log: EventLog;
   readonly getStoreState: () => KnownStoreState;
   readonly replicatedState: ReplicatedState;
-  /** Issues permits for a target that has named a limit. */
+  /** Issues permits for a target that has a limit. */
   readonly issuePermits: (target: string, count: number) => PermitResponse;
 }
 
--- a/src/direct/peers/permit_requester.ts
+++ b/src/direct/peers/permit_requester.ts
@@ -1,5 +1,5 @@
 /**
- * Requests permits from other entries to send to targets that have named limits.
+ * Requests permits from other entries to send to targets that have limits.
  *
  * @module
  */
--- a/src/direct/peers/replicated_state.ts
+++ b/src/direct/peers/replicated_state.ts
@@ -1,6 +1,6 @@
 /**
  * State that entries replicate to each other because no store holds it: requests that
- * crashed targets, the limits that targets name, and targets that announced that they
+ * crashed targets, the limits that targets announce, and targets that announced that they
  * leave.
  *
  * @module
--- a/src/policy/permit_bounds_test.ts
+++ b/src/policy/permit_bounds_test.ts
@@ -51,7 +51,7 @@
 }
 
 /** Returns the times at which an entry issues permits under continuous demand. */
-function drain(permits: SendPermits): readonly number[] {
+function issueContinuously(permits: SendPermits): readonly number[] {
   const issued: number[] = [];
   permits.issue(TARGET, 0, SETTLED_MS - RUN_MS);
   for (let now = SETTLED_MS; now < SETTLED_MS + RUN_MS; now += 5) {
@@ -80,7 +80,7 @@
       const issued = listIssuers(names).flatMap((name) => {
         const permits = new SendPermits(name, limits);
         permits.setEntries(names, 0);
-        return drain(permits);
+        return issueContinuously(permits);
       });
       const maxIssued = getMaxIn(
         1000 + getPermitLifetimeMs(limits.tryGet(TARGET)),
@@ -101,11 +101,11 @@
       const settled = [first, second].map((name) => {
         const permits = new SendPermits(name, limits);
         permits.setEntries(before, 0);
-        return drain(permits);
+        return issueContinuously(permits);
       });
       const permits = new SendPermits(joining, limits);
       permits.setEntries(names, SETTLED_MS);
-      const joined = drain(permits)
+      const joined = issueContinuously(permits)
         .filter((at) => at < SETTLED_MS + 5000);
       const [issuedByFirst] = settled as [readonly number[]];
       const maxWithJoined = getMaxIn(
--- a/src/policy/send_permits_test.ts
+++ b/src/policy/send_permits_test.ts
@@ -164,8 +164,8 @@
     }
     const next = others.find((permits) => permits.isPrimaryIssuer(TARGET));
     assert.ok(next !== undefined);
-    const soon = countIssued(next, 4000);
-    assert.ok(soon <= 0.25 * 20 * 4 + 2, `${soon}`);
+    const issued = countIssued(next, 4000);
+    assert.ok(issued <= 0.25 * 20 * 4 + 2, `${issued}`);
   });
 
   it("are requested ahead if each entry's share is a request a second", () => {
