--- a/src/direct/process_registry.ts
+++ b/src/direct/process_registry.ts
@@ -63,7 +63,7 @@
   readonly #watch: StoreWatch;
   #lease: StoreLease | undefined;
   /** Revision of the store at which the list last changed. */
-  #changedAt = 0;
+  #changedRevision = 0;
   #isStopped = false;
   /** Ends the pause before the next renewal. */
   #renewalPause = new AbortController();
@@ -90,7 +90,7 @@
 
   /** Revision of the store at which the list last changed. */
   get revision(): number {
-    return this.#changedAt;
+    return this.#changedRevision;
   }
 
   /** All known processes, including this one. */
@@ -126,7 +126,7 @@
 
   /** Applies a list that another entry received, if it is newer. */
   offer(processes: readonly ListedProcess[], revision: number): void {
-    if (revision <= this.#changedAt) return;
+    if (revision <= this.#changedRevision) return;
     this.#processes.clear();
     for (const one of processes) this.#processes.set(PREFIX + one.name, one);
     this.#notify(revision, "entry");
@@ -144,8 +144,8 @@
 
   async #keepRegistered(): Promise<void> {
     while (!this.#isStopped) {
-      const isListed = await this.#renewOrRegister();
-      await this.#pause(isListed ? RENEW_INTERVAL_MS : RETRY_RENEWAL_MS);
+      const isRegistered = await this.#renewOrRegister();
+      await this.#pause(isRegistered ? RENEW_INTERVAL_MS : RETRY_RENEWAL_MS);
     }
   }
 
@@ -170,8 +170,8 @@
 
   #applyListing(items: readonly StoreItem[]): void {
     const { revision } = this.#watch;
-    const isRestored = this.#changedAt > 0 &&
-      splitRevision(revision).era > splitRevision(this.#changedAt).era;
+    const isRestored = this.#changedRevision > 0 &&
+      splitRevision(revision).era > splitRevision(this.#changedRevision).era;
     if (isRestored) this.#scheduleRelisting();
     else this.#processes.clear();
     for (const item of items) this.#add(item);
@@ -200,7 +200,7 @@
 
   #notify(revision: number, source: string): void {
     const { processes } = this;
-    this.#changedAt = revision;
+    this.#changedRevision = revision;
     this.#options.log.write("PROCESSES_CHANGED", {
       revision,
       source,
--- a/src/direct/store_watch.ts
+++ b/src/direct/store_watch.ts
@@ -114,13 +114,13 @@
 
   async #follow(): Promise<void> {
     const { listsOnStart } = this.#options;
-    let isCurrent = listsOnStart === true && await this.#tryRound(false);
+    let isCurrent = listsOnStart === true && await this.#tryCall(false);
     while (!this.#isStopped) {
       if (this.#isFollowingReader) {
         isCurrent = await this.#waitForReaderLoss();
         continue;
       }
-      isCurrent = await this.#tryRound(isCurrent);
+      isCurrent = await this.#tryCall(isCurrent);
     }
   }
 
@@ -131,7 +131,7 @@
     await new Promise<void>((resolve) => this.#wake = resolve);
     if (this.#isStopped) return false;
     const isCurrent = this.#options.listsOnReaderLoss === true &&
-      await this.#tryRound(false);
+      await this.#tryCall(false);
     this.#abortController = new AbortController();
     await this.#pause(READER_LOSS_DELAY_MS);
     return isCurrent;
@@ -141,7 +141,7 @@
    * Makes one call. Returns whether the known keys are current, so that a watch can
    * follow.
    */
-  async #tryRound(isCurrent: boolean): Promise<boolean> {
+  async #tryCall(isCurrent: boolean): Promise<boolean> {
     const { reachability } = this.#options;
     this.#abortController = new AbortController();
     const startedAt = performance.now();
@@ -212,7 +212,7 @@
     await sleep(milliseconds, undefined, { ref: false, signal })
       .catch(
         () => {
-          /* Aborted because a reader is followed or the watch was stopped. */
+          /* Aborted by a new reader, a restart or a stop. */
         },
       );
   }
--- a/src/policy/fair_queue_test.ts
+++ b/src/policy/fair_queue_test.ts
@@ -21,7 +21,7 @@
   };
 }
 
-function drain(queue: FairQueue<Item>): readonly Item[] {
+function takeAll(queue: FairQueue<Item>): readonly Item[] {
   const items: Item[] = [];
   for (;;) {
     const item = queue.tryTake();
@@ -37,7 +37,7 @@
       queue.add(createItem(`a${index}`, { organisation: "a", weight: 2 }));
       queue.add(createItem(`b${index}`, { organisation: "b", weight: 1 }));
     }
-    const first = drain(queue).slice(0, 90);
+    const first = takeAll(queue).slice(0, 90);
     const fromA = first.filter((item) => item.organisation === "a").length;
     assert.ok(Math.abs(fromA - 60) <= 1, `${fromA} of 90`);
   });
@@ -65,7 +65,7 @@
     queue.add(createItem("first", { priority: 0 }));
     const order = ["first", "a1", "b1", "a2", "last"];
     assert.deepEqual(queue.listInOrder().map(({ name }) => name), order);
-    assert.deepEqual(drain(queue).map(({ name }) => name), order);
+    assert.deepEqual(takeAll(queue).map(({ name }) => name), order);
   });
 
   it("charges the organisation for an item that is taken out of order", () => {
@@ -74,7 +74,7 @@
     for (const item of items) queue.add(item);
     queue.add(createItem("b1", { organisation: "b" }));
     queue.take(items[1] as Item);
-    const names = drain(queue).map(({ name }) => name);
+    const names = takeAll(queue).map(({ name }) => name);
     assert.deepEqual(names, ["b1", "a1"]);
     assert.equal(queue.length, 0);
   });
@@ -86,7 +86,7 @@
     );
     queue.add(createItem("normal"));
     queue.add(createItem("quick", { priority: PRIORITIES_BY_NAME.quick }));
-    const names = drain(queue).map((item) => item.name);
+    const names = takeAll(queue).map((item) => item.name);
     assert.deepEqual(names, ["quick", "normal", "background"]);
   });
 
@@ -104,7 +104,7 @@
     for (const name of ["1", "2", "3"]) queue.add(createItem(name));
     const removed = queue.removeWhere((item) => item.name === "2");
     assert.deepEqual(removed.map((item) => item.name), ["2"]);
-    assert.deepEqual(drain(queue).map((item) => item.name), ["1", "3"]);
+    assert.deepEqual(takeAll(queue).map((item) => item.name), ["1", "3"]);
     assert.equal(queue.length, 0);
   });
 });
--- a/src/policy/placement/rebalancer.ts
+++ b/src/policy/placement/rebalancer.ts
@@ -75,7 +75,7 @@
     for (let length = 0; length < maxChanges; length++) {
       const change = new ChangeSearch(state).tryBest();
       if (change === undefined) break;
-      make(state, change);
+      applyChange(state, change);
       const gain = before - state.slowest;
       if (gain < minGain) continue;
       const placement = state.toPlacement();
@@ -89,7 +89,7 @@
   }
 }
 
-function make(state: LayerState, change: Change): void {
+function applyChange(state: LayerState, change: Change): void {
   match(change)
     .with(
       { kind: "replace" },
