--- a/src/direct/process_registry.ts
+++ b/src/direct/process_registry.ts
@@ -149,7 +149,7 @@
     }
   }
 
-  /** Renews the lease, or registers this process. Returns whether the store answered. */
+  /** Renews the lease, or registers this process. Returns whether that succeeded. */
   async #renewOrRegister(): Promise<boolean> {
     const { store, self } = this.#options;
     try {
