--- a/src/policy/placement/incremental_planner.ts
+++ b/src/policy/placement/incremental_planner.ts
@@ -66,8 +66,8 @@
 const SWITCH_MS = 40;
 /**
  * Fraction of a pass that a plan must save in addition when the pass time is 0: callers
- * do not notice what it saves, but each switch may hold the group for a moment that all of
- * them notice.
+ * do not notice what it saves, but each switch may hold the group for a moment that all
+ * of them notice.
  */
 const SHORT_PASS_PLAN_GAIN = 0.08;
 /**
