--- a/src/group/coordinator_types.ts
+++ b/src/group/coordinator_types.ts
@@ -87,7 +87,7 @@
 /** Output effects of a decider. */
 export type CoordinatorEffect = SendToMember | SwitchDecided | ProposalDropped;
 
-/** Every rank is asked for the state of its engine. @internal */
+/** The states of all engines are being collected. @internal */
 export interface Binding {
   readonly kind: "binding";
   readonly engines: Map<number, EngineState>;
--- a/src/group/formed/decider.ts
+++ b/src/group/formed/decider.ts
@@ -359,7 +359,8 @@
   }
 
   /**
-   * Retries a fence with a higher version: the rank loads one that is not reported yet.
+   * Retries a fence with a higher version, since the rank is loading a version that it
+   * does not report yet.
    */
   #raiseFenceVersion(rank: number, now: number): void {
     this.#versions.skip();
--- a/src/group/formed/decider_driver.ts
+++ b/src/group/formed/decider_driver.ts
@@ -76,7 +76,7 @@
   readonly #countedRanks = new Set<number>();
   readonly #timer: NodeJS.Timeout;
   #loadSentAt = 0;
-  /** When a plan last found no worthwhile copy, and the popularity changes until then. */
+  /** Time of the last plan without a worthwhile copy, and the changes counted by then. */
   #lastEmptyPlan = { at: Number.NEGATIVE_INFINITY, changes: 0 };
   #workLoggedAt = 0;
   #lastLoggedPass = 0;
@@ -225,7 +225,8 @@
   }
 
   /**
-   * Logs what explains late answers: long passes, and the load or imbalance behind them.
+   * Logs the possible causes of late answers: long passes, and the load of the ranks and
+   * its imbalance.
    */
   #logWork(now: number): void {
     if (now - this.#workLoggedAt < WORK_LOG_INTERVAL_MS) return;
--- a/src/group/formed/decider_test.ts
+++ b/src/group/formed/decider_test.ts
@@ -267,10 +267,10 @@
   it("resends an unanswered order as repeated", () => {
     const fixture = new DeciderFixture();
     fixture.startArming();
-    const [again] = getOrders(
+    const [resent] = getOrders(
       fixture.decider.reduce({ kind: "tick", now: 200 }),
     );
-    assert.ok(again?.order.kind === "arm" && again.isRepeated);
+    assert.ok(resent?.order.kind === "arm" && resent.isRepeated);
   });
 
   it("starts over when the group is formed again", () => {
@@ -300,8 +300,8 @@
    * the decider read the state of that rank's engine from its own VM. An engine reports
    * its state to other VMs with a delay of about 200 ms: it still showed the hold of the
    * previous switch after the sidecar had reported that the pass had begun. The decider
-   * took this for a stray hold and started over, and the pass that it had just held
-   * stayed held until the group waited for it.
+   * treated this as a stray hold and started over, so the pass that it had just held was
+   * not released until the group waited for it.
    */
   it("does not start over because of a stale state", () => {
     const fixture = new DeciderFixture();
--- a/src/group/formed/drifting_group_test.ts
+++ b/src/group/formed/drifting_group_test.ts
@@ -21,7 +21,7 @@
 const SEEDS = [1, 2, 3] as const;
 const COUNT_INTERVAL_MS = 100;
 const MAX_MEAN_SKEW = 2.42;
-const MAX_FRACTION_TOO_LONG = 0.38;
+const MAX_OVERLOADED_FRACTION = 0.38;
 
 function getMeanResult(countIntervalMs: number): DriftResult {
   const results = SEEDS.map((seed) =>
@@ -31,9 +31,7 @@
     results.reduce((sum, result) => sum + read(result), 0) / results.length;
   return {
     meanSkew: mean(({ meanSkew }) => meanSkew),
-    overloadedFraction: mean(({ overloadedFraction: partTooLong }) =>
-      partTooLong
-    ),
+    overloadedFraction: mean(({ overloadedFraction }) => overloadedFraction),
   };
 }
 
@@ -44,11 +42,14 @@
    * each copy is charged a full slowdown, 2.47 and 0.36.
    */
   it("adapt quickly with few copies at each rank and many in total", () => {
-    const { meanSkew, overloadedFraction: partTooLong } = getMeanResult(
+    const { meanSkew, overloadedFraction } = getMeanResult(
       COUNT_INTERVAL_MS,
     );
     assert.ok(meanSkew <= MAX_MEAN_SKEW, `${meanSkew}`);
-    assert.ok(partTooLong <= MAX_FRACTION_TOO_LONG, `${partTooLong}`);
+    assert.ok(
+      overloadedFraction <= MAX_OVERLOADED_FRACTION,
+      `${overloadedFraction}`,
+    );
   });
 
   /**
--- a/src/group/formed/held_switch_freeze_test.ts
+++ b/src/group/formed/held_switch_freeze_test.ts
@@ -5,8 +5,8 @@
  * Both came about when the decider's VM froze right after the pass of a switch was held.
  * The holder's sidecar asked the other ranks to refuse the switch. Before all of them
  * had answered, the decider's VM resumed, every rank answered, and the sidecar continued
- * the same switch: the only rank that had not refused was armed, all others had promised
- * not to be. So the group stalled. When a message of the armed rank was lost, the
+ * the same switch: the only rank that had not refused was armed, and all others had
+ * promised not to arm. So the group stalled. When a message of the armed rank was lost, the
  * promises of the others released the pass with the old map.
  *
  * The cause was that a switch could be ended in two ways, neither of which took the
@@ -145,17 +145,21 @@
   });
 
   it("can leave the same messages whether its rank is armed or not", () => {
-    // Any action of theirs would be wrong in one of the two runs, so they have to wait.
+    // Two runs can send equal messages before the freeze although the rank is armed in
+    // only one of them. Any action of the other processes would be wrong in one of the
+    // two runs, so they have to wait.
     const armedByMessages = new Map<string, Set<boolean>>();
     for (const at of freezeTimes) {
       const faults = createFormedGroupFaults({ freezeTimes: [at] });
-      const { sentBeforeFreeze: saidBefore, wasArmedAtFreeze: wasArmed } =
-        new FormedGroupSimulation(1, faults)
-          .run(at + 1);
-      const messages = saidBefore.join();
+      const { sentBeforeFreeze, wasArmedAtFreeze } = new FormedGroupSimulation(
+        1,
+        faults,
+      )
+        .run(at + 1);
+      const messages = sentBeforeFreeze.join();
       armedByMessages.set(
         messages,
-        (armedByMessages.get(messages) ?? new Set()).add(wasArmed),
+        (armedByMessages.get(messages) ?? new Set()).add(wasArmedAtFreeze),
       );
     }
     const ambiguous = [...armedByMessages.values()].filter(({ size }) =>
--- a/src/group/formed/map_changes.ts
+++ b/src/group/formed/map_changes.ts
@@ -86,7 +86,8 @@
 }
 
 /**
- * The last comparison, which applies to most ranks, since they have the same base map.
+ * Cache of the last comparison. It is reused for most ranks, since they have the same
+ * base map.
  */
 let lastComparison: RowComparison | undefined;
 
--- a/src/group/formed/map_changes_test.ts
+++ b/src/group/formed/map_changes_test.ts
@@ -32,8 +32,8 @@
 describe("encoding of maps on a link", () => {
   it("sends the full map first, then the changed rows", () => {
     const sent = new MapEncoder();
-    const whole = createPrepare(1, FIRST);
-    assert.equal(sent.encode(whole), whole);
+    const order = createPrepare(1, FIRST);
+    assert.equal(sent.encode(order), order);
     const change = sent.encode(createPrepare(2, SECOND));
     assert.ok(change.kind === "map_change");
     const { checksum: _, ...fields } = change;
@@ -90,9 +90,9 @@
       ),
     }));
     const sent = new MapEncoder();
-    const whole = encodeFrame([sent.encode(createPrepare(1, base))]).length;
+    const full = encodeFrame([sent.encode(createPrepare(1, base))]).length;
     const change = encodeFrame([sent.encode(createPrepare(2, { layers }))]);
-    assert.ok(change.length * 4 < whole, `${change.length} of ${whole}`);
+    assert.ok(change.length * 4 < full, `${change.length} of ${full}`);
   });
 
   it("sends the full map if the order of a rank's experts matters", () => {
@@ -101,8 +101,8 @@
     const unsorted: ExpertMap = {
       layers: [{ experts: [[0, 1], [2, 0]] }, { experts: [[0], [1, 2]] }],
     };
-    const whole = createPrepare(2, unsorted);
-    assert.equal(sent.encode(whole), whole);
+    const order = createPrepare(2, unsorted);
+    assert.equal(sent.encode(order), order);
   });
 
   it("sends changes to a map that was sent ahead of the first order", () => {
--- a/src/group/formed/rank_queries.ts
+++ b/src/group/formed/rank_queries.ts
@@ -174,7 +174,7 @@
       !this.#sampled.includes(rank) &&
       this.#isDue(rank, now, STATE_INTERVAL_MS)
     );
-    // The least recently query ranks come first, in case the budget is too small for all.
+    // The least recently queried ranks come first, in case the budget does not cover all.
     due.sort((left, right) =>
       this.#getQueriedAt(left) - this.#getQueriedAt(right)
     );
@@ -182,7 +182,10 @@
       .map((rank) => ({ rank, withExperts: false, withCounts: false }));
   }
 
-  /** Takes as many ranks without a pending query as the budget allows. */
+  /**
+   * Selects as many ranks without a pending query as the budget allows, and records a
+   * query to each.
+   */
   #takeWithinBudget(
     ranks: readonly number[],
     { bytes, timeoutMs }: ExpectedAnswer,
--- a/src/group/formed/rank_queries_test.ts
+++ b/src/group/formed/rank_queries_test.ts
@@ -22,9 +22,10 @@
 const LINK_BYTES_PER_SECOND = 525_000;
 const RUN_MS = 10_000;
 /** Maximum fraction of the link for queries; orders of a switch use the same link. */
-const MAX_LINK_USE = 0.5;
+const MAX_LINK_UTILISATION = 0.5;
 /**
- * Heartbeats tolerate seconds of delay, but an order must not wait for a pass of 100 ms.
+ * Maximum delay of a message on the link. Heartbeats tolerate seconds, but an order must
+ * not be delayed by the duration of a pass, 100 ms.
  */
 const MAX_WAIT_MS = 100;
 
@@ -52,10 +53,13 @@
 
     it(`leave capacity on the link with ${ranks} ranks`, () => {
       const simulation = new LinkedGroupSimulation(createOptions(ranks));
-      const { linkUtilisation: linkUse, longestWaitMs } = simulation.run(
+      const { linkUtilisation, longestWaitMs } = simulation.run(
         RUN_MS,
       );
-      assert.ok(linkUse <= MAX_LINK_USE, `use ${linkUse}`);
+      assert.ok(
+        linkUtilisation <= MAX_LINK_UTILISATION,
+        `use ${linkUtilisation}`,
+      );
       assert.ok(longestWaitMs <= MAX_WAIT_MS, `wait ${longestWaitMs}`);
     });
   }
--- a/src/group/switch_schedules_test.ts
+++ b/src/group/switch_schedules_test.ts
@@ -25,7 +25,7 @@
   });
 }
 
-const QUIET = {
+const NO_FAULT_WEIGHTS = {
   deliver: 12,
   answer: 12,
   order: 8,
@@ -46,30 +46,40 @@
 }
 
 const FAULT_ROWS: readonly FaultRow[] = [
-  { name: "late and reordered messages", weights: QUIET, checksFencing: true },
+  {
+    name: "late and reordered messages",
+    weights: NO_FAULT_WEIGHTS,
+    checksFencing: true,
+  },
   {
     name: "processes restarted without state",
-    weights: { ...QUIET, restart_member: 2 },
+    weights: { ...NO_FAULT_WEIGHTS, restart_member: 2 },
     checksFencing: true,
   },
   {
     name: "processes restarted, engines ignoring fencing numbers",
-    weights: { ...QUIET, restart_member: 2 },
+    weights: { ...NO_FAULT_WEIGHTS, restart_member: 2 },
     checksFencing: false,
   },
   {
     name: "ranks replaced",
-    weights: { ...QUIET, replace_rank: 1 },
+    weights: { ...NO_FAULT_WEIGHTS, replace_rank: 1 },
     checksFencing: true,
   },
   {
     name: "ranks disconnected and reconnected",
-    weights: { ...QUIET, cut: 2, join: 2 },
+    weights: { ...NO_FAULT_WEIGHTS, cut: 2, join: 2 },
     checksFencing: true,
   },
   {
     name: "all faults together",
-    weights: { ...QUIET, restart_member: 1, replace_rank: 1, cut: 1, join: 1 },
+    weights: {
+      ...NO_FAULT_WEIGHTS,
+      restart_member: 1,
+      replace_rank: 1,
+      cut: 1,
+      join: 1,
+    },
     checksFencing: false,
   },
 ];
--- a/src/messages/back_end_notice.ts
+++ b/src/messages/back_end_notice.ts
@@ -12,7 +12,7 @@
   /** The value is not a limit; the limit that applies does not change. */
   | UnreadableNotice;
 
-/** Time for which a back end asks the receiver of an answer to send no requests. */
+/** Time for which a back end requests that it be sent no further requests. */
 export type BackoffNotice =
   | { readonly kind: "none" }
   | { readonly kind: "backoff"; readonly milliseconds: number }
--- a/src/messages/formed_group_types.ts
+++ b/src/messages/formed_group_types.ts
@@ -150,7 +150,7 @@
 }
 
 /**
- * Asks the sidecar of a rank whether the engine has executed an order that the decider
+ * Queries the sidecar of a rank whether the engine has executed an order that the decider
  * sent to the engine itself. The state that an engine reports to other VMs is some
  * hundred milliseconds old.
  */
@@ -238,8 +238,8 @@
 
 /**
  * Reports from the sidecar of a rank to the entries in its failure domain whether the
- * group runs. Reports of the decider do not reach them while its VM is unreachable or
- * dead, which is also when the group is lost.
+ * group runs. They receive no reports of the decider while its VM is unreachable or has
+ * failed, in which case the group is lost, too.
  */
 export interface GroupObservationMessage {
   readonly kind: "group_sight";
--- a/src/target/key_ownership_test.ts
+++ b/src/target/key_ownership_test.ts
@@ -97,32 +97,32 @@
     simulation.stallBetween(0, OTHER);
     moveSlotsToOther(simulation);
     simulation.restart(OWNER);
-    const again = simulation.submit(0, { key });
+    const retry = simulation.submit(0, { key });
     simulation.settle();
     assert.equal(simulation.callers.runsByKey.get(key), 1);
-    assert.equal(getReason(again), "NOT_OWNER");
+    assert.equal(getReason(retry), "NOT_OWNER");
   });
 
   it("refuses keys older than a move and runs newer ones", () => {
     const simulation = createSimulation();
-    const old = createOwnedKey(simulation);
-    simulation.submit(0, { key: old });
+    const oldKey = createOwnedKey(simulation);
+    simulation.submit(0, { key: oldKey });
     simulation.settle();
     simulation.kill(OWNER);
     moveSlotsToOther(simulation);
-    const again = simulation.submit(1, { key: old });
+    const retry = simulation.submit(1, { key: oldKey });
     const untimed = simulation.submit(1, {
-      key: createKeyOfSameSlot(simulation, old),
+      key: createKeyOfSameSlot(simulation, oldKey),
     });
     simulation.settle();
     simulation.tick(2 * MINUTE_MS);
-    const key = createKeyOfSameSlot(simulation, old, { isTimed: true });
+    const key = createKeyOfSameSlot(simulation, oldKey, { isTimed: true });
     const fresh = simulation.submit(1, { key });
     simulation.settle();
-    assert.equal(getReason(again), "KEY_HISTORY_UNKNOWN");
+    assert.equal(getReason(retry), "KEY_HISTORY_UNKNOWN");
     assert.equal(getReason(untimed), "KEY_HISTORY_UNKNOWN");
     assert.equal(getReason(fresh), "answered");
-    assert.equal(simulation.callers.runsByKey.get(old), 1);
+    assert.equal(simulation.callers.runsByKey.get(oldKey), 1);
   });
 
   it("runs no key at an owner that resumes after losing its slots", () => {
@@ -198,17 +198,17 @@
 
   it("hands over its keys when it leaves, and replays their answers", () => {
     const simulation = createSimulation();
-    const old = createOwnedKey(simulation, "old");
-    const first = simulation.submit(0, { key: old });
+    const oldKey = createOwnedKey(simulation, "old");
+    const first = simulation.submit(0, { key: oldKey });
     simulation.settle();
     leaveAndHandOver(simulation);
-    const again = simulation.submit(1, { key: old });
+    const retry = simulation.submit(1, { key: oldKey });
     const unused = simulation.submit(1, {
-      key: createKeyOfSameSlot(simulation, old),
+      key: createKeyOfSameSlot(simulation, oldKey),
     });
     simulation.settle();
-    assert.equal(again.outcome?.body, first.outcome?.body);
-    assert.equal(simulation.callers.runsByKey.get(old), 1);
+    assert.equal(retry.outcome?.body, first.outcome?.body);
+    assert.equal(simulation.callers.runsByKey.get(oldKey), 1);
     assert.equal(getReason(unused), "answered");
   });
 
@@ -219,9 +219,9 @@
     simulation.deliverAll();
     simulation.failRun(OWNER, 0);
     leaveAndHandOver(simulation);
-    const again = simulation.submit(1, { key });
+    const retry = simulation.submit(1, { key });
     simulation.settle();
-    assert.equal(getReason(again), "KEY_OUTCOME_UNKNOWN");
+    assert.equal(getReason(retry), "KEY_OUTCOME_UNKNOWN");
     assert.equal(simulation.callers.runsByKey.get(key), 1);
   });
 
@@ -241,9 +241,9 @@
     simulation.readAndClaim(OWNER);
     simulation.handOverAll(OWNER);
     simulation.settle();
-    const again = simulation.submit(0, { key });
+    const retry = simulation.submit(0, { key });
     simulation.settle();
-    assert.equal(getReason(again), "KEY_HISTORY_UNKNOWN");
+    assert.equal(getReason(retry), "KEY_HISTORY_UNKNOWN");
     assert.equal(simulation.callers.runsByKey.get(key), 1);
   });
 
@@ -265,10 +265,10 @@
       0,
       getReason(first),
     );
-    const fresh = createUuid({
+    const recentKey = createUuid({
       msecs: SIMULATION_START_MS + simulation.now + 2 * MINUTE_MS,
     });
-    const late = createTimedKeyOfSameSlot(simulation, key, fresh);
+    const late = createTimedKeyOfSameSlot(simulation, key, recentKey);
     simulation.submit(0, { key: late });
     simulation.settle();
     assert.equal(simulation.callers.runsByKey.get(late), 1);
@@ -279,21 +279,23 @@
     simulation.tick(GONE_GRACE_MS + 1);
     simulation.readAndClaim(OTHER);
     simulation.settle();
-    const again = simulation.submit(1, { key: late });
+    const retry = simulation.submit(1, { key: late });
     simulation.settle();
-    assert.equal(getReason(again), "KEY_HISTORY_UNKNOWN");
+    assert.equal(getReason(retry), "KEY_HISTORY_UNKNOWN");
     assert.equal(simulation.callers.runsByKey.get(late), 1);
   });
 
   it("takes over no keys from a target that may still run some", () => {
     const simulation = createSimulation();
-    const old = createOwnedKey(simulation, "old");
-    simulation.submit(0, { key: old });
-    while (simulation.callers.runsByKey.get(old) !== 1) simulation.deliver(0);
+    const oldKey = createOwnedKey(simulation, "old");
+    simulation.submit(0, { key: oldKey });
+    while (simulation.callers.runsByKey.get(oldKey) !== 1) {
+      simulation.deliver(0);
+    }
     simulation.drain(OWNER);
     simulation.release(OWNER);
     assert.equal(
-      simulation.getOwner(old),
+      simulation.getOwner(oldKey),
       OWNER,
       "The owner has not drained yet",
     );
--- a/src/target/owner_table_test.ts
+++ b/src/target/owner_table_test.ts
@@ -111,7 +111,7 @@
     assert.ok(slots.every((slot) => slot.movedAt === NOW + 5));
   });
 
-  it("is parsed as it was written, and rejects other texts", () => {
+  it("round-trips through JSON and rejects unsupported formats", () => {
     const table = claim(createOwnerTable(NOW));
     assert.deepEqual(tryParseOwnerTable(JSON.stringify(table)), table);
     for (const text of ["", "{}", '{"format":2}', "[]"]) {
