--- a/src/group/coordinator.ts
+++ b/src/group/coordinator.ts
@@ -55,7 +55,7 @@
   #incarnation = 0;
   /** Highest version that is known. */
   #version = 0;
-  #last: Decision | undefined;
+  #lastDecision: Decision | undefined;
   /** Ranks that have not executed the last decision. */
   readonly #pending = new Set<number>();
   #marginSteps: number;
@@ -133,7 +133,9 @@
       case "too_late":
         return this.#onTooLate(message, now);
       case "applied":
-        if (message.version === this.#last?.version) this.#pending.delete(rank);
+        if (message.version === this.#lastDecision?.version) {
+          this.#pending.delete(rank);
+        }
         return;
       case "ask":
         return this.#onDecisionRequest(message.version, rank);
@@ -161,7 +163,7 @@
     this.#effects.epoch++;
     this.#phase = { kind: "binding", engines: new Map() };
     this.#pending.clear();
-    this.#last = undefined;
+    this.#lastDecision = undefined;
     this.#effects.forEachRank((rank) => this.#effects.sendBind(rank));
   }
 
@@ -320,10 +322,10 @@
   /** Commits a version, or aborts it if `step` is undefined; once for each version. */
   #decide(version: number, step: number | undefined): void {
     Debug.assert(
-      this.#last === undefined || version > this.#last.version,
+      this.#lastDecision === undefined || version > this.#lastDecision.version,
       "Each version is decided only once",
     );
-    this.#last = { version, step };
+    this.#lastDecision = { version, step };
     for (let rank = 0; rank < this.#ranks; rank++) {
       this.#pending.add(rank);
       this.#sendDecision(rank);
@@ -336,7 +338,9 @@
   }
 
   #onDecisionRequest(version: number, rank: number): void {
-    if (version === this.#last?.version) return this.#sendDecision(rank);
+    if (version === this.#lastDecision?.version) {
+      return this.#sendDecision(rank);
+    }
     const phase = this.#phase;
     if (phase.kind === "binding") return;
     if (phase.kind !== "idle" && phase.version === version) return;
@@ -385,7 +389,7 @@
   }
 
   #sendDecision(rank: number): void {
-    const decision = Debug.getDefined(this.#last, "A decision exists");
+    const decision = Debug.getDefined(this.#lastDecision, "A decision exists");
     this.#effects.sendDecision(rank, decision);
   }
 }
--- a/src/group/formed/load_columns.ts
+++ b/src/group/formed/load_columns.ts
@@ -58,8 +58,8 @@
       queued: queued[row] as number,
       pace: Math.max(1, pacePercents[row] as number) / PERCENT,
     }));
-    const formation = epoch === undefined ? {} : { epoch };
-    return { pool, group, isOpen, ageMs, passMs, ...formation, loads };
+    const epochField = epoch === undefined ? {} : { epoch };
+    return { pool, group, isOpen, ageMs, passMs, ...epochField, loads };
   }
 }
 
--- a/src/group/formed/map_changes.ts
+++ b/src/group/formed/map_changes.ts
@@ -116,11 +116,13 @@
   const gained: (readonly number[])[] = [];
   for (const [layer, { experts }] of after.layers.entries()) {
     for (const [rank, row] of experts.entries()) {
-      const known = before.layers[layer]?.experts[rank] ?? [];
-      if (isSameRow(known, row)) continue;
-      const removed = known.filter((expert) => !row.includes(expert));
-      const added = row.filter((expert) => !known.includes(expert));
-      if (!isSameRow(applyChange(known, removed, added), row)) return undefined;
+      const previous = before.layers[layer]?.experts[rank] ?? [];
+      if (isSameRow(previous, row)) continue;
+      const removed = previous.filter((expert) => !row.includes(expert));
+      const added = row.filter((expert) => !previous.includes(expert));
+      if (!isSameRow(applyChange(previous, removed, added), row)) {
+        return undefined;
+      }
       layers.push(layer);
       ranks.push(rank);
       dropped.push(removed);
@@ -136,11 +138,11 @@
 }
 
 function applyChange(
-  known: readonly number[],
+  previous: readonly number[],
   dropped: readonly number[],
   gained: readonly number[],
 ): readonly number[] {
-  return [...known.filter((expert) => !dropped.includes(expert)), ...gained]
+  return [...previous.filter((expert) => !dropped.includes(expert)), ...gained]
     .sort((left, right) => left - right);
 }
 
@@ -148,11 +150,11 @@
   const layers = map.layers.map(({ experts }) => ({ experts: [...experts] }));
   for (const [index, rank] of rows.ranks.entries()) {
     const experts = layers[rows.layers[index] ?? -1]?.experts;
-    const known = experts?.[rank];
-    if (experts === undefined || known === undefined) continue;
+    const previous = experts?.[rank];
+    if (experts === undefined || previous === undefined) continue;
     const { dropped, gained } = rows;
     experts[rank] = applyChange(
-      known,
+      previous,
       dropped[index] ?? [],
       gained[index] ?? [],
     );
@@ -164,8 +166,8 @@
 
 /** Returns the checksum of a map, cached because one map is sent to all ranks. */
 function getChecksum(map: ExpertMap): string {
-  const known = checksums.get(map);
-  if (known !== undefined) return known;
+  const cached = checksums.get(map);
+  if (cached !== undefined) return cached;
   const rows = map.layers.map(({ experts }) => experts);
   const checksum = createHash("sha256")
     .update(JSON.stringify(rows))
--- a/src/group/formed/rank_agent.ts
+++ b/src/group/formed/rank_agent.ts
@@ -217,9 +217,9 @@
       : Math.max(LOADING_POLL_INTERVAL_MS, this.#polling.intervalMs);
   }
 
-  #recordLoadTime(order: RankOrder, tookMs: number): void {
+  #recordLoadTime(order: RankOrder, loadMs: number): void {
     if (order.kind !== "prepare") return;
-    this.#shortestLoadMs = Math.min(this.#shortestLoadMs, tookMs);
+    this.#shortestLoadMs = Math.min(this.#shortestLoadMs, loadMs);
   }
 
   /**
--- a/src/group/switch_schedules_test.ts
+++ b/src/group/switch_schedules_test.ts
@@ -11,7 +11,7 @@
 const SEED = 20261202;
 const RUNS = 600;
 
-function actionArbitrary(
+function createActionArbitrary(
   weights: Readonly<Record<Action["kind"], number>>,
 ): fc.Arbitrary<Action> {
   const kinds = Object.entries(weights).map(([kind, weight]) => ({
@@ -90,7 +90,7 @@
       let committed = 0;
       fc.assert(
         fc.property(
-          fc.array(actionArbitrary(row.weights), {
+          fc.array(createActionArbitrary(row.weights), {
             minLength: 20,
             maxLength: 200,
           }),
--- a/src/target/claim_keeper.ts
+++ b/src/target/claim_keeper.ts
@@ -38,7 +38,7 @@
   readonly targetName: string;
   readonly incarnation: string;
   /** Whether the platform provides a list of VMs; claiming a share then waits for it. */
-  readonly hasMachineList: boolean;
+  readonly hasVirtualMachineList: boolean;
   /** Milliseconds for which a VM must be gone before other targets claim its slots. */
   readonly goneGraceMs: number;
   /** Returns the milliseconds of a monotonic clock. */
@@ -46,7 +46,7 @@
   /** Called with the slots owned by this target and the time of the request for them. */
   readonly onConfirmed: (claims: OwnedSlots, requestedAt: number) => void;
   /** Called with newly claimed slots that another target had released. */
-  readonly onTaken: (slots: readonly ReleasedSlot[]) => void;
+  readonly onReleasedSlotsClaimed: (slots: readonly ReleasedSlot[]) => void;
 }
 
 interface TableSnapshot {
@@ -76,7 +76,7 @@
    */
   constructor(options: ClaimKeeperOptions) {
     this.#options = options;
-    if (!options.hasMachineList) this.#liveTargets = 1;
+    if (!options.hasVirtualMachineList) this.#liveTargets = 1;
     this.#key = getOwnerTableKey(options.pool);
     void this.#keepClaiming();
   }
@@ -167,8 +167,10 @@
     if (result.kind !== "swapped") return false;
     this.#keyRevision = result.revision;
     this.#reportConfirmed(next, requestedAt);
-    const taken = getClaimedReleasedSlots(snapshot.table, next);
-    if (taken.length > 0) this.#options.onTaken(taken);
+    const claimedSlots = getClaimedReleasedSlots(snapshot.table, next);
+    if (claimedSlots.length > 0) {
+      this.#options.onReleasedSlotsClaimed(claimedSlots);
+    }
     return true;
   }
 
--- a/src/target/load_reporter.ts
+++ b/src/target/load_reporter.ts
@@ -11,7 +11,7 @@
 /** Minimum time between two reports to one entry, in milliseconds. */
 const MIN_INTERVAL_MS = 1000;
 /** Maximum reports per second that a target sends to all entries together. */
-const REPORTS_PER_SECOND = 2.5;
+const MAX_REPORTS_PER_SECOND = 2.5;
 /** Change of the load that requires a report, as a fraction of the last reported load. */
 const MIN_CHANGE_FRACTION = 0.25;
 /** Weight of the latest run in the mean duration of runs. */
@@ -60,7 +60,7 @@
     const total = load.queued + load.running;
     const interval = Math.max(
       MIN_INTERVAL_MS,
-      this.#lastReports.size * MS_PER_SECOND / REPORTS_PER_SECOND,
+      this.#lastReports.size * MS_PER_SECOND / MAX_REPORTS_PER_SECOND,
     );
     const dueLinks: number[] = [];
     for (const [linkId, last] of this.#lastReports) {
--- a/src/target/start_claims.ts
+++ b/src/target/start_claims.ts
@@ -47,10 +47,10 @@
     address: settings.address,
     targetName: settings.name,
     incarnation,
-    hasMachineList: options.machineList !== undefined,
+    hasVirtualMachineList: options.machineList !== undefined,
     goneGraceMs: settings.goneGraceMs,
     monotonicNow: () => performance.now(),
-    onTaken: (slots) => fetcher.fetch(slots),
+    onReleasedSlotsClaimed: (slots) => fetcher.fetch(slots),
     onConfirmed: createConfirmedHandler(options),
   });
 }
--- a/src/target/target_driver.ts
+++ b/src/target/target_driver.ts
@@ -74,7 +74,7 @@
   readonly #bodies = new BodyCache();
   #claims: ClaimKeeper | undefined;
   #group: GroupParticipant | undefined;
-  #machineListReader: VirtualMachineListReader | undefined;
+  #virtualMachineListReader: VirtualMachineListReader | undefined;
   #tickTimer: NodeJS.Timeout | undefined;
   #nextLinkId = 1;
   #isLeavingByList = false;
@@ -148,7 +148,7 @@
     });
     this.#startGroup();
     if (machineList !== undefined) {
-      this.#machineListReader = new VirtualMachineListReader({
+      this.#virtualMachineListReader = new VirtualMachineListReader({
         list: machineList,
         onList: (virtualMachines) => this.#onVirtualMachines(virtualMachines),
         onReachable: (isReachable) =>
@@ -173,7 +173,7 @@
     clearInterval(this.#tickTimer);
     this.#claims?.stop();
     this.#group?.stop();
-    this.#machineListReader?.stop();
+    this.#virtualMachineListReader?.stop();
     for (const link of this.#links.values()) link.close();
     await this.#options.backEnd.close();
     this.#listener.close();
