--- a/src/group/group_process_test.ts
+++ b/src/group/group_process_test.ts
@@ -50,8 +50,11 @@
   }
 
   async function waitForMap(): Promise<void> {
-    const versions = group.usedMapCount;
-    await waitUntil("a new map is in use", () => group.usedMapCount > versions);
+    const previousCount = group.usedMapCount;
+    await waitUntil(
+      "a new map is in use",
+      () => group.usedMapCount > previousCount,
+    );
   }
 
   before(async () => {
--- a/src/target/key_ownership_test.ts
+++ b/src/target/key_ownership_test.ts
@@ -165,10 +165,10 @@
   it("starts no queued key after a freeze", () => {
     const simulation = createSimulation();
     const running = createOwnedKey(simulation, "first");
-    const waiting = createOwnedKey(simulation, "second");
+    const queuedKey = createOwnedKey(simulation, "second");
     simulation.submit(0, { key: running });
     const submission = simulation.submit(0, {
-      key: waiting,
+      key: queuedKey,
       deadlineMs: 10 * MINUTE_MS,
     });
     simulation.deliverAll();
--- a/src/target/target_reducer.ts
+++ b/src/target/target_reducer.ts
@@ -45,7 +45,7 @@
 /** Name under which the backoffs of the back end are recorded. */
 const BACK_END = "back_end";
 
-interface WaitingRequest {
+interface QueuedRequest {
   readonly owner: RunOwner;
   readonly request: SubmitMessage;
   readonly fingerprint?: string;
@@ -67,7 +67,7 @@
 export class TargetReducer {
   readonly #limits: TargetLimits;
   readonly #gate: KeyGate;
-  readonly #queue: FairQueue<WaitingRequest>;
+  readonly #queue: FairQueue<QueuedRequest>;
   readonly #runs = new Map<number, Run>();
   readonly #reporter = new LoadReporter();
   readonly #openLinks = new Set<number>();
@@ -123,7 +123,7 @@
     this.#reduce(event);
     if (this.isLeaving !== wasLeaving) this.#broadcastLeaving();
     this.#refuseInBackoff(event.now);
-    this.#startWaiting(event.now);
+    this.#startQueued(event.now);
     this.#checkDrained();
     return this.#replies.takeEffects();
   }
@@ -260,17 +260,15 @@
       deadlineAt: details.now + request.remainingMs,
       fingerprint: details.fingerprint,
     });
-    if (dropped !== undefined) this.#refuseWaiting(dropped, "QUEUE_FULL");
+    if (dropped !== undefined) this.#refuseQueued(dropped, "QUEUE_FULL");
   }
 
   #onCancel(linkId: number, message: CancelMessage): void {
     const isSameAttempt = (owner: RunOwner) =>
       owner.linkId === linkId && owner.requestId === message.requestId &&
       owner.attempt === message.attempt;
-    const waiting = this.#queue.removeWhere((item) =>
-      isSameAttempt(item.owner)
-    );
-    for (const item of waiting) this.#refuseWaiting(item, "CANCELLED");
+    const queued = this.#queue.removeWhere((item) => isSameAttempt(item.owner));
+    for (const item of queued) this.#refuseQueued(item, "CANCELLED");
     for (const run of this.#runs.values()) {
       if (isSameAttempt(run.owner)) this.#abandon(run);
     }
@@ -283,21 +281,21 @@
     this.#replies.push({ kind: "cancel_back_end", runId: run.id });
   }
 
-  #startWaiting(now: number): void {
+  #startQueued(now: number): void {
     while (this.#runs.size < this.#limits.concurrency) {
       const item = this.#queue.tryTake();
       if (item === undefined) return;
       if (item.startBy > now) this.#start(item, now);
-      else this.#refuseWaiting(item, "DEADLINE_BEFORE_START");
+      else this.#refuseQueued(item, "DEADLINE_BEFORE_START");
     }
   }
 
   #refuseLate(now: number): void {
     const late = this.#queue.removeWhere((item) => item.startBy <= now);
-    for (const item of late) this.#refuseWaiting(item, "DEADLINE_BEFORE_START");
+    for (const item of late) this.#refuseQueued(item, "DEADLINE_BEFORE_START");
   }
 
-  #start(item: WaitingRequest, now: number): void {
+  #start(item: QueuedRequest, now: number): void {
     const { fingerprint } = item;
     if (fingerprint !== undefined && !this.#gate.mayStart(fingerprint)) {
       this.#discardKey(fingerprint);
@@ -422,8 +420,8 @@
   }
 
   /** Refuses a queued request, which is never sent to the back end. */
-  #refuseWaiting(
-    item: WaitingRequest,
+  #refuseQueued(
+    item: QueuedRequest,
     reason: RefusalName,
     notice?: BackEndNotice,
   ): void {
@@ -444,9 +442,9 @@
     const milliseconds = this.#backoffs.getRemainingMs(BACK_END, now);
     if (milliseconds === 0) return;
     const notice = createBackoffNotice({ kind: "backoff", milliseconds });
-    const waiting = this.#queue.removeWhere(() => true);
-    for (const item of waiting) {
-      this.#refuseWaiting(item, "TARGET_WITHHELD", notice);
+    const queued = this.#queue.removeWhere(() => true);
+    for (const item of queued) {
+      this.#refuseQueued(item, "TARGET_WITHHELD", notice);
     }
   }
 
--- a/src/target/target_reducer_test.ts
+++ b/src/target/target_reducer_test.ts
@@ -74,22 +74,22 @@
     const target = createTarget();
     receive(target, createSubmit({ requestId: 1 }));
     receive(target, createSubmit({ requestId: 2 }));
-    const running = receive(target, {
+    const runningEffects = receive(target, {
       kind: "cancel",
       requestId: 1,
       attempt: 1,
     });
-    assert.deepEqual(getRefusals(running), []);
-    assert.ok(hasEffect(running, "cancel_back_end"));
-    const waiting = receive(target, {
+    assert.deepEqual(getRefusals(runningEffects), []);
+    assert.ok(hasEffect(runningEffects, "cancel_back_end"));
+    const queuedEffects = receive(target, {
       kind: "cancel",
       requestId: 2,
       attempt: 1,
     });
-    const [refusal] = getRefusals(waiting);
+    const [refusal] = getRefusals(queuedEffects);
     assert.equal(refusal?.reason, "CANCELLED");
     assert.equal(refusal?.submission, "not-run");
-    assert.deepEqual(getStartedRequestIds(waiting), []);
+    assert.deepEqual(getStartedRequestIds(queuedEffects), []);
   });
 
   it("never starts a request that it reported as not run", () => {
