--- a/src/group/formed/decider.ts
+++ b/src/group/formed/decider.ts
@@ -254,8 +254,8 @@
 
   /**
    * Holds a pass that is at least two ahead. A pass is only given up after all passes
-   * before it began, so no pass is ever held for a second switch: a late order to release
-   * the first hold would release the second one, too.
+   * before it began, so no pass is ever held for a second switch. Otherwise a late order
+   * to release the first hold would release the second one, too.
    */
   #startHolding(
     { version, map }: Pick<SwitchAtPass, "version" | "map">,
--- a/src/group/formed/decider_test.ts
+++ b/src/group/formed/decider_test.ts
@@ -68,13 +68,13 @@
   }
 
   /** Reports all ranks and proposes a map; returns the orders to prepare it. */
-  propose(): readonly SendOrder[] {
+  settleAndPropose(): readonly SendOrder[] {
     for (let rank = 0; rank < RANKS; rank++) this.report(createState(rank));
-    return this.proposeAgain();
+    return this.propose();
   }
 
   /** Proposes a map to a settled group. */
-  proposeAgain(): readonly SendOrder[] {
+  propose(): readonly SendOrder[] {
     const map = { layers: [{ experts: [[1], [2], [0]] }] };
     return getOrders(
       this.decider.reduce({ kind: "map_proposed", now: 0, map }),
@@ -105,7 +105,7 @@
 
   /** Runs a switch up to the order to arm the holder. */
   startArming(): readonly SendOrder[] {
-    const prepares = this.propose();
+    const prepares = this.settleAndPropose();
     const version = getVersion(prepares);
     const holds = this.execute(prepares, { preparedVersion: version });
     return this.execute(holds, {
@@ -134,7 +134,7 @@
 describe("decider of a formed group", () => {
   it("prepares, holds, arms the holder, arms the others and releases", () => {
     const fixture = new DeciderFixture();
-    const prepares = fixture.propose();
+    const prepares = fixture.settleAndPropose();
     assert.deepEqual(describeOrders(prepares), [
       "0 prepare",
       "1 prepare",
@@ -154,7 +154,7 @@
 
   it("holds a later pass when the first one has begun", () => {
     const fixture = new DeciderFixture();
-    const prepares = fixture.propose();
+    const prepares = fixture.settleAndPropose();
     const prepared = { preparedVersion: getVersion(prepares) };
     const [hold] = fixture.execute(prepares, prepared);
     const state = createState(1, { ...prepared, pass: 12 });
@@ -165,20 +165,20 @@
 
   it("holds a pass further ahead after the group had to wait", () => {
     const fixture = new DeciderFixture();
-    const first = fixture.runSwitch(fixture.propose(), 10, 1);
+    const first = fixture.runSwitch(fixture.settleAndPropose(), 10, 1);
     assert.equal(first, 12);
     // The group waited for pass 12 while its ranks were armed.
-    const second = fixture.runSwitch(fixture.proposeAgain(), 12, 2);
+    const second = fixture.runSwitch(fixture.propose(), 12, 2);
     assert.equal(second, 12 + 3);
     // With two passes remaining the margin stays the same, with three it shrinks.
-    const third = fixture.runSwitch(fixture.proposeAgain(), 15, 3);
+    const third = fixture.runSwitch(fixture.propose(), 15, 3);
     assert.equal(third, 15 + 3);
-    assert.equal(fixture.runSwitch(fixture.proposeAgain(), 18, 3), 18 + 2);
+    assert.equal(fixture.runSwitch(fixture.propose(), 18, 3), 18 + 2);
   });
 
   it("gives up a map that a rank rejects and keeps the previous one", () => {
     const fixture = new DeciderFixture();
-    const [first] = fixture.propose();
+    const [first] = fixture.settleAndPropose();
     const answer = { orderId: first?.orderId, isDone: false };
     fixture.report(createState(0), answer);
     assert.deepEqual(fixture.decider.settledMap?.layers[0]?.experts, [
@@ -256,7 +256,7 @@
 
   it("holds no further pass for a map that a fence replaced at the holder", () => {
     const fixture = new DeciderFixture();
-    const prepares = fixture.propose();
+    const prepares = fixture.settleAndPropose();
     const prepared = { preparedVersion: getVersion(prepares) };
     const [hold] = fixture.execute(prepares, prepared);
     const fenced = createState(1, { preparedVersion: 1_000_000, pass: 12 });
@@ -305,8 +305,8 @@
    */
   it("does not start over because of a stale state", () => {
     const fixture = new DeciderFixture();
-    const first = fixture.runSwitch(fixture.propose(), 10, 2);
-    const prepares = fixture.proposeAgain();
+    const first = fixture.runSwitch(fixture.settleAndPropose(), 10, 2);
+    const prepares = fixture.propose();
     const prepared = { preparedVersion: getVersion(prepares), pass: first + 1 };
     const [hold] = fixture.execute(prepares, prepared);
     assert.equal(hold?.order.kind, "hold");
