--- a/src/group/formed/held_switch_freeze_test.ts
+++ b/src/group/formed/held_switch_freeze_test.ts
@@ -6,8 +6,8 @@
  * The holder's sidecar asked the other ranks to refuse the switch. Before all of them
  * had answered, the decider's VM resumed, every rank answered, and the sidecar continued
  * the same switch: the only rank that had not refused was armed, and all others had
- * promised not to arm. So the group stalled. When a message of the armed rank was lost, the
- * promises of the others released the pass with the old map.
+ * promised not to arm. So the group stalled. When a message of the armed rank was lost,
+ * the promises of the others released the pass with the old map.
  *
  * The cause was that a switch could be ended in two ways, neither of which took the
  * promises of the other into account. In these simulations, which lose messages as a
--- a/src/messages/formed_group_types.ts
+++ b/src/messages/formed_group_types.ts
@@ -150,9 +150,9 @@
 }
 
 /**
- * Queries the sidecar of a rank whether the engine has executed an order that the decider
- * sent to the engine itself. The state that an engine reports to other VMs is some
- * hundred milliseconds old.
+ * Requests that the sidecar of a rank check whether the engine has executed an order that
+ * the decider sent to the engine itself. The state that an engine reports to other VMs is
+ * some hundred milliseconds old.
  */
 export interface RankCheckMessage {
   readonly kind: "rank_check";
@@ -238,8 +238,8 @@
 
 /**
  * Reports from the sidecar of a rank to the entries in its failure domain whether the
- * group runs. They receive no reports of the decider while its VM is unreachable or has
- * failed, in which case the group is lost, too.
+ * group runs. These entries receive no reports of the decider while its VM is unreachable
+ * or has failed, in which case the group is lost, too.
  */
 export interface GroupObservationMessage {
   readonly kind: "group_sight";
--- a/src/target/claim_keeper.ts
+++ b/src/target/claim_keeper.ts
@@ -38,7 +38,7 @@
   readonly targetName: string;
   readonly incarnation: string;
   /** Whether the platform provides a list of VMs; claiming a share then waits for it. */
-  readonly hasVirtualMachineList: boolean;
+  readonly hasMachineList: boolean;
   /** Milliseconds for which a VM must be gone before other targets claim its slots. */
   readonly goneGraceMs: number;
   /** Returns the milliseconds of a monotonic clock. */
@@ -76,7 +76,7 @@
    */
   constructor(options: ClaimKeeperOptions) {
     this.#options = options;
-    if (!options.hasVirtualMachineList) this.#liveTargets = 1;
+    if (!options.hasMachineList) this.#liveTargets = 1;
     this.#key = getOwnerTableKey(options.pool);
     void this.#keepClaiming();
   }
--- a/src/target/start_claims.ts
+++ b/src/target/start_claims.ts
@@ -47,7 +47,7 @@
     address: settings.address,
     targetName: settings.name,
     incarnation,
-    hasVirtualMachineList: options.machineList !== undefined,
+    hasMachineList: options.machineList !== undefined,
     goneGraceMs: settings.goneGraceMs,
     monotonicNow: () => performance.now(),
     onReleasedSlotsClaimed: (slots) => fetcher.fetch(slots),
