--- a/src/target/claim_keeper.ts
+++ b/src/target/claim_keeper.ts
@@ -46,7 +46,7 @@
   /** Called with the slots owned by this target and the time of the request for them. */
   readonly onConfirmed: (claims: OwnedSlots, requestedAt: number) => void;
   /** Called with newly claimed slots that another target had released. */
-  readonly onReleasedSlotsClaimed: (slots: readonly ReleasedSlot[]) => void;
+  readonly onTaken: (slots: readonly ReleasedSlot[]) => void;
 }
 
 interface TableSnapshot {
@@ -169,7 +169,7 @@
     this.#reportConfirmed(next, requestedAt);
     const claimedSlots = getClaimedReleasedSlots(snapshot.table, next);
     if (claimedSlots.length > 0) {
-      this.#options.onReleasedSlotsClaimed(claimedSlots);
+      this.#options.onTaken(claimedSlots);
     }
     return true;
   }
--- a/src/target/start_claims.ts
+++ b/src/target/start_claims.ts
@@ -50,7 +50,7 @@
     hasMachineList: options.machineList !== undefined,
     goneGraceMs: settings.goneGraceMs,
     monotonicNow: () => performance.now(),
-    onReleasedSlotsClaimed: (slots) => fetcher.fetch(slots),
+    onTaken: (slots) => fetcher.fetch(slots),
     onConfirmed: createConfirmedHandler(options),
   });
 }
