--- a/src/group/formed/decider.ts
+++ b/src/group/formed/decider.ts
@@ -254,8 +254,8 @@
 
   /**
    * Holds a pass that is at least two ahead. A pass is only given up after all passes
-   * before it began, so no pass is ever held for a second switch: a late order to release
-   * the first hold would release the second one, too.
+   * before it began, so no pass is ever held for a second switch. Otherwise a late order
+   * to release the first hold would release the second one, too.
    */
   #startHolding(
     { version, map }: Pick<SwitchAtPass, "version" | "map">,
@@ -359,7 +359,8 @@
   }
 
   /**
-   * Retries a fence with a higher version: the rank loads one that is not reported yet.
+   * Retries a fence with a higher version, since the rank is loading a version that it
+   * does not report yet.
    */
   #raiseFenceVersion(rank: number, now: number): void {
     this.#versions.skip();
--- a/src/target/claim_keeper.ts
+++ b/src/target/claim_keeper.ts
@@ -167,8 +167,10 @@
     if (result.kind !== "swapped") return false;
     this.#keyRevision = result.revision;
     this.#reportConfirmed(next, requestedAt);
-    const taken = getClaimedReleasedSlots(snapshot.table, next);
-    if (taken.length > 0) this.#options.onTaken(taken);
+    const claimedSlots = getClaimedReleasedSlots(snapshot.table, next);
+    if (claimedSlots.length > 0) {
+      this.#options.onTaken(claimedSlots);
+    }
     return true;
   }
 
