--- a/src/events/catalogue.ts
+++ b/src/events/catalogue.ts
@@ -205,7 +205,7 @@
     level: "info",
     text: "Load and pass durations of a group in the last second",
     action:
-      "Answers miss the pause objective when `passMs` comes near it. With many `running` the cause is their number; with few it is an unbalanced map, which the lines of `MAP_PROPOSED` show.",
+      "Answers miss the pause objective when `passMs` approaches it. With many `running` the cause is their number; with few it is an unbalanced map, which the lines of `MAP_PROPOSED` show.",
   },
   DECIDER_CONNECTED: {
     code: 2606,
@@ -344,7 +344,7 @@
   TARGET_ENDED: {
     code: 2807,
     level: "info",
-    text: "A target is gone without having announced that it leaves",
+    text: "A target is gone without having announced that it is leaving",
     action:
       "If this happens often, look for a `digest` that the lines of event 2702 for these targets have in common: one request may crash them.",
   },
@@ -380,7 +380,8 @@
   TARGET_BACKS_OFF: {
     code: 2812,
     level: "warn",
-    text: "A target asked this entry to send it no requests for a time",
+    text:
+      "A target requested a backoff: this entry sends it no requests for a time",
     action:
       "Find out why the target backs off. `leftMs` is the remaining time in which this entry sends it no requests; if that is far too long, restart the entry.",
   },
@@ -394,14 +395,14 @@
     code: 2814,
     level: "warn",
     text:
-      "A target asked for a backoff that is not a number of seconds; it is ignored",
+      "A target requested a backoff that is not a number of seconds; it is ignored",
     action: "Correct the back end that sends the value shown in `text`.",
   },
   TARGET_SAYS_LEAVING: {
     code: 2815,
     level: "info",
     text:
-      "A target announced with an answer that it leaves; it receives no new requests",
+      "A target announced in an answer that it is leaving; it receives no new requests",
     action:
       "If it does not leave, restart it: it is used again under another name.",
   },
@@ -409,7 +410,7 @@
     code: 2816,
     level: "warn",
     text:
-      "A target's announcement that it leaves cannot be read and is ignored",
+      "A target's announcement that it is leaving cannot be read and is ignored",
     action: "Correct the back end that sends the value shown in `text`.",
   },
   DOMAIN_UNREACHABLE: {
--- a/src/external/contracts_test.ts
+++ b/src/external/contracts_test.ts
@@ -129,7 +129,7 @@
       await startOrGetAddress("machineList", standIn),
     );
     const virtualMachines = await list.read();
-    const names = new Set(virtualMachines.map((machine) => machine.name));
+    const names = new Set(virtualMachines.map((listed) => listed.name));
     assert.equal(names.size, virtualMachines.length);
     assert.ok(virtualMachines.length > 0);
   });
--- a/src/external/http_back_end_test.ts
+++ b/src/external/http_back_end_test.ts
@@ -148,7 +148,7 @@
 }
 
 describe("a call that may no longer be sent once its connection is ready", () => {
-  // A request must not reach a back end that has asked for a backoff meanwhile.
+  // A request must not reach a back end that has requested a backoff meanwhile.
   it("sends nothing and fails as withheld", async () => {
     let received = 0;
     const { server, backEnd } = await startServer((socket) => {
--- a/src/external/http_connections.ts
+++ b/src/external/http_connections.ts
@@ -219,8 +219,8 @@
  *
  * @example
  * ```ts
- * getUsableMs({ "keep-alive": "timeout=10" }); // 9750
- * getUsableMs({ "connection": "close" }); // 0
+ * getReusableMs({ "keep-alive": "timeout=10" }); // 9750
+ * getReusableMs({ "connection": "close" }); // 0
  * ```
  */
 export function getReusableMs(headers: AnswerHeaders): number {
--- a/src/external/http_connections_test.ts
+++ b/src/external/http_connections_test.ts
@@ -3,8 +3,8 @@
  * they announce. The client library's pool trusts the announced time: it closed none of
  * the other connections after one was found closed, and established a new connection
  * while another was idle. Servers that closed after 0.3 s but announced 10 s cost two
- * connections per request, and the requests that met a closed connection. The library
- * also never reused a connection whose server announced less than two seconds.
+ * connections per request, and the requests sent on a closed connection failed. The
+ * library also never reused a connection whose server announced less than two seconds.
  */
 import assert from "node:assert/strict";
 import { once } from "node:events";
--- a/src/external/pausable_reading.ts
+++ b/src/external/pausable_reading.ts
@@ -66,6 +66,7 @@
 
   #detectReset(): void {
     if (this.#socket.writable && this.#socket.writableLength === 0) {
+      // Called for its write, which makes a reset socket emit `error`.
       isReset(this.#socket);
     }
   }
--- a/src/process/measured_timer.ts
+++ b/src/process/measured_timer.ts
@@ -21,7 +21,7 @@
    *
    * @example
    * ```ts
-   * timer.plan(() => reducer.tick(), 250);
+   * timer.schedule(() => reducer.tick(), 250);
    * ```
    */
   schedule(callback: () => void, milliseconds: number): void {
--- a/src/process/metrics.ts
+++ b/src/process/metrics.ts
@@ -21,9 +21,9 @@
   readonly coldTargets?: number;
   /** Requests sent to targets while these warmed up, by pool. */
   readonly coldRequests?: ReadonlyMap<string, number>;
-  /** Targets that have asked this process for a backoff that is not over. */
+  /** Targets that have requested a backoff from this process that is not over. */
   readonly backingOffTargets?: number;
-  /** Targets that are still listed after they announced that they leave. */
+  /** Targets that are still listed after they announced that they are leaving. */
   readonly leavingTargets?: number;
   /** Backoffs requested by targets since the process started. */
   readonly backoffs?: number;
--- a/src/process/process_settings.ts
+++ b/src/process/process_settings.ts
@@ -112,7 +112,7 @@
   readyAddress: ADDRESS,
   /** Host and port of a separate listener for metrics, at a fixed port. */
   metricsAddress: ADDRESS.optional(),
-  /** Milliseconds for which requests may still be sent to a back end that leaves. */
+  /** Milliseconds for which requests may still be sent to a leaving back end. */
   leavingLimitMs: z.number().int().min(100).max(600_000).default(2000),
   heldBytesLimit: HELD_BYTES_LIMIT,
   /** Limits on the retries of all entries together. */
--- a/src/process/reload_signal.ts
+++ b/src/process/reload_signal.ts
@@ -23,7 +23,7 @@
  *
  * @example
  * ```ts
- * takeReloadSignal(() => reload());
+ * handleReloadSignal(() => reload());
  * ```
  */
 export function handleReloadSignal(onSignal: () => void): void {
--- a/src/settings/settings_exchange.ts
+++ b/src/settings/settings_exchange.ts
@@ -124,7 +124,7 @@
       const body = this.#options.bodies.tryGetCached(hash);
       if (body === undefined) continue;
       length += body.length;
-      // The peer queries bodies that do not fit again, one by one.
+      // Bodies that do not fit are omitted; the peer then queries them one by one.
       if (length > MAX_BODIES_LENGTH && bodies.length > 0) break;
       bodies.push(body);
     }
