--- a/src/external/watched_store.ts
+++ b/src/external/watched_store.ts
@@ -112,7 +112,7 @@
   abstract release(lease: StoreLease): Promise<void>;
 
   /**
-   * Sets a callback for restores of the store from an older copy, by which later writes
+   * Adds a callback for restores of the store from an older copy, by which later writes
    * and leases are lost. Never called for stores that don't detect this.
    */
   onRestored(_listener: () => void): void {}
--- a/src/process/reload.ts
+++ b/src/process/reload.ts
@@ -18,7 +18,7 @@
 }
 
 /**
- * Reloads the settings on each SIGHUP. A file with findings changes nothing. Requests
+ * Reloads the settings on each SIGHUP. A file with findings is ignored. Requests
  * in flight are not affected.
  *
  * @example
--- a/src/settings/body_source.ts
+++ b/src/settings/body_source.ts
@@ -105,8 +105,8 @@
   }
 
   override async tryRead(hash: string): Promise<string | undefined> {
-    const held = this.#bodies.get(hash);
-    if (held !== undefined) return held;
+    const cached = this.#bodies.get(hash);
+    if (cached !== undefined) return cached;
     for (const source of this.#sources) {
       const body = await source.tryRead(hash);
       if (body !== undefined && this.tryAdd(hash, body)) return body;
--- a/src/settings/load_snapshot.ts
+++ b/src/settings/load_snapshot.ts
@@ -73,7 +73,7 @@
   if (records === undefined) return undefined;
   // No state was changed so far. The rest is synchronous and can't fail.
   replaceCachedBodies(current.tree, tree, { changed, bodies });
-  const { documents, unreadable } = createDocuments(records, current);
+  const { documents, unreadable } = applyRecords(records, current);
   return { head, headText, tree, documents, changed, unreadable };
 }
 
@@ -94,11 +94,11 @@
     bodies.remove(before.createPage(path).hash);
     bodies.remove(before.tryGet(path));
   }
-  const kept = [
+  const replacements = [
     after.createRoot(),
     ...changed.map((path) => after.createPage(path)),
   ];
-  for (const { hash, body } of kept) bodies.tryAdd(hash, body);
+  for (const { hash, body } of replacements) bodies.tryAdd(hash, body);
 }
 
 async function tryLoadTree(
@@ -111,7 +111,7 @@
   const paths = [...tree.entries()].map(([path]) => path);
   const records = await tryReadRecords(paths, { tree, bodies });
   if (records === undefined) return undefined;
-  const { documents, unreadable } = createDocuments(records, {
+  const { documents, unreadable } = applyRecords(records, {
     documents: new Map(),
     fallback: current?.documents,
   });
@@ -166,7 +166,7 @@
  * Applies records to the documents. The previous document stays in force if this
  * version cannot read the new one.
  */
-function createDocuments(
+function applyRecords(
   records: readonly SettingsRecord[],
   before: PreviousDocuments,
 ): {
