--- a/src/process/platform_faults_test.ts
+++ b/src/process/platform_faults_test.ts
@@ -29,10 +29,10 @@
     return response.statusCode;
   }
 
-  function settings(words: readonly string[]) {
+  function runSettings(commandArguments: readonly string[]) {
     return cluster.run([
       "settings",
-      ...words,
+      ...commandArguments,
       "--entry",
       entry.administrationAddress,
     ]);
@@ -55,10 +55,10 @@
   it("report a change as accepted if only the swap's reply was lost", async () => {
     const file = cluster.writeFile("service.yaml", SERVICE);
     cluster.keyValue.faults.lostReplies = 1;
-    const result = await settings(["apply", file]);
+    const result = await runSettings(["apply", file]);
     assert.equal(result.code, 0, result.errors);
     assert.match(result.output, /accepted .* at revision 2/);
-    const waited = await settings(["wait", "2"]);
+    const waited = await runSettings(["wait", "2"]);
     assert.equal(waited.code, 0, waited.output);
     assert.equal(await statusOfCall(entry), 200);
   });
@@ -68,7 +68,7 @@
       "bad.yaml",
       "# path: /organisations/a/services/bad\nkind: service\npathPrefix: bad\nretryShare: 2\ncolour: red\n",
     );
-    const result = await settings(["apply", file]);
+    const result = await runSettings(["apply", file]);
     assert.equal(result.code, 2);
     assert.match(result.errors, /bad.yaml:3:1 - error LW1002: pathPrefix/);
     assert.match(result.errors, /bad.yaml:4:1 - error LW1002: retryShare/);
@@ -77,14 +77,14 @@
   });
 
   it("show both sides of a conflict", async () => {
-    const shown = await settings(["show", "/organisations/a"]);
+    const shown = await runSettings(["show", "/organisations/a"]);
     const mine = cluster.writeFile("mine.yaml", `${shown.output}weight: 2\n`);
     await cluster.apply(
       entry,
       "/organisations/a",
       "kind: organisation\nweight: 3\n",
     );
-    const result = await settings(["apply", mine]);
+    const result = await runSettings(["apply", mine]);
     assert.equal(result.code, 4, result.errors);
     assert.match(
       result.errors,
@@ -107,11 +107,11 @@
       }
     });
     const file = cluster.writeFile("outage.yaml", SERVICE);
-    const refused = await settings(["apply", file]);
+    const refused = await runSettings(["apply", file]);
     assert.equal(refused.code, 1, refused.errors);
     cluster.machineList.isDown = false;
     cluster.keyValue.faults.isDown = false;
-    const accepted = await settings(["apply", file]);
+    const accepted = await runSettings(["apply", file]);
     assert.equal(accepted.code, 0, accepted.errors);
   });
 
@@ -129,7 +129,7 @@
       const head = cluster.keyValue.tryPeek(HEAD_KEY)?.value ?? "";
       return tryParseHead(head)?.revision === revision;
     });
-    const shown = await settings(["show", "/organisations/a"]);
+    const shown = await runSettings(["show", "/organisations/a"]);
     assert.match(shown.output, /weight: 7/);
     const next = await cluster.apply(
       entry,
@@ -172,7 +172,7 @@
       times.push(Math.round(performance.now() - acceptedAt));
     }
     context.diagnostic(
-      `ms to in force, entries and target: ${times.join(" ")}`,
+      `ms until in force at entries and target: ${times.join(" ")}`,
     );
   });
 
--- a/src/settings/settings_schedules_test.ts
+++ b/src/settings/settings_schedules_test.ts
@@ -30,7 +30,7 @@
   { name: "outages and lost replies", refused: 8, lost: 8 },
 ];
 
-interface Attempted {
+interface AttemptedChange {
   readonly changeId: string;
   readonly path: string;
   readonly outcome: ChangeOutcome;
@@ -49,9 +49,9 @@
   service: FakeKeyValueService,
   operator: number,
   pathChoices: readonly number[],
-): Promise<readonly Attempted[]> {
+): Promise<readonly AttemptedChange[]> {
   const { writer } = createWriter(service);
-  const attempted: Attempted[] = [];
+  const attempted: AttemptedChange[] = [];
   for (const [number, pathChoice] of pathChoices.entries()) {
     const changeId = `change-${operator}-${number}`;
     const path = PATHS[pathChoice % PATHS.length] as string;
@@ -94,7 +94,7 @@
   return { head, byRevision };
 }
 
-function createFate(row: FaultRow, seed: number): () => CallOutcome {
+function createOutcomeChooser(row: FaultRow, seed: number): () => CallOutcome {
   let state = seed;
   return () => {
     state = (state * 1_103_515_245 + 12_345) % 2_147_483_648;
@@ -117,7 +117,7 @@
           async (scheduler, seed, picks) => {
             const service = new FakeKeyValueService({
               delay: () => scheduler.schedule(Promise.resolve()),
-              chooseOutcome: createFate(row, seed),
+              chooseOutcome: createOutcomeChooser(row, seed),
             });
             const operators = Array.from(
               { length: OPERATORS },
@@ -190,7 +190,7 @@
 
 function checkHistory(
   service: FakeKeyValueService,
-  attempted: readonly Attempted[],
+  attempted: readonly AttemptedChange[],
 ): void {
   const { head, byRevision } = readHistory(service);
   const changeIds = [...byRevision.values()];
@@ -212,7 +212,7 @@
 }
 
 function countKind(
-  attempted: readonly Attempted[],
+  attempted: readonly AttemptedChange[],
   kind: ChangeOutcome["kind"],
 ): number {
   return attempted.filter(({ outcome }) => outcome.kind === kind).length;
