--- a/src/settings/types.ts
+++ b/src/settings/types.ts
@@ -22,7 +22,7 @@
   readonly record: string;
 }
 
-/** Hashes of the pages, by page number in hexadecimal; empty ones left out. */
+/** Hashes of the pages, by page number in hexadecimal; empty ones are omitted. */
 export interface SettingsRoot {
   readonly pages: Readonly<Record<string, string>>;
 }
