--- a/src/process/cut_process_test.ts
+++ b/src/process/cut_process_test.ts
@@ -76,7 +76,7 @@
       PlainServiceStandIn,
       PlainServiceStandIn,
     ];
-    const farSettings = {
+    const isolatedSettings = {
       failureDomain: "b",
       keyValueAddress: platform.address,
     };
@@ -86,7 +86,7 @@
       address: addressA,
     });
     await cluster.startTarget("confirm-b", await cluster.listen(serviceB), {
-      ...farSettings,
+      ...isolatedSettings,
       address: addressB,
     });
     const toB = await createRelay(addressB);
@@ -98,7 +98,7 @@
     };
     isolatedDomain = {
       entry: await startEntry("entry-b", {
-        ...farSettings,
+        ...isolatedSettings,
         targets: [addressB, toA.address],
       }),
       service: serviceB,
