--- a/bench/limits_bench.ts
+++ b/bench/limits_bench.ts
@@ -35,7 +35,7 @@
   readonly othersAnswered: number;
 }
 
-/** Number of attempts for each request when every attempt fails. */
+/** Result of one retry budget when every attempt fails. */
 export interface RetryResult {
   readonly case: string;
   readonly attemptsPerRequest: number;
--- a/bench/size_bench.ts
+++ b/bench/size_bench.ts
@@ -394,13 +394,13 @@
   const planner = new Rebalancer(REBALANCE_PRESETS.skew);
   for (const ranks of [8, 16, 32]) {
     const shape = { ranks, experts: ranks * 4, slotsPerRank: 5, layers: 1 };
-    const truths = createWorkload("season", shape, {
+    const intervals = createWorkload("season", shape, {
       intervals: 40,
       seed: SEED,
     });
     const speeds = new Array<number>(ranks).fill(1);
     const load = (index: number) => ({
-      tokens: truths[index]?.tokens[0] ?? [],
+      tokens: intervals[index]?.tokens[0] ?? [],
       speeds,
     });
     const slots = new Array<number>(ranks).fill(shape.slotsPerRank);
--- a/src/testing/crashing_ranks.ts
+++ b/src/testing/crashing_ranks.ts
@@ -8,7 +8,7 @@
  */
 import type { EventQueue } from "./event_queue.ts";
 
-/** Milliseconds after which a running request crashes its rank, or is answered. */
+/** Milliseconds until a running request crashes its rank, or else is answered. */
 const CRASH_AFTER_MS = 100;
 const ANSWER_AFTER_MS = 500;
 /** Milliseconds until the other ranks of a group notice that a rank is gone. */
--- a/src/testing/drain_fleet.ts
+++ b/src/testing/drain_fleet.ts
@@ -44,7 +44,7 @@
   min: 1,
   normal: 12,
   late: 900,
-  lateShare: 0.05,
+  lateFraction: 0.05,
 } as const;
 const MEAN_RUN_MS = 120;
 /** Fraction of attempts that fail, so that requests are retried. */
@@ -80,7 +80,7 @@
   readonly lastArrivalMs: number;
   /**
    * Milliseconds from the operator's write until the last entry that was not frozen had
-   * the drain in force for good; infinite if one entry never had.
+   * the drain permanently in force; infinite if one entry never had.
    */
   readonly lastInForceMs: number;
   /** Requests that were refused because no target was available. */
@@ -345,8 +345,8 @@
    * to or from an entry that is cut off are lost.
    */
   #deliver(from: FleetEntry, to: FleetEntry, run: () => void): void {
-    const { min, normal, late, lateShare } = MESSAGE_DELAY_MS;
-    const isLate = this.#random.nextFraction() < lateShare;
+    const { min, normal, late, lateFraction } = MESSAGE_DELAY_MS;
+    const isLate = this.#random.nextFraction() < lateFraction;
     const delayMs = min + this.#random.nextBelow(isLate ? late : normal);
     if (this.#hasFault(from, "cut_off") || this.#hasFault(to, "cut_off")) {
       return;
--- a/src/testing/formed_group_simulation.ts
+++ b/src/testing/formed_group_simulation.ts
@@ -47,14 +47,15 @@
   /** Longest time for which a pass was held, in milliseconds. */
   readonly longestHoldMs: number;
   /**
-   * The same without the time in which no process could know what the decider's rank will
-   * do.
+   * The longest hold, not counting the time in which no process could know what the
+   * decider's rank will do.
    */
   readonly longestAvoidableHoldMs: number;
   /** Number of freezes of the decider's VM. */
   readonly freezes: number;
   /**
-   * Number of those freezes in which the group waited because no process could know that.
+   * Number of those freezes in which the group waited because no process could know
+   * what the decider's rank will do.
    */
   readonly undecidableFreezes: number;
   /** Messages that had left the decider's VM before its first freeze. */
--- a/src/testing/hold_record.ts
+++ b/src/testing/hold_record.ts
@@ -17,7 +17,7 @@
   readonly isUndecidable: boolean;
 }
 
-/** What is known about a held switch beside its holder. */
+/** State of a held switch from which {@link isUndecidable} is computed. */
 export interface HeldSwitchView {
   /** Whether the decider's VM is frozen. */
   readonly isDeciderFrozen: boolean;
@@ -38,7 +38,9 @@
     return this.#longestMs;
   }
 
-  /** The same without the time in which no process could know how to end the hold. */
+  /**
+   * The longest hold, not counting the time in which no process could know how to end it.
+   */
   get longestAvoidableMs(): number {
     return this.#longestAvoidableMs;
   }
--- a/src/testing/limited_entries.ts
+++ b/src/testing/limited_entries.ts
@@ -1,7 +1,7 @@
 /**
- * Simulates entries before targets that announce limits, backoffs and that they leave, in
- * virtual time. Entries receive these notices, lists and permits with delays; they stop,
- * restart and are cut off from each other.
+ * Simulates entries that send to targets, in virtual time. Targets announce rate limits,
+ * backoffs, and that they are leaving. Entries receive these notices, lists and permits
+ * with delays; they stop, restart and are cut off from each other.
  *
  * @module
  */
@@ -80,7 +80,7 @@
   readonly refusals: readonly Refusal[];
   /** Number of permit requests. */
   readonly permitRequests: number;
-  /** Number of times that an entry sent changes to the others. */
+  /** Number of updates that entries sent to the others. */
   readonly sentUpdates: number;
 }
 
@@ -91,7 +91,7 @@
   isCut: boolean;
 }
 
-/** Entries before targets that announce limits. */
+/** Entries that send to targets that announce limits. */
 export class LimitedEntries {
   readonly #options: LimitedEntriesOptions;
   readonly #queue = new EventQueue();
--- a/src/testing/planned_notices.ts
+++ b/src/testing/planned_notices.ts
@@ -1,6 +1,6 @@
 /**
  * Plans the notices that targets send with their answers during a run: rate limits,
- * backoffs, and that they leave.
+ * backoffs, and that they are leaving.
  *
  * @module
  */
@@ -33,7 +33,7 @@
   readonly askedMs: number;
 }
 
-/** A time from which a target announces that it leaves. */
+/** A time from which a target announces that it is leaving. */
 export interface LeavingAnnouncement {
   /** Milliseconds since callers started. */
   readonly at: number;
--- a/src/testing/poison_fleet.ts
+++ b/src/testing/poison_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Simulates entries before rank groups, in virtual time: callers that retry, requests
- * that crash each rank that runs them, and ranks that crash for other reasons. Entries
- * receive lists, states of groups and each other's crashes with realistic delays.
+ * Simulates entries that send to rank groups, in virtual time: callers that retry,
+ * requests that crash each rank that runs them, and ranks that crash for other reasons.
+ * Entries receive lists, states of groups and each other's crashes with realistic delays.
  *
  * @module
  */
@@ -38,8 +38,8 @@
 const UPDATE_DELAY_MS = { min: 20, spread: 300 } as const;
 const TICK_MS = 100;
 /**
- * Updates that an entry sends before the simulation stops delivering them, as they would
- * never end.
+ * Maximum number of updates of an entry that the simulation delivers. Without it, a run
+ * in which entries send updates endlessly would not end.
  */
 const MAX_UPDATES = 120;
 
@@ -76,7 +76,7 @@
   readonly refusedHarmless: number;
   /** Number of those that were answered. */
   readonly served: number;
-  /** Maximum number of times that one entry sent changes to the others. */
+  /** Maximum number of updates that one entry sent to the others. */
   readonly maxUpdatesSent: number;
 }
 
@@ -87,7 +87,7 @@
   attempts: number;
 }
 
-/** Entries before rank groups. */
+/** Entries that send to rank groups. */
 export class PoisonFleet {
   readonly #options: PoisonFleetOptions;
   readonly #queue = new EventQueue();
--- a/src/testing/priority_burst_simulation.ts
+++ b/src/testing/priority_burst_simulation.ts
@@ -1,5 +1,5 @@
 /**
- * Simulates entries before one rank group, in virtual time and without a network:
+ * Simulates entries of one rank group, in virtual time and without a network:
  * callers, reports of the group's decider that are some hundred milliseconds old, and
  * restarts of entries and decider.
  *
