--- a/bench/limits_bench.ts
+++ b/bench/limits_bench.ts
@@ -35,7 +35,7 @@
   readonly othersAnswered: number;
 }
 
-/** Result of one retry budget when every attempt fails. */
+/** Attempts for each request in one retry case, when every attempt fails. */
 export interface RetryResult {
   readonly case: string;
   readonly attemptsPerRequest: number;
--- a/bench/placement_bench.ts
+++ b/bench/placement_bench.ts
@@ -197,11 +197,11 @@
   ): Omit<PlacementResult, "workload" | "shape" | "planner"> {
     const layers = this.#createLayers(intervals[0] as ActualInterval);
     const skews: number[] = [];
-    const bounds: number[] = [];
+    const lowerBounds: number[] = [];
     for (const [interval, actual] of intervals.entries()) {
       if (interval === WARM_UP_INTERVALS) this.#moves = 0;
       skews.push(computeSkew(layers, actual));
-      bounds.push(this.#computeLowerBound(actual));
+      lowerBounds.push(this.#computeLowerBound(actual));
       const reported = intervals[interval + 1 - this.#conditions.lagIntervals];
       if (reported !== undefined) this.#planLayers(layers, reported);
     }
@@ -210,7 +210,7 @@
     return {
       meanSkew: getMean(counted),
       p99Skew: sorted[Math.floor(sorted.length * 0.99)] as number,
-      lowerBound: getMean(bounds.slice(WARM_UP_INTERVALS)),
+      lowerBound: getMean(lowerBounds.slice(WARM_UP_INTERVALS)),
       movesPerInterval: this.#moves / this.#shape.layers / counted.length,
       intervalsToRecover: countIntervalsToRecover(skews),
     };
--- a/bench/step_workloads.ts
+++ b/bench/step_workloads.ts
@@ -146,28 +146,29 @@
     const deviation = this.#name === "hot experts"
       ? HOT_LOG_DEVIATION
       : LOG_DEVIATION;
-    const retained = Math.sqrt(1 - rate);
-    this.#logWeights = this.#logWeights.map((log) =>
-      log * retained + this.#random.nextNormal(0, deviation * Math.sqrt(rate))
+    const retainedFraction = Math.sqrt(1 - rate);
+    this.#logWeights = this.#logWeights.map((logWeight) =>
+      logWeight * retainedFraction +
+      this.#random.nextNormal(0, deviation * Math.sqrt(rate))
     );
   }
 
   /** Rotates the popularity among about 30% of the experts, chosen at random. */
   #shuffleExperts(): void {
-    const moved = this.#logWeights.map((_, expert) => expert)
+    const movedExperts = this.#logWeights.map((_, expert) => expert)
       .filter(() => this.#random.nextFraction() < 0.3);
-    const logs = [...this.#logWeights];
-    for (const [index, expert] of moved.entries()) {
-      const from = moved[(index + 1) % moved.length] as number;
-      logs[expert] = this.#logWeights[from] as number;
+    const logWeights = [...this.#logWeights];
+    for (const [index, expert] of movedExperts.entries()) {
+      const from = movedExperts[(index + 1) % movedExperts.length] as number;
+      logWeights[expert] = this.#logWeights[from] as number;
     }
-    this.#logWeights = logs;
+    this.#logWeights = logWeights;
   }
 }
 
-function toTokenCounts(logs: readonly number[]): readonly number[] {
-  const weights = logs.map(Math.exp);
+function toTokenCounts(logWeights: readonly number[]): readonly number[] {
+  const weights = logWeights.map(Math.exp);
   const total = weights.reduce((sum, weight) => sum + weight, 0);
-  const tokens = TOKENS_PER_EXPERT * logs.length;
+  const tokens = TOKENS_PER_EXPERT * logWeights.length;
   return weights.map((weight) => weight / total * tokens);
 }
--- a/scripts/layers.ts
+++ b/scripts/layers.ts
@@ -119,19 +119,21 @@
 function findCycles(
   edges: readonly ImportEdge[],
 ): readonly (readonly string[])[] {
-  const importsOf = new Map<string, string[]>();
+  const importsByFile = new Map<string, string[]>();
   for (const { from, to } of edges) {
-    importsOf.set(from, [...importsOf.get(from) ?? [], to]);
+    importsByFile.set(from, [...importsByFile.get(from) ?? [], to]);
   }
-  const done = new Set<string>();
+  const finished = new Set<string>();
   const cycles: string[][] = [];
   const visit = (file: string, path: readonly string[]): void => {
     const start = path.indexOf(file);
     if (start >= 0) return void cycles.push([...path.slice(start), file]);
-    if (done.has(file)) return;
-    for (const next of importsOf.get(file) ?? []) visit(next, [...path, file]);
-    done.add(file);
+    if (finished.has(file)) return;
+    for (const next of importsByFile.get(file) ?? []) {
+      visit(next, [...path, file]);
+    }
+    finished.add(file);
   };
-  for (const file of importsOf.keys()) visit(file, []);
+  for (const file of importsByFile.keys()) visit(file, []);
   return cycles;
 }
--- a/src/testing/drifting_group.ts
+++ b/src/testing/drifting_group.ts
@@ -67,7 +67,7 @@
   readonly overloadedFraction: number;
 }
 
-const LONG_PASS_SKEW = 2.5;
+const OVERLOAD_SKEW = 2.5;
 
 /** A group whose popularity of experts changes abruptly. */
 export class DriftingGroup {
@@ -84,9 +84,9 @@
   constructor(options: DriftingGroupOptions) {
     this.#options = options;
     this.#shape = options.shape ?? DEFAULT_SHAPE;
-    const none = new Array<number>(this.#shape.experts).fill(0);
-    this.#shares = this.#createLayers(() => none);
-    this.#counts = this.#createLayers(() => none);
+    const zeros = new Array<number>(this.#shape.experts).fill(0);
+    this.#shares = this.#createLayers(() => zeros);
+    this.#counts = this.#createLayers(() => zeros);
     this.#map = this.#createFirstMap();
     this.#random = new RandomSource(options.seed);
   }
@@ -101,7 +101,7 @@
       this.#trySwitch(now);
       skews.push(this.#computeSkew());
     }
-    const overloaded = skews.filter((skew) => skew > LONG_PASS_SKEW);
+    const overloaded = skews.filter((skew) => skew > OVERLOAD_SKEW);
     return {
       meanSkew: skews.reduce((sum, skew) => sum + skew, 0) / skews.length,
       overloadedFraction: overloaded.length / skews.length,
--- a/src/testing/fake_engine.ts
+++ b/src/testing/fake_engine.ts
@@ -126,9 +126,9 @@
 
   #withMap(added: VersionedMap): readonly VersionedMap[] {
     const { maps, activeVersion, activation } = this.#state;
-    const kept = maps.filter((one) =>
+    const usedMaps = maps.filter((one) =>
       one.version === activeVersion || one.version === activation?.version
     );
-    return [...kept.filter((one) => one.version !== added.version), added];
+    return [...usedMaps.filter((one) => one.version !== added.version), added];
   }
 }
--- a/src/testing/formed_group_simulation.ts
+++ b/src/testing/formed_group_simulation.ts
@@ -202,16 +202,16 @@
   }
 
   #recordHold(): void {
-    const isBlocked = isUndecidable({
+    const isHoldUndecidable = isUndecidable({
       isDeciderFrozen: this.#isFrozen(0),
       holder: this.#engines.getState(HOLDER),
       lastArmedState: this.#armedReport?.state,
     });
-    if (isBlocked) this.#undecidableFreezes.add(this.#freezes);
+    if (isHoldUndecidable) this.#undecidableFreezes.add(this.#freezes);
     this.#holds.observe({
       now: this.#now,
       intervalMs: PASS_MS,
-      isUndecidable: isBlocked,
+      isUndecidable: isHoldUndecidable,
     });
   }
 
--- a/src/testing/group_simulation.ts
+++ b/src/testing/group_simulation.ts
@@ -131,9 +131,9 @@
    */
   heal(): void {
     for (let rank = 0; rank < RANKS; rank++) this.#reconnect(rank);
-    const wantedSteps = this.versionByStep.size + STEPS_AFTER_HEALING;
+    const requiredSteps = this.versionByStep.size + STEPS_AFTER_HEALING;
     for (let round = 0; round < HEALING_ROUNDS; round++) {
-      if (this.isIdle && this.versionByStep.size >= wantedSteps) return;
+      if (this.isIdle && this.versionByStep.size >= requiredSteps) return;
       this.#advance(100);
       for (let rank = 0; rank < RANKS; rank++) {
         while (this.#getRank(rank).inbox.length > 0) {
--- a/src/testing/poison_fleet.ts
+++ b/src/testing/poison_fleet.ts
@@ -242,12 +242,13 @@
 
   #scheduleLoss({ at, share }: RankLoss): void {
     this.#queue.after(at, () => {
-      const all = this.#ranks.listed;
-      const first = this.#random.nextBelow(all.length);
-      const lost = Math.ceil(all.length * share);
+      const listedRanks = this.#ranks.listed;
+      const first = this.#random.nextBelow(listedRanks.length);
+      const lost = Math.ceil(listedRanks.length * share);
       const ranks = Array.from(
         { length: lost },
-        (_, number) => all[(first + number) % all.length] as RankIncarnation,
+        (_, number) =>
+          listedRanks[(first + number) % listedRanks.length] as RankIncarnation,
       );
       this.#ranks.crash(ranks);
     });
--- a/src/testing/priority_burst_simulation.ts
+++ b/src/testing/priority_burst_simulation.ts
@@ -232,8 +232,8 @@
   #report(entry: Entry, { passMs, loads }: GroupSnapshot): void {
     const { now } = this.#events;
     const { min, max } = REPORT_AGE_MS;
-    const age = min + this.#random.nextFraction() * (max - min);
-    const at = Math.max(entry.lastReportAt, now + age);
+    const ageMs = min + this.#random.nextFraction() * (max - min);
+    const at = Math.max(entry.lastReportAt, now + ageMs);
     entry.lastReportAt = at;
     this.#events.after(at - now, () =>
       this.#dispatch(entry, {
--- a/src/testing/request_simulation_model.ts
+++ b/src/testing/request_simulation_model.ts
@@ -1,6 +1,7 @@
 /**
  * Holds the simulated processes and the undelivered messages between them. Passes
- * events to the reducers of entries and targets and performs their effects, in virtual time.
+ * events to the reducers of entries and targets and performs their effects, in virtual
+ * time.
  *
  * @module
  */
--- a/src/testing/simulated_owner_table.ts
+++ b/src/testing/simulated_owner_table.ts
@@ -123,17 +123,20 @@
   handOver(target: number): void {
     const process = this.#model.targets.get(target);
     if (!process.isUp || process.isPaused) return;
-    const taken = process.claimedSlots.shift();
-    const from = this.#model.targets.findNumber(taken?.address);
+    const claimedSlot = process.claimedSlots.shift();
+    const from = this.#model.targets.findNumber(claimedSlot?.address);
     const previousOwner = this.#model.targets.all[from];
-    if (taken === undefined || !previousOwner?.isUp || previousOwner.isPaused) {
+    if (
+      claimedSlot === undefined || !previousOwner?.isUp ||
+      previousOwner.isPaused
+    ) {
       return;
     }
     const effects = previousOwner.reducer.reduce({
       kind: "hand_over_asked",
       now: this.#model.now,
       linkId: SUCCESSOR_LINK_ID,
-      slot: taken.slot,
+      slot: claimedSlot.slot,
     });
     for (const effect of effects) {
       const isHistory = effect.kind === "reply" &&
--- a/src/testing/switch_orders_simulation.ts
+++ b/src/testing/switch_orders_simulation.ts
@@ -32,7 +32,7 @@
 
 const RANKS = 3;
 const HOLDER = getHolderRank(RANKS);
-/** Milliseconds; more than any order waits until it is sent again. */
+/** Milliseconds of a tick; longer than the delay until an order is sent again. */
 const TICK_MS = 1500;
 /** Probability of a proposal; it has an effect only while no switch is in progress. */
 const PROPOSAL_PROBABILITY = 0.05;
