--- a/src/testing/drifting_group.ts
+++ b/src/testing/drifting_group.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates a group of many ranks in steps of virtual time. The popularity of experts is
- * constant for some seconds and then changes abruptly; maps follow it as a decider plans
- * them.
+ * constant for some seconds and then changes abruptly; maps are planned for it as by
+ * a decider.
  *
  * @module
  */
@@ -20,11 +20,11 @@
 const ZIPF_EXPONENT = 0.93;
 const CHOICES_PER_STEP = 20_000;
 const STEP_MS = 25;
-/** Milliseconds from the end of copying until the map is in force. */
+/** Milliseconds from the end of loading until the map is in force. */
 const SWITCH_MS = 150;
 const NORMAL_PASS_MS = 60;
 
-/** The size of a group and the time that its decider takes to plan and copy. */
+/** The size of a group, and the time to plan a map and load its experts. */
 export interface GroupShape {
   readonly ranks: number;
   readonly layers: number;
--- a/src/testing/fake_engine.ts
+++ b/src/testing/fake_engine.ts
@@ -28,7 +28,7 @@
   #fencingNumber = 0;
   readonly #checksFencing: boolean;
 
-  /** Creates an engine without a map that belongs to no incarnation of the group. */
+  /** Creates an engine that has no map and belongs to no incarnation of the group. */
   constructor(checksFencing: boolean) {
     this.#checksFencing = checksFencing;
   }
--- a/src/testing/fake_formed_engine.ts
+++ b/src/testing/fake_formed_engine.ts
@@ -61,7 +61,7 @@
     return this.#active;
   }
 
-  /** Returns whether the group may begin a pass. */
+  /** Returns whether the group may begin a pass, which this engine must not hold. */
   mayBeginPass(pass: number): boolean {
     return this.#heldPass !== pass;
   }
@@ -76,7 +76,7 @@
     this.#armed = undefined;
   }
 
-  /** Completes the copy of a map. */
+  /** Completes loading a map. */
   finishLoading(version: number): void {
     if (this.#prepared?.version === version) this.#isLoaded = true;
   }
--- a/src/testing/fake_key_value_service.ts
+++ b/src/testing/fake_key_value_service.ts
@@ -17,7 +17,7 @@
 
 /** Options of a {@link FakeKeyValueService}. */
 export interface FakeKeyValueOptions {
-  /** Called before and after each call takes effect; may wait. */
+  /** Awaited before and after each call takes effect. */
   readonly delay?: () => Promise<void>;
   /** Chooses the outcome of a call. */
   readonly chooseOutcome?: (key: string) => CallOutcome;
--- a/src/testing/formed_engine_fixture.ts
+++ b/src/testing/formed_engine_fixture.ts
@@ -17,7 +17,7 @@
 /** Experts that each rank of the fake group holds in its only layer. */
 const EXPERTS_PER_RANK = 1;
 
-/** An engine that executes each order immediately and copies maps without delay. */
+/** An engine that executes each order immediately and loads maps without delay. */
 export class FormedEngineFixture extends FormedEngine {
   readonly fake: FakeFormedEngine;
   readonly receivedOrders: EngineOrder[] = [];
--- a/src/testing/formed_group_engines.ts
+++ b/src/testing/formed_group_engines.ts
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Executes an order at an engine. A fence prepares a map without copying, so it takes
-   * effect immediately.
+   * Executes an order at an engine. A fence prepares an empty map, which needs no
+   * loading, so it takes effect immediately.
    */
   execute(rank: number, { order }: RankOrderMessage): boolean {
     const engine = this.#getEngine(rank);
--- a/src/testing/planned_notices.ts
+++ b/src/testing/planned_notices.ts
@@ -22,7 +22,7 @@
   readonly perSecond: number | undefined;
 }
 
-/** A time in which a target rejects all requests. */
+/** A period in which a target rejects all requests. */
 export interface RejectionPeriod {
   /** Milliseconds since callers started. */
   readonly from: number;
--- a/src/testing/tcp_relay.ts
+++ b/src/testing/tcp_relay.ts
@@ -50,7 +50,7 @@
     this.reset();
   }
 
-  /** Closes open connections; new ones work. */
+  /** Closes open connections; new ones are relayed. */
   reset(): void {
     for (const socket of this.#getSockets()) socket.destroy();
   }
