--- a/src/testing/drifting_group.ts
+++ b/src/testing/drifting_group.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates a group of many ranks in steps of virtual time. The popularity of experts is
- * constant for some seconds and then changes abruptly; maps follow it as a decider plans
- * them.
+ * constant for some seconds and then changes abruptly; maps are planned for it as by
+ * a decider.
  *
  * @module
  */
@@ -20,11 +20,11 @@
 const ZIPF_EXPONENT = 0.93;
 const CHOICES_PER_STEP = 20_000;
 const STEP_MS = 25;
-/** Milliseconds from the end of copying until the map is in force. */
+/** Milliseconds from the end of loading until the map is in force. */
 const SWITCH_MS = 150;
 const NORMAL_PASS_MS = 60;
 
-/** The size of a group and the time that its decider takes to plan and copy. */
+/** The size of a group, and the time to plan a map and load its experts. */
 export interface GroupShape {
   readonly ranks: number;
   readonly layers: number;
@@ -67,7 +67,7 @@
   readonly overloadedFraction: number;
 }
 
-const LONG_PASS_SKEW = 2.5;
+const OVERLOAD_SKEW = 2.5;
 
 /** A group whose popularity of experts changes abruptly. */
 export class DriftingGroup {
@@ -84,9 +84,9 @@
   constructor(options: DriftingGroupOptions) {
     this.#options = options;
     this.#shape = options.shape ?? DEFAULT_SHAPE;
-    const none = new Array<number>(this.#shape.experts).fill(0);
-    this.#shares = this.#createLayers(() => none);
-    this.#counts = this.#createLayers(() => none);
+    const zeros = new Array<number>(this.#shape.experts).fill(0);
+    this.#shares = this.#createLayers(() => zeros);
+    this.#counts = this.#createLayers(() => zeros);
     this.#map = this.#createFirstMap();
     this.#random = new RandomSource(options.seed);
   }
@@ -101,7 +101,7 @@
       this.#trySwitch(now);
       skews.push(this.#computeSkew());
     }
-    const overloaded = skews.filter((skew) => skew > LONG_PASS_SKEW);
+    const overloaded = skews.filter((skew) => skew > OVERLOAD_SKEW);
     return {
       meanSkew: skews.reduce((sum, skew) => sum + skew, 0) / skews.length,
       overloadedFraction: overloaded.length / skews.length,
--- a/src/testing/fake_engine.ts
+++ b/src/testing/fake_engine.ts
@@ -28,7 +28,7 @@
   #fencingNumber = 0;
   readonly #checksFencing: boolean;
 
-  /** Creates an engine without a map that belongs to no incarnation of the group. */
+  /** Creates an engine that has no map and belongs to no incarnation of the group. */
   constructor(checksFencing: boolean) {
     this.#checksFencing = checksFencing;
   }
@@ -126,9 +126,9 @@
 
   #withMap(added: VersionedMap): readonly VersionedMap[] {
     const { maps, activeVersion, activation } = this.#state;
-    const kept = maps.filter((one) =>
+    const usedMaps = maps.filter((one) =>
       one.version === activeVersion || one.version === activation?.version
     );
-    return [...kept.filter((one) => one.version !== added.version), added];
+    return [...usedMaps.filter((one) => one.version !== added.version), added];
   }
 }
