--- a/src/entry/admission_gate.ts
+++ b/src/entry/admission_gate.ts
@@ -48,8 +48,8 @@
 /** What the gate knows of a request that it has evaluated. */
 interface DeferralState {
   /**
-   * Random number from 0 to 1. The request is deferred while the fraction of requests
-   * like it that is to be deferred is above this.
+   * Random number from 0 to 1. The request is deferred while its deferral probability is
+   * above this number.
    */
   readonly number: number;
   isCounted: boolean;
@@ -193,7 +193,7 @@
       readonly now: number;
     },
   ): boolean {
-    const { group, utilization, poolPriorities: known, now } = context;
+    const { group, utilization, poolPriorities, now } = context;
     const deferredFraction = getDeferredFraction(utilization);
     if (deferredFraction <= 0) return false;
     const state = this.#getDeferralState(inFlight);
@@ -202,7 +202,7 @@
       .getDeferralProbability(ordered, {
         now,
         deferredFraction,
-        knownPriorities: known,
+        knownPriorities: poolPriorities,
       });
     if (state.number >= requestFraction) return false;
     state.utilization = utilization;
--- a/src/entry/admission_gate_test.ts
+++ b/src/entry/admission_gate_test.ts
@@ -16,7 +16,7 @@
 const OBJECTIVE_MS = 400;
 const DEADLINE_MS = 8000;
 const IDLE_PASS_MS = 35;
-/** Requests; with a cost of 0.5 ms for each request: (0.9 * 150 - 35) / 0.5. */
+/** Capacity in requests, at a cost of 0.5 ms for each request: (0.9 * 150 - 35) / 0.5. */
 const CAPACITY = 200;
 const GROUP_SETTINGS: GroupSettings = {
   layers: 3,
--- a/src/entry/backing_off_fleet_test.ts
+++ b/src/entry/backing_off_fleet_test.ts
@@ -15,15 +15,15 @@
 const BACKOFF_MS = 3000;
 /** Milliseconds after a notice in which requests sent before it may still arrive. */
 const IN_TRANSIT_MS = 500;
-/** Requests of one entry that may reach a target from then to the end of a backoff. */
+/** Maximum requests of one entry to a target from then to the end of a backoff. */
 const MAX_IN_BACKOFF = 2;
 /** Span of the run in which targets refuse all requests. */
 const FROM_MS = 2000;
 const UNTIL_MS = 8000;
 const RUN_MS = 14_000;
-/** Milliseconds after its arrival in which nearly every refused request is answered. */
+/** Milliseconds from its arrival within which nearly every refused request is answered. */
 const ANSWERED_MS = 1500;
-/** Length of the spans in which returning requests are counted, in milliseconds. */
+/** Length of the spans in which requests are counted, in milliseconds. */
 const SPAN_MS = 250;
 /** Requests that a target runs at the same time. */
 const CONCURRENCY = 8;
@@ -67,9 +67,10 @@
     byEntry.set(entry, [...byEntry.get(entry) ?? [], at]);
   }
   const counts = [...byEntry.values()].map((times) => {
-    const known = (times[0] ?? 0) + ANSWERED_MS;
+    const knownAt = (times[0] ?? 0) + ANSWERED_MS;
     const end = (times[0] ?? 0) + BACKOFF_MS;
-    return times.filter((at) => at > known + IN_TRANSIT_MS && at < end).length;
+    return times.filter((at) => at > knownAt + IN_TRANSIT_MS && at < end)
+      .length;
   });
   return Math.max(0, ...counts);
 }
--- a/src/entry/caller_buffers.ts
+++ b/src/entry/caller_buffers.ts
@@ -48,7 +48,7 @@
   readonly #options: CallerBuffersOptions;
   readonly #held: HeldBytes;
   readonly #callers = new Map<number, OpenCaller>();
-  /** Callers whose answers are paused until the event loop has turned. */
+  /** Callers whose answers are paused for one turn of the event loop. */
   readonly #pausedForTurn = new Set<number>();
 
   /** Creates buffers without callers. */
@@ -101,9 +101,9 @@
   }
 
   /**
-   * Pauses the back end of an answer whose event is deferred until the event loop has
-   * turned. Deferred answers are not written and so not counted, and up to 2 MiB of each
-   * can arrive in one turn.
+   * Pauses the back end of an answer whose event is deferred by one turn of the event
+   * loop. Deferred data is not written and therefore not counted, and up to 2 MiB of each
+   * answer can arrive in one turn.
    */
   onEventDeferred(event: EntryEvent): void {
     const isAnswer = event.kind === "message_received" &&
--- a/src/entry/crash_watch.ts
+++ b/src/entry/crash_watch.ts
@@ -31,13 +31,13 @@
  * long.
  */
 const GONE_TARGET_RETENTION_MS = 10_000;
-/** Lost attempts that are kept: those of the busiest seconds of one entry. */
+/** Maximum number of lost attempts to keep: those of the busiest seconds of one entry. */
 const MAX_LOST_ATTEMPTS = 512;
 
 /**
- * Targets at which attempts may end together and still count as crashes: one request runs
- * at no more targets at a time. If attempts at more targets end together, power, a rack
- * or the network was lost.
+ * Maximum number of targets at which attempts that end together still count as crashes:
+ * one request runs at no more targets at a time. If attempts at more targets end
+ * together, power, a rack or the network was lost.
  */
 const MAX_SIMULTANEOUS_TARGETS = 2;
 /** Milliseconds within which attempts count as ending together. */
--- a/src/entry/decision_records.ts
+++ b/src/entry/decision_records.ts
@@ -35,7 +35,7 @@
   readonly reason: RefusalName;
   readonly submission: Outcome;
   readonly now: number;
-  /** Retry delay that the caller was told, in milliseconds from now. */
+  /** Retry delay that the caller was given, in milliseconds from now. */
   readonly retryDelayMs?: number;
   /** The drains that caused the failure. */
   readonly drains?: DrainDetails;
--- a/src/entry/entry_reducer_test.ts
+++ b/src/entry/entry_reducer_test.ts
@@ -75,7 +75,7 @@
 }
 
 function kindsOf(effects: readonly EntryEffect[]): readonly string[] {
-  // Log records are tested in decision_notes_test.ts.
+  // Log records are not compared here.
   return effects.map((effect) => effect.kind)
     .filter((kind) => kind !== "log_decision");
 }
--- a/src/entry/limited_targets_test.ts
+++ b/src/entry/limited_targets_test.ts
@@ -15,7 +15,7 @@
 
 const RUN_MS = 24_000;
 const SEEDS = [1, 2, 3];
-/** Number of entries from which one short run has enough requests. */
+/** Minimum number of entries with which a single short run has enough requests. */
 const LARGE_FLEET_ENTRIES = 100;
 const SHORT_RUN_MS = 10_000;
 /** Milliseconds from the first notice of a limit until it must be kept. */
--- a/src/entry/priority_burst_test.ts
+++ b/src/entry/priority_burst_test.ts
@@ -21,10 +21,14 @@
     );
 
     it(`of ${name} delays the answers of all kinds equally if there is one priority`, () => {
-      const { lateFraction: late, onTimeFractions: onTime } = unprioritised;
-      assert.ok(late >= 0.4 && late <= 0.5, `${late} late`);
-      const spread = Math.max(...onTime) - Math.min(...onTime);
-      assert.ok(spread < 0.1, `${onTime} on time, spread too large`);
+      const { lateFraction, onTimeFractions } = unprioritised;
+      assert.ok(
+        lateFraction >= 0.4 && lateFraction <= 0.5,
+        `${lateFraction} late`,
+      );
+      const spread = Math.max(...onTimeFractions) -
+        Math.min(...onTimeFractions);
+      assert.ok(spread < 0.1, `${onTimeFractions} on time, spread too large`);
     });
 
     it(`of ${name} does not delay the most urgent requests`, () => {
--- a/src/entry/request_dispatcher.ts
+++ b/src/entry/request_dispatcher.ts
@@ -280,8 +280,8 @@
     failure: Failure,
     now: number,
   ): boolean {
-    // If the attempt crashed its target, the entry must not crash a second one. The
-    // caller may still retry.
+    // The entry does not retry a request that crashed its target, as it could crash a
+    // second one. The caller may still retry.
     const hasCrashedTarget = failure.submission === "unknown" &&
       this.#options.crashes.hasCrashed(inFlight);
     const canRetry = !hasCrashedTarget &&
--- a/src/entry/request_effects.ts
+++ b/src/entry/request_effects.ts
@@ -42,17 +42,17 @@
   const requestId = inFlight.request.id;
   if (!inFlight.isStreaming) {
     const overallFailure = createOverallFailure(inFlight, failure);
-    const returnMs = tryGetRetryDelayMs(inFlight, overallFailure, now);
+    const retryDelayMs = tryGetRetryDelayMs(inFlight, overallFailure, now);
     const logRecord = createFailedRecord(inFlight, {
       ...failure,
       now,
-      retryDelayMs: returnMs,
+      retryDelayMs,
     });
-    const counts = createRefusalCounts(inFlight, returnMs);
+    const counts = createRefusalCounts(inFlight, retryDelayMs);
     return [
       logRecord,
       ...counts,
-      ...createRefusal(requestId, overallFailure, returnMs),
+      ...createRefusal(requestId, overallFailure, retryDelayMs),
     ];
   }
   return [
@@ -101,10 +101,10 @@
 
 function createRefusalCounts(
   { isRepeated }: InFlightRequest,
-  returnMs: number | undefined,
+  retryDelayMs: number | undefined,
 ): readonly EntryEffect[] {
   if (isRepeated) return [{ kind: "count_return", outcome: "refused" }];
-  if (returnMs === undefined) return [];
+  if (retryDelayMs === undefined) return [];
   return [{ kind: "count_return", outcome: "told" }];
 }
 
@@ -121,11 +121,11 @@
 function createRefusal(
   requestId: number,
   failure: Failure,
-  returnMs?: number,
+  retryDelayMs?: number,
 ): readonly EntryEffect[] {
   const problem = createProblem(failure.reason, {
     ...failure,
-    retryAfterSeconds: returnMs && toSeconds(returnMs),
+    retryAfterSeconds: retryDelayMs && toSeconds(retryDelayMs),
   });
   return [
     { kind: "count_refusal", reason: failure.reason },
--- a/src/entry/request_server.ts
+++ b/src/entry/request_server.ts
@@ -209,7 +209,9 @@
     // A caller may have disconnected before its request was read. The end of its socket
     // is read only after the request.
     await waitForPendingReads();
-    if (connection.isClosed) return this.#logLeft(request.value, headReadAt);
+    if (connection.isClosed) {
+      return this.#logCallerLeft(request.value, headReadAt);
+    }
     await this.#process(request.value, { connection, headReadAt });
   }
 
@@ -223,7 +225,7 @@
     connection.refuse(problem);
   }
 
-  #logLeft(
+  #logCallerLeft(
     { id, correlationId }: CallerRequest,
     headReadAt: number,
   ): void {
--- a/src/entry/retry_details.ts
+++ b/src/entry/retry_details.ts
@@ -45,11 +45,11 @@
   { reason, freeInMs }: RefusalCause,
   now: number,
 ): RetryInput | undefined {
-  const obstacle = UNAVAILABILITY_REASONS[reason];
-  if (obstacle === undefined) return undefined;
+  const cause = UNAVAILABILITY_REASONS[reason];
+  if (cause === undefined) return undefined;
   const { objectiveMs } = inFlight.route.service;
   return {
-    cause: obstacle,
+    cause,
     freeInMs,
     isRepeated: inFlight.isRepeated,
     leftMs: Math.max(0, inFlight.deadlineAt - now),
--- a/src/entry/retrying_callers.ts
+++ b/src/entry/retrying_callers.ts
@@ -9,8 +9,8 @@
 
 /** Detects callers' retries, separately for each service. */
 export class RetryingCallers {
-  /** Deadlines that callers requested, by service. */
-  readonly #memoriesByService = new Map<string, DeadlineTracker>();
+  /** Trackers of the deadlines that callers request, by settings path of the service. */
+  readonly #trackersByService = new Map<string, DeadlineTracker>();
 
   /**
    * Records an admitted request; returns whether its caller has already used a part of
@@ -23,18 +23,21 @@
    */
   observe(request: CallerRequest, route: Route, now: number): boolean {
     if (request.deadlineMs === undefined) return false;
-    return this.#getDeadlineMemory(route, now).observe(request.deadlineMs, now);
+    return this.#getDeadlineTracker(route, now).observe(
+      request.deadlineMs,
+      now,
+    );
   }
 
-  #getDeadlineMemory(
+  #getDeadlineTracker(
     { servicePath, service }: Route,
     now: number,
   ): DeadlineTracker {
-    let memory = this.#memoriesByService.get(servicePath);
-    if (memory === undefined) {
-      memory = new DeadlineTracker(service.longestDeadlineMs, now);
-      this.#memoriesByService.set(servicePath, memory);
+    let tracker = this.#trackersByService.get(servicePath);
+    if (tracker === undefined) {
+      tracker = new DeadlineTracker(service.longestDeadlineMs, now);
+      this.#trackersByService.set(servicePath, tracker);
     }
-    return memory;
+    return tracker;
   }
 }
--- a/src/entry/stall_guard_test.ts
+++ b/src/entry/stall_guard_test.ts
@@ -29,7 +29,7 @@
   return { kind: "tick", now: 0 };
 }
 
-function createGone(): EntryEvent {
+function createCallerGone(): EntryEvent {
   return { kind: "caller_gone", now: 0, requestId: 1 };
 }
 
@@ -48,7 +48,7 @@
     fixture.now = MAX_GAP_MS + 1;
     fixture.dispatch({ kind: "entries_listed", entries: ["one"], now: 0 });
     fixture.dispatch(createTick());
-    fixture.dispatch(createGone());
+    fixture.dispatch(createCallerGone());
     assert.deepEqual(fixture.delivered, ["caller_gone"]);
     await fixture.turn();
     assert.deepEqual(
--- a/src/entry/target_availability.ts
+++ b/src/entry/target_availability.ts
@@ -1,11 +1,11 @@
 /**
  * Determines whether a target may be sent a request now.
  *
- * Every kind of send checks the conditions that forbid or limit requests to a target
- * here: whether it leaves by lists, settings or its own announcement, drains of its
- * failure domain, the state of its rank group, backoffs that it requested, unreachable
- * failure domains, and its rate limits. `target_selection.ts` chooses among the targets
- * that remain, by load and preference.
+ * All conditions that forbid or limit requests to a target are checked here, whatever the
+ * kind of send: whether lists, settings or its own announcement show it as leaving, drains
+ * of its failure domain, the state of its rank group, backoffs that it requested,
+ * unreachable failure domains, and its rate limits. `target_selection.ts` chooses among
+ * the targets that remain, by load and preference.
  *
  * @module
  */
--- a/src/entry/target_record.ts
+++ b/src/entry/target_record.ts
@@ -19,7 +19,10 @@
  */
 const DEFAULT_CONNECTION_KEPT_MS = 7000;
 
-/** Minimum pace at which a rank gets no requests while others are free. */
+/**
+ * Minimum pace (see {@link TargetRecord.setPace}) at which a rank gets no requests while
+ * others are free.
+ */
 const STRAGGLER_PACE = 1.5;
 /**
  * Minimum pace at which the requests of a rank are moved to others. Prefilling a prompt
@@ -202,7 +205,7 @@
     return this.#group?.isClosed(now) ?? false;
   }
 
-  /** Sets the reported time of its work relative to that of a rank of usual speed. */
+  /** Sets the reported duration of its work relative to that of a rank of usual speed. */
   setPace(pace: number): void {
     this.#pace = pace;
     this.#hasDecider = true;
--- a/src/entry/target_registry.ts
+++ b/src/entry/target_registry.ts
@@ -104,7 +104,7 @@
     return record;
   }
 
-  /** Sets the names of the targets that leave by the operators' settings. */
+  /** Sets the names of the targets that the operators' settings mark as leaving. */
   setLeavingBySettings(names: ReadonlySet<string>): void {
     this.#leavingNamesBySettings = names;
     for (const record of this.#byName.values()) {
--- a/src/entry/target_updater.ts
+++ b/src/entry/target_updater.ts
@@ -73,15 +73,15 @@
 
   /** Applies an observation of whether a group runs, which a rank's sidecar sent. */
   recordGroupObservation(
-    { observation: sight, now }: GroupObserved,
+    { observation, now }: GroupObserved,
   ): readonly EntryEffect[] {
-    const { group, isOpen, ageMs } = sight;
+    const { group, isOpen, ageMs } = observation;
     const observedAt = now - ageMs;
     const hasChanged = this.#registry.groups.observe(group, {
       isOpen,
       observedAt,
     });
-    return hasChanged ? [createGroupObservedRecord(sight, "rank")] : [];
+    return hasChanged ? [createGroupObservedRecord(observation, "rank")] : [];
   }
 
   /** Applies a message of a target that belongs to no attempt. */
--- a/src/entry/waiting_requests.ts
+++ b/src/entry/waiting_requests.ts
@@ -94,7 +94,7 @@
     this.#queueOf(waiting).removeWhere((other) => other === waiting);
   }
 
-  /** Removes a request that is sent to a target, as its organisation's turn. */
+  /** Removes a request that is sent to a target; it counts as its organisation's turn. */
   take(requestId: number): void {
     const waiting = this.#byId.get(requestId);
     if (waiting === undefined) return;
--- a/src/entry/warm_up_watch.ts
+++ b/src/entry/warm_up_watch.ts
@@ -19,7 +19,7 @@
 interface ChangeContext {
   readonly now: number;
   /** When the list was requested, in milliseconds; undefined if there was no list. */
-  readonly askedAt?: number;
+  readonly requestedAt?: number;
 }
 
 /** Tracks which targets are cold. */
@@ -45,10 +45,10 @@
 
   /** Applies a list of targets. */
   recordInstances(
-    { instances, requestedAt: askedAt, now }: InstancesListed,
+    { instances, requestedAt, now }: InstancesListed,
   ): readonly LogDecision[] {
     const changes = this.limits.setListed(instances, now);
-    return this.#createChangeRecords(changes, { now, askedAt });
+    return this.#createChangeRecords(changes, { now, requestedAt });
   }
 
   /** Returns log records of the targets whose warm-up time has ended by `now`. */
@@ -87,7 +87,7 @@
   #createRecord(
     pool: string,
     changes: readonly ColdnessChange[],
-    { now, askedAt }: ChangeContext,
+    { now, requestedAt }: ChangeContext,
   ): LogDecision {
     const cold = changes.filter(({ isCold }) => isCold);
     const warm = changes.filter(({ isCold }) => !isCold);
@@ -100,13 +100,15 @@
         cold: this.limits.countCold(pool),
         added: describe(cold),
         removed: describe(warm),
-        ageMs: askedAt === undefined ? undefined : Math.round(now - askedAt),
+        ageMs: requestedAt === undefined
+          ? undefined
+          : Math.round(now - requestedAt),
       },
     };
   }
 }
 
-/** Lists targets with the source of their coldness, and the number of those left out. */
+/** Lists the changed targets, each with the source of its change, and counts the rest. */
 function describe(changes: readonly ColdnessChange[]): string {
   const named = changes.slice(0, MAX_LOGGED_TARGETS)
     .map(({ target, source }) => `${target}:${source}`);
