--- a/src/entry/target_registry.ts
+++ b/src/entry/target_registry.ts
@@ -228,8 +228,10 @@
       if (isReleased) table.delete(slot);
     }
     for (const slot of slots) {
-      const known = table.get(slot);
-      if (known !== undefined && known.version > claims.version) continue;
+      const knownClaim = table.get(slot);
+      if (knownClaim !== undefined && knownClaim.version > claims.version) {
+        continue;
+      }
       table.set(slot, { targetName: name, version: claims.version });
     }
   }
--- a/src/entry/target_selection.ts
+++ b/src/entry/target_selection.ts
@@ -130,8 +130,10 @@
       notStragglers.length > 0 ? notStragglers : available,
       now,
     );
-    const due = candidates.find(({ name }) => permits.isProbeDue(name, now));
-    if (due !== undefined) return Ok(due);
+    const dueForProbe = candidates.find(({ name }) =>
+      permits.isProbeDue(name, now)
+    );
+    if (dueForProbe !== undefined) return Ok(dueForProbe);
     const inView = candidates.filter(({ name }) => this.#inView.has(name));
     const target = this.#choose(
       inView.length > 0 ? inView : candidates,
@@ -170,10 +172,10 @@
     if (pauseObjectiveMs === undefined) return false;
     const serving = this.availability.listUntriedServing(inFlight);
     const areRanks = serving.some(({ group }) => group !== undefined);
-    const isKnown = serving.some((target) =>
+    const isLoadKnown = serving.some((target) =>
       hasRecentLoad(target, { withinMs: LOAD_UNKNOWN_AFTER_MS, now })
     );
-    if (!areRanks || isKnown) return false;
+    if (!areRanks || isLoadKnown) return false;
     const sumOf = (read: (target: TargetRecord) => number) =>
       serving.reduce((sum, target) => sum + read(target), 0);
     const limit = getUnknownLoadLimit({
@@ -190,9 +192,9 @@
     instances: readonly BackEndInstance[],
     now: number,
   ): readonly TargetRecord[] {
-    const ended = this.registry.setInstances(instances, now);
+    const gone = this.registry.setInstances(instances, now);
     this.#setView(instances);
-    return ended;
+    return gone;
   }
 
   #setView(instances: readonly BackEndInstance[]): void {
@@ -270,8 +272,11 @@
 /** Whether a recently reported load shows that a target is full. */
 function isFull(target: TargetRecord, now: number): boolean {
   if (!target.hasDecider) return false;
-  const isKnown = hasRecentLoad(target, { withinMs: MAX_REPORT_AGE_MS, now });
-  return isKnown && estimateLoad(target) >= FULL_LOAD;
+  const isLoadKnown = hasRecentLoad(target, {
+    withinMs: MAX_REPORT_AGE_MS,
+    now,
+  });
+  return isLoadKnown && estimateLoad(target) >= FULL_LOAD;
 }
 
 /** Whether the decider of a target's group reported its load in the last `withinMs`. */
--- a/src/entry/target_updater.ts
+++ b/src/entry/target_updater.ts
@@ -58,11 +58,11 @@
     this.#registry.leaving.setListed(listed, now);
     const warmUpRecords = warmUp.recordInstances(event);
     selection.availability.permits.removeUnlimited();
-    const ended = selection.setInstances(instances, now).flatMap((target) => [
+    const gone = selection.setInstances(instances, now).flatMap((target) => [
       createTargetEndedRecord(target),
       ...this.#recordGone({ target, now }),
     ]);
-    return [...warmUpRecords, ...ended];
+    return [...warmUpRecords, ...gone];
   }
 
   /** Applies a report of a group's decider on the load of its ranks. */
