--- a/src/entry/entry_driver.ts
+++ b/src/entry/entry_driver.ts
@@ -224,13 +224,13 @@
     if (machineList === undefined) return;
     this.#virtualMachineReader = new VirtualMachineListReader({
       list: machineList,
-      onList: (machines) => {
-        this.#virtualMachines = machines;
-        this.#dialler?.setVirtualMachines(machines);
+      onList: (virtualMachines) => {
+        this.#virtualMachines = virtualMachines;
+        this.#dialler?.setVirtualMachines(virtualMachines);
         this.#server.dispatch({
           kind: "machines_listed",
           now: performance.now(),
-          virtualMachines: machines,
+          virtualMachines,
         });
       },
       onReachable: (isReachable) =>
--- a/src/entry/limited_targets_test.ts
+++ b/src/entry/limited_targets_test.ts
@@ -129,7 +129,7 @@
       );
       test.diagnostic(
         `${counts} in a span, permit requests: ${
-          results.map(({ permitRequests: questions }) => questions)
+          results.map(({ permitRequests }) => permitRequests)
         }`,
       );
       assert.ok(
--- a/src/entry/poison_fleet_test.ts
+++ b/src/entry/poison_fleet_test.ts
@@ -123,12 +123,12 @@
       const served = sumOf(results, (result) => result.served);
       test.diagnostic(
         `crashes ${crashes}, replications ${
-          Math.max(...results.map(({ maxUpdatesSent: mostTold }) => mostTold))
+          Math.max(...results.map(({ maxUpdatesSent }) => maxUpdatesSent))
         }, refused ${refused} and served ${served} of ${unaffected}`,
       );
       assert.ok(Math.max(...crashes) <= maxCrashes, `${crashes}`);
       const replications = Math.max(
-        ...results.map(({ maxUpdatesSent: mostTold }) => mostTold),
+        ...results.map(({ maxUpdatesSent }) => maxUpdatesSent),
       );
       assert.ok(
         replications <= MAX_REPLICATIONS,
--- a/src/entry/target_availability.ts
+++ b/src/entry/target_availability.ts
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Returns the owner of a request's idempotency key, even if it leaves: the request may
-   * run at no other target.
+   * Returns the owner of a request's idempotency key, even if it is leaving: the request
+   * may run at no other target.
    */
   findOwner(
     inFlight: InFlightRequest,
@@ -137,8 +137,7 @@
 
   /**
    * Whether a request may still be sent to the target that was chosen for it earlier.
-   * Called before its first byte is sent, as establishing the connection may have taken
-   * long.
+   * Checked before its first byte is sent, as establishing the connection can take long.
    */
   mayBegin(targetName: string, now: number): boolean {
     const target = this.#registry.tryGet(targetName);
