--- a/src/entry/slow_callers_test.ts
+++ b/src/entry/slow_callers_test.ts
@@ -129,9 +129,9 @@
 
   /** Reads the value of a counter or gauge. */
   async readMetric(name: string): Promise<number> {
-    const { text: page } = await this.#metrics.pages["/metrics"]!();
+    const { text } = await this.#metrics.pages["/metrics"]!();
     return Number(
-      new RegExp(`^lagoonwharf_${name} (.*)$`, "m").exec(page)?.[1],
+      new RegExp(`^lagoonwharf_${name} (.*)$`, "m").exec(text)?.[1],
     );
   }
 
--- a/src/entry/target_record.ts
+++ b/src/entry/target_record.ts
@@ -177,7 +177,7 @@
     return this.#isListedLeaving;
   }
 
-  /** Sets whether the operators' settings make the target leave. */
+  /** Sets whether the operators' settings mark the target as leaving. */
   setLeavingBySettings(isLeaving: boolean): void {
     this.#isLeavingBySettings = isLeaving;
   }
--- a/src/entry/target_view_test.ts
+++ b/src/entry/target_view_test.ts
@@ -9,14 +9,14 @@
 } from "../testing/fixtures.ts";
 import { EntryReducer } from "./entry_reducer.ts";
 
-const SERVERS = 72;
+const TARGETS = 72;
 const DOMAINS = ["a", "b", "c"] as const;
 
 function createInstances(
   changes: Partial<BackEndInstance> = {},
 ): readonly BackEndInstance[] {
   return Array.from(
-    { length: SERVERS },
+    { length: TARGETS },
     (_, index) =>
       createInstance(`i-${index}`, {
         failureDomain: DOMAINS[index % DOMAINS.length],
@@ -60,17 +60,17 @@
     assert.ok(near.length >= 16, `${near.length} near`);
   });
 
-  it("differ between entries, so that nearly all servers are used", () => {
+  it("differ between entries, so that nearly all targets are used", () => {
     const used = new Set<string>();
     for (let number = 0; number < 12; number++) {
       const domain = DOMAINS[number % DOMAINS.length];
       const targets = targetsOf(`entry-${number}`, createInstances(), domain);
       for (const target of targets) used.add(target);
     }
-    assert.ok(used.size > 0.8 * SERVERS, `${used.size} servers`);
+    assert.ok(used.size > 0.8 * TARGETS, `${used.size} targets`);
   });
 
-  it("do not keep requests from other servers when all in view leave", () => {
+  it("do not keep requests from other targets when all in view leave", () => {
     const inView = new Set(targetsOf("entry-1", createInstances()));
     const instances = createInstances().map((instance): BackEndInstance => ({
       ...instance,
