--- a/src/entry/direct_requests_test.ts
+++ b/src/entry/direct_requests_test.ts
@@ -409,9 +409,9 @@
     assert.equal(tryGetProblem(fixture.tick(100))?.reason, "GROUP_CLOSED");
   });
 
-  // Guards against requests that wait for a group although a server has reported the loss
+  // Guards against requests that wait for a group although a target has reported the loss
   // of one of its ranks, because the platform's list does not show it yet.
-  it("refuse a first request immediately if a server names the lost rank", () => {
+  it("refuse a first request immediately if a target names the lost rank", () => {
     const { fixture, refusal } = createFixtureWithLostRank();
     assert.equal(tryGetProblem(refusal)?.reason, "GROUP_CLOSED");
     const next = tryGetProblem(fixture.request({ id: 2, deadlineMs: 8022 }));
@@ -468,7 +468,7 @@
     assert.deepEqual(sent.map(({ message }) => message.requestId), [1, 2]);
   });
 
-  it("are known to be lost by the refusal of a server", () => {
+  it("are known to be lost by the refusal of a target", () => {
     const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
     fixture.listRanks(["one", "two"]);
     const first = getSent(fixture.request({ deadlineMs: 8022 }));
@@ -483,7 +483,7 @@
     assert.equal(problem?.submission, "not-run");
   });
 
-  it("let a caller's retry wait again after a server refused it", () => {
+  it("let a caller's retry wait again after a target refused it", () => {
     const fixture = new DirectFixture(["one", "two"], STREAM_LINES);
     fixture.listRanks(["one", "two"]);
     const first = getSent(fixture.request({ deadlineMs: 5000 }));
@@ -563,7 +563,7 @@
     assert.equal(countSent(fixture, 6), 6);
   });
 
-  it("are limited to a share, but servers that belong to no group are not", () => {
+  it("are limited to a share, but targets that belong to no group are not", () => {
     const fixture = new DirectFixture(["one"], lines);
     fixture.entry.reduce({
       kind: "entries_listed",
--- a/src/entry/group_state.ts
+++ b/src/entry/group_state.ts
@@ -23,7 +23,7 @@
 const MAX_CLOSED_OBSERVATION_AGE_MS = 1500;
 
 /**
- * Milliseconds for which an observation takes precedence over the report of a server, as
+ * Milliseconds for which an observation takes precedence over the report of a target, as
  * processes report every 500 ms.
  */
 const OBSERVATION_PRECEDENCE_MS = 700;
@@ -56,11 +56,11 @@
   }
 
   /**
-   * Records that a server reported the loss of another rank, without which it cannot run.
-   * The server may have stalled for a second before it reported this, so a recent
-   * observation takes precedence. Returns whether the known state changed.
+   * Records that a target reported the loss of another rank, without which the group
+   * cannot run. The target may have stalled for a second before it reported this, so a
+   * recent observation takes precedence. Returns whether the known state changed.
    */
-  recordClosedByServer(now: number): boolean {
+  recordClosedByTarget(now: number): boolean {
     if (this.ageAt(now) < OBSERVATION_PRECEDENCE_MS) return false;
     return this.observe({ isOpen: false, observedAt: now });
   }
--- a/src/entry/target_updater.ts
+++ b/src/entry/target_updater.ts
@@ -180,7 +180,7 @@
   ): readonly EntryEffect[] {
     const { group } = target;
     if (group === undefined) return [];
-    const hasChanged = group.recordClosedByServer(now);
+    const hasChanged = group.recordClosedByTarget(now);
     // If a newer observation shows the group as running, it has all its ranks.
     if (lostPeer !== undefined && group.isClosed(now)) {
       this.#registry.groups.recordLost(lostPeer);
