--- a/src/entry/event_stream_cursor.ts
+++ b/src/entry/event_stream_cursor.ts
@@ -28,7 +28,7 @@
   #pending: Buffer = EMPTY_BUFFER;
   #lastEventId: string | undefined;
 
-  /** `lastEventId` is the last event that the caller already has, if it sent one. */
+  /** Creates a cursor after the event `lastEventId`, which the caller already has. */
   constructor(lastEventId?: string) {
     this.#lastEventId = lastEventId;
   }
