--- a/src/entry/target_availability.ts
+++ b/src/entry/target_availability.ts
@@ -1,11 +1,11 @@
 /**
  * Determines whether a target may be sent a request now.
  *
- * Every kind of send checks the conditions that forbid or limit requests to a target
- * here: whether it leaves by lists, settings or its own announcement, drains of its
- * failure domain, the state of its rank group, backoffs that it requested, unreachable
- * failure domains, and its rate limits. `target_selection.ts` chooses among the targets
- * that remain, by load and preference.
+ * All conditions that forbid or limit requests to a target are checked here, whatever the
+ * kind of send: whether lists, settings or its own announcement show it as leaving, drains
+ * of its failure domain, the state of its rank group, backoffs that it requested,
+ * unreachable failure domains, and its rate limits. `target_selection.ts` chooses among
+ * the targets that remain, by load and preference.
  *
  * @module
  */
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Returns the owner of a request's idempotency key, even if it leaves: the request may
-   * run at no other target.
+   * Returns the owner of a request's idempotency key, even if it is leaving: the request
+   * may run at no other target.
    */
   findOwner(
     inFlight: InFlightRequest,
@@ -137,8 +137,7 @@
 
   /**
    * Whether a request may still be sent to the target that was chosen for it earlier.
-   * Called before its first byte is sent, as establishing the connection may have taken
-   * long.
+   * Checked before its first byte is sent, as establishing the connection can take long.
    */
   mayBegin(targetName: string, now: number): boolean {
     const target = this.#registry.tryGet(targetName);
--- a/src/entry/target_registry.ts
+++ b/src/entry/target_registry.ts
@@ -104,7 +104,7 @@
     return record;
   }
 
-  /** Sets the names of the targets that leave by the operators' settings. */
+  /** Sets the names of the targets that the operators' settings mark as leaving. */
   setLeavingBySettings(names: ReadonlySet<string>): void {
     this.#leavingNamesBySettings = names;
     for (const record of this.#byName.values()) {
@@ -228,8 +228,10 @@
       if (isReleased) table.delete(slot);
     }
     for (const slot of slots) {
-      const known = table.get(slot);
-      if (known !== undefined && known.version > claims.version) continue;
+      const knownClaim = table.get(slot);
+      if (knownClaim !== undefined && knownClaim.version > claims.version) {
+        continue;
+      }
       table.set(slot, { targetName: name, version: claims.version });
     }
   }
--- a/src/entry/target_updater.ts
+++ b/src/entry/target_updater.ts
@@ -58,11 +58,11 @@
     this.#registry.leaving.setListed(listed, now);
     const warmUpRecords = warmUp.recordInstances(event);
     selection.availability.permits.removeUnlimited();
-    const ended = selection.setInstances(instances, now).flatMap((target) => [
+    const gone = selection.setInstances(instances, now).flatMap((target) => [
       createTargetEndedRecord(target),
       ...this.#recordGone({ target, now }),
     ]);
-    return [...warmUpRecords, ...ended];
+    return [...warmUpRecords, ...gone];
   }
 
   /** Applies a report of a group's decider on the load of its ranks. */
@@ -73,15 +73,15 @@
 
   /** Applies an observation of whether a group runs, which a rank's sidecar sent. */
   recordGroupObservation(
-    { observation: sight, now }: GroupObserved,
+    { observation, now }: GroupObserved,
   ): readonly EntryEffect[] {
-    const { group, isOpen, ageMs } = sight;
+    const { group, isOpen, ageMs } = observation;
     const observedAt = now - ageMs;
     const hasChanged = this.#registry.groups.observe(group, {
       isOpen,
       observedAt,
     });
-    return hasChanged ? [createGroupObservedRecord(sight, "rank")] : [];
+    return hasChanged ? [createGroupObservedRecord(observation, "rank")] : [];
   }
 
   /** Applies a message of a target that belongs to no attempt. */
@@ -180,7 +180,7 @@
   ): readonly EntryEffect[] {
     const { group } = target;
     if (group === undefined) return [];
-    const hasChanged = group.recordClosedByServer(now);
+    const hasChanged = group.recordClosedByTarget(now);
     // If a newer observation shows the group as running, it has all its ranks.
     if (lostPeer !== undefined && group.isClosed(now)) {
       this.#registry.groups.recordLost(lostPeer);
