--- a/src/entry/cold_targets_test.ts
+++ b/src/entry/cold_targets_test.ts
@@ -41,9 +41,9 @@
 
 function createPlan(
   changes: readonly ListChange[],
-  lateMs?: ReadonlyMap<number, number>,
+  delayMsByEntry?: ReadonlyMap<number, number>,
 ) {
-  return { perSecond: PER_SECOND, startMs: START_MS, changes, lateMs };
+  return { perSecond: PER_SECOND, startMs: START_MS, changes, delayMsByEntry };
 }
 
 function createListed(
@@ -158,8 +158,8 @@
   // Guards against requests beyond the bound from an entry that has not read the list
   // yet.
   it("get no more than their limit while one entry reads the list late", () => {
-    const lateMs = new Map([[4, 2500]]);
-    const cold = createPlan([createListed(HALF, true)], lateMs);
+    const delayMsByEntry = new Map([[4, 2500]]);
+    const cold = createPlan([createListed(HALF, true)], delayMsByEntry);
     checkBound(run({ cold }), HALF);
   });
 });
--- a/src/entry/priority_burst_test.ts
+++ b/src/entry/priority_burst_test.ts
@@ -40,7 +40,7 @@
   it("leaves no request waiting if the decider or all entries restart during it", () => {
     const until = BURST_START_MS + LEAST_URGENT_BURST.durationMs;
     const faults = [
-      { silence: { from: BURST_START_MS + 1000, until: until + 1000 } },
+      { deciderOutage: { from: BURST_START_MS + 1000, until: until + 1000 } },
       { restartAt: BURST_START_MS + 2500 },
     ];
     for (const fault of faults) {
