--- a/src/direct/peers/peer_server_test.ts
+++ b/src/direct/peers/peer_server_test.ts
@@ -29,7 +29,7 @@
   };
 }
 
-describe("createNews", () => {
+describe("createStoreUpdate", () => {
   it("includes everything and its age for an entry that knows nothing", () => {
     const update = createStoreUpdate(
       createStoreState(),
